--- a/crates/mesh/src/feed/mod.rs
+++ b/crates/mesh/src/feed/mod.rs
@@ -41,12 +41,12 @@
 
 /// For how long a node without news holds the question of another. Heads are held for less: they must know soon when the store was read.
 pub fn long_poll_timeout(is_head: bool, bounds: &Bounds) -> Duration {
-    bounds.least().mul_f64(if is_head { HEAD_HOLD_PART } else { HOLD_PART })
+    bounds.shortest().mul_f64(if is_head { HEAD_HOLD_PART } else { HOLD_PART })
 }
 
 /// How long the answer to a question may take that is held for `hold` at most.
 pub fn response_timeout(hold: Duration, bounds: &Bounds) -> Duration {
-    hold + ANSWER_LEAST + bounds.least().mul_f64(ANSWER_PART)
+    hold + ANSWER_LEAST + bounds.shortest().mul_f64(ANSWER_PART)
 }
 
 /// How well another node is supplied, as it tells.
--- a/crates/mesh/src/feed/schedule.rs
+++ b/crates/mesh/src/feed/schedule.rs
@@ -6,7 +6,7 @@
 
 use super::{long_poll_timeout, FeedRole, StoreAccessLoss};
 use crate::settings::Bounds;
-use crate::store_reader::longest_watch;
+use crate::store_reader::max_watch_timeout;
 
 /// The part of the least bound after which the first node that is no reader asks the store while the readers can't read it.
 const TURN_PART: f64 = 0.15;
@@ -82,8 +82,8 @@
 /// turn; the watch is so short that all of this ends within the least bound.
 pub fn watch_timeout(bounds: &Bounds) -> Duration {
     let found_after =
-        long_poll_timeout(true, bounds) + OVERDUE_MARGIN + bounds.least().mul_f64(TURN_PART) + SPREAD_RESERVE;
-    longest_watch(bounds).min(bounds.least().saturating_sub(found_after)).max(SHORTEST_WATCH)
+        long_poll_timeout(true, bounds) + OVERDUE_MARGIN + bounds.shortest().mul_f64(TURN_PART) + SPREAD_RESERVE;
+    max_watch_timeout(bounds).min(bounds.shortest().saturating_sub(found_after)).max(SHORTEST_WATCH)
 }
 
 /// What decides on a node's turn.
@@ -156,6 +156,6 @@
                 TURN_PART * (ahead + 1.0) * (1.0 + TURN_GROWTH * ahead)
             }
         };
-        Some((now.until(since) + bounds.least().mul_f64(part)).saturating_sub(now.since(since)))
+        Some((now.until(since) + bounds.shortest().mul_f64(part)).saturating_sub(now.since(since)))
     }
 }
--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -21,7 +21,7 @@
 /// the first one's proof reaches the others before they ask.
 const RENEWED_FROM: (f64, f64) = (0.55, 0.8);
 /// The changes in one answer of the store up to which it holds all of them.
-pub const WHOLE_ANSWER: usize = 45;
+pub const MAX_COMPLETE_PAGE_CHANGES: usize = 45;
 
 /// A moment on the steady clock in microseconds; before the start of the process it is negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,12 +69,12 @@
     }
 
     /// A read of the store that was sent at `sent` brought nothing newer than what is in force.
-    pub fn read(&mut self, sent: Timestamp) {
+    pub fn record_read(&mut self, sent: Timestamp) {
         self.prove(Moment::of(sent));
     }
 
     /// Another node has answered a call that was sent at `sent`. Its proof counts if this node's configuration, of `version`, is as new.
-    pub fn heard(&mut self, proof: FreshnessProof, version: u64, sent: Timestamp) {
+    pub fn record_proof(&mut self, proof: FreshnessProof, version: u64, sent: Timestamp) {
         if version < proof.version || version == 0 {
             return;
         }
--- a/crates/mesh/src/replica.rs
+++ b/crates/mesh/src/replica.rs
@@ -46,14 +46,14 @@
     /// An entry among those of targets that names no target to use, and why.
     UnusableTarget(TargetId, String),
     /// A target that is registered no longer.
-    TargetGone(TargetId),
+    TargetRemoved(TargetId),
 }
 
 impl Change {
     /// The identity of the target that the change is about.
     fn target(&self) -> Option<&TargetId> {
         match self {
-            Change::Target(id, _) | Change::UnusableTarget(id, _) | Change::TargetGone(id) => Some(id),
+            Change::Target(id, _) | Change::UnusableTarget(id, _) | Change::TargetRemoved(id) => Some(id),
             Change::Configuration(_) | Change::UnusableConfiguration(_) => None,
         }
     }
@@ -70,9 +70,9 @@
 
 /// What an answer covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum UpdateScope {
     /// Everything: what it does not name is gone.
-    Whole,
+    Full,
     /// The changes after a position.
     After(Position),
 }
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
     /// What it covers.
-    pub extent: Extent,
+    pub scope: UpdateScope,
     /// The position that it leads to.
     pub position: Position,
     /// The changes in their order.
@@ -90,7 +90,7 @@
 
 /// What a replica has learnt of an update.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
+pub struct AppliedUpdate {
     /// The changes that are new, in order.
     pub changes: Vec<Change>,
     /// Whether the store has come back from an older copy.
@@ -157,28 +157,28 @@
     /// # Errors
     ///
     /// Returns why nothing of it was taken.
-    pub fn take(&mut self, update: Update, now: Timestamp) -> Result<Learnt, UpdateError> {
+    pub fn apply(&mut self, update: Update, now: Timestamp) -> Result<AppliedUpdate, UpdateError> {
         if update.position < self.position {
             return Err(UpdateError::Outdated);
         }
         if update.position == self.position && self.position.is_known() {
-            return Ok(Learnt::default());
+            return Ok(AppliedUpdate::default());
         }
-        match update.extent {
-            Extent::Whole => Ok(self.take_whole(update, now)),
-            Extent::After(from) if from.era != self.position.era || update.position.era != from.era => {
+        match update.scope {
+            UpdateScope::Full => Ok(self.take_whole(update, now)),
+            UpdateScope::After(from) if from.era != self.position.era || update.position.era != from.era => {
                 Err(UpdateError::Gap)
             }
-            Extent::After(from) if from.revision > self.position.revision => Err(UpdateError::Gap),
-            Extent::After(_) => {
+            UpdateScope::After(from) if from.revision > self.position.revision => Err(UpdateError::Gap),
+            UpdateScope::After(_) => {
                 let changes = self.take_changes(update.changes, false, now);
                 self.position = update.position;
-                Ok(Learnt { changes, is_new_era: false })
+                Ok(AppliedUpdate { changes, is_new_era: false })
             }
         }
     }
 
-    fn take_whole(&mut self, update: Update, now: Timestamp) -> Learnt {
+    fn take_whole(&mut self, update: Update, now: Timestamp) -> AppliedUpdate {
         let is_new_era = self.position.is_known() && update.position.era > self.position.era;
         let revision = update.position.revision;
         if is_new_era || !self.position.is_known() {
@@ -194,7 +194,7 @@
         let named: HashSet<TargetId> = update
             .changes
             .iter()
-            .filter(|revised| !matches!(revised.change, Change::TargetGone(_)))
+            .filter(|revised| !matches!(revised.change, Change::TargetRemoved(_)))
             .filter_map(|revised| revised.change.target().cloned())
             .collect();
         let mut changes = self.take_changes(update.changes, is_new_era, now);
@@ -202,10 +202,10 @@
         missing.sort_unstable();
         for id in missing {
             self.remove(&id, revision);
-            changes.push(Change::TargetGone(id));
+            changes.push(Change::TargetRemoved(id));
         }
         self.position = update.position;
-        Learnt { changes, is_new_era }
+        AppliedUpdate { changes, is_new_era }
     }
 
     fn take_changes(&mut self, revised: Vec<RevisedChange>, is_new_era: bool, now: Timestamp) -> Vec<Change> {
@@ -235,7 +235,7 @@
                 self.remove_before(id, revision);
                 true
             }
-            Change::TargetGone(id) => self.remove_before(id, revision),
+            Change::TargetRemoved(id) => self.remove_before(id, revision),
         }
     }
 
@@ -247,12 +247,12 @@
         is_new_era: bool,
         now: Timestamp,
     ) -> bool {
-        let written = registration.written();
+        let written = registration.write_order();
         if let Some(entry) = self.entries.get_mut(id) {
             if entry.revision >= revision {
                 return false;
             }
-            if written < entry.registration.written() {
+            if written < entry.registration.write_order() {
                 // A late write of an earlier life, or an older copy of the store: what is known goes before it.
                 entry.revision = revision;
                 return false;
@@ -285,7 +285,7 @@
 
     fn remove(&mut self, id: &TargetId, revision: u64) {
         let Some(entry) = self.entries.remove(id) else { return };
-        self.gone.push_back(Gone { revision, id: id.clone(), last: entry.registration.written() });
+        self.gone.push_back(Gone { revision, id: id.clone(), last: entry.registration.write_order() });
         if self.gone.len() > MOST_GONE {
             let oldest = self.gone.pop_front();
             self.forgotten = oldest.map_or(self.forgotten, |gone| self.forgotten.max(gone.revision));
@@ -293,12 +293,12 @@
     }
 
     /// What has changed since `from`; everything if not all of that is known. `None` if there is nothing new.
-    pub fn since(&self, from: Position, now: Timestamp) -> Option<Update> {
+    pub fn update_since(&self, from: Position, now: Timestamp) -> Option<Update> {
         if from >= self.position {
             return None;
         }
         let is_difference = from.is_known() && from.era == self.position.era && from.revision >= self.forgotten;
-        let extent = if is_difference { Extent::After(from) } else { Extent::Whole };
+        let extent = if is_difference { UpdateScope::After(from) } else { UpdateScope::Full };
         let after = if is_difference { from.revision } else { 0 };
         let mut changes: Vec<RevisedChange> = Vec::new();
         for (id, entry) in &self.entries {
@@ -310,7 +310,7 @@
         }
         for gone in &self.gone {
             if is_difference && gone.revision > after {
-                changes.push(RevisedChange { revision: gone.revision, change: Change::TargetGone(gone.id.clone()) });
+                changes.push(RevisedChange { revision: gone.revision, change: Change::TargetRemoved(gone.id.clone()) });
             }
         }
         if let Some((revision, configuration)) = &self.configuration {
@@ -320,6 +320,6 @@
             }
         }
         changes.sort_by_cached_key(|revised| (revised.revision, revised.change.target().cloned()));
-        Some(Update { extent, position: self.position, changes })
+        Some(Update { scope: extent, position: self.position, changes })
     }
 }
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -74,19 +74,19 @@
 
 impl Bounds {
     /// The shorter of the times within which a change of the store must have its effect.
-    pub fn least(&self) -> Duration {
+    pub fn shortest(&self) -> Duration {
         self.drain.min(self.apply)
     }
 
     /// For how long changes are gathered after one has come.
-    pub fn gather(&self) -> Duration {
-        self.least().mul_f64(GATHER_PART)
+    pub fn batch_window(&self) -> Duration {
+        self.shortest().mul_f64(GATHER_PART)
     }
 
     /// For how long targets are kept that were gone together with many, without a known outage of the store.
     ///
     /// They may be gone for good, so this ends within the bound on drains, also for nodes that learn of it late.
-    pub fn longest_grace(&self) -> Duration {
-        self.drain.saturating_sub(self.least().mul_f64(SPREAD_PART) + CHANGE_RESERVE)
+    pub fn max_grace(&self) -> Duration {
+        self.drain.saturating_sub(self.shortest().mul_f64(SPREAD_PART) + CHANGE_RESERVE)
     }
 }
--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -21,7 +21,7 @@
 const OUTAGE_FROM: Duration = Duration::from_millis(500);
 /// How long after the end of an outage targets whose registrations ran out meanwhile may take to be registered again; the
 /// platform promises about two seconds.
-pub const REGISTERED_AGAIN_WITHIN: Duration = Duration::from_secs(2);
+pub const REREGISTRATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the store is asked to wait for a change, as a part of the time after which bounds hold again. All readers' watches may hang
 /// at once on connections that stay open, and then nobody learns of a change: the rest is left to connect anew.
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextRead {
     /// Everything, from a copy that may lag behind.
-    LaggingCopy,
+    StaleList,
     /// Everything, as the store holds it now.
-    Everything,
+    List,
     /// The changes after this revision.
-    Changes {
+    Watch {
         /// The revision up to which the view is whole.
         after: u64,
     },
@@ -57,14 +57,14 @@
     /// What is read next by a node whose view reaches to `position`.
     pub fn next(&self, position: Position) -> NextRead {
         match position.is_known() {
-            _ if self.has_lost_history => NextRead::Everything,
-            false => NextRead::LaggingCopy,
-            true => NextRead::Changes { after: position.revision },
+            _ if self.has_lost_history => NextRead::List,
+            false => NextRead::StaleList,
+            true => NextRead::Watch { after: position.revision },
         }
     }
 
     /// The store was read.
-    pub fn reached(&mut self) {
+    pub fn read_succeeded(&mut self) {
         *self = StoreReader::default();
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// A call failed. Returns the longest pause before the next one.
-    pub fn failed(&mut self, has_view: bool, bounds: &Bounds) -> Duration {
+    pub fn read_failed(&mut self, has_view: bool, bounds: &Bounds) -> Duration {
         let doubled = SHORTEST_PAUSE * 2_u32.pow(self.failures.min(8));
         self.failures += 1;
         let longest = if has_view { bounds.contact.mul_f64(LONGEST_PAUSE_PART) } else { LONGEST_PAUSE_UNKNOWING };
@@ -83,17 +83,17 @@
 }
 
 /// The longest time for which the store may be asked to wait for a change, by what readers alone must keep.
-pub fn longest_watch(bounds: &Bounds) -> Duration {
+pub fn max_watch_timeout(bounds: &Bounds) -> Duration {
     let for_keys = bounds.revocation.map_or(Duration::MAX, |bound| bound.mul_f64(REVOCATION_WAIT_PART));
     bounds.contact.mul_f64(WAIT_PART).min(for_keys)
 }
 
 /// Within what time targets are registered again that an older copy of the store lacks, since they were registered after it was made.
-pub fn written_again_within(bounds: &Bounds) -> Duration {
-    REGISTERED_AGAIN_WITHIN.max(bounds.heartbeat + WRITTEN_AGAIN_MARGIN)
+pub fn reregistration_timeout(bounds: &Bounds) -> Duration {
+    REREGISTRATION_TIMEOUT.max(bounds.heartbeat + WRITTEN_AGAIN_MARGIN)
 }
 
 /// Whether registrations may have run out in an outage of this length.
-pub fn may_have_lapsed(outage: Duration) -> bool {
+pub fn may_have_expired(outage: Duration) -> bool {
     outage >= OUTAGE_FROM
 }
--- a/crates/mesh/src/targets/mod.rs
+++ b/crates/mesh/src/targets/mod.rs
@@ -10,7 +10,7 @@
 
 use quillhatch_types::Timestamp;
 
-pub use grace::{Grace, GraceReason, KEPT_AFTER_CUT};
+pub use grace::{GracePeriod, GraceReason, PARTITION_GRACE};
 pub use registration::{Registration, Target, TargetId};
 
 /// All listed targets.
@@ -21,7 +21,7 @@
     /// Targets that others have followed at their addresses, and the lives that they had then.
     superseded: HashMap<TargetId, u64>,
     /// Targets whose registrations are missing and that are kept for now.
-    graces: HashMap<TargetId, Grace>,
+    graces: HashMap<TargetId, GracePeriod>,
     /// When the nodes of these machines last reported that they can't read the store.
     cut_off: HashMap<IpAddr, Timestamp>,
     /// Targets that were removed a moment ago, and when.
@@ -44,17 +44,17 @@
     ///
     /// Registrations lapse while the platform's store is in trouble, though their targets serve, and come back with the next
     /// heartbeat of each target.
-    pub fn remove_reported(&mut self, gone: &[TargetId], grace: Duration, now: Timestamp) {
+    pub fn remove_missing(&mut self, gone: &[TargetId], grace: Duration, now: Timestamp) {
         let listed = gone.iter().filter(|id| self.by_id.contains_key(*id)).count();
         let is_suspicious = listed >= SUSPICIOUS_COUNT && listed as f64 >= SUSPICIOUS_SHARE * self.by_id.len() as f64;
-        let grace =
-            (is_suspicious && !grace.is_zero()).then(|| Grace { until: now + grace, reason: GraceReason::ManyMissing });
+        let grace = (is_suspicious && !grace.is_zero())
+            .then(|| GracePeriod { until: now + grace, reason: GraceReason::ManyMissing });
         for id in gone {
             let target = self.by_id.get(id).filter(|target| !target.registration.draining);
             let reported = target.and_then(|target| self.last_cut_off_report(target, now));
             match reported {
                 Some(reported) => {
-                    self.graces.insert(id.clone(), Grace::cut_off(reported + KEPT_AFTER_CUT));
+                    self.graces.insert(id.clone(), GracePeriod::cut_off(reported + PARTITION_GRACE));
                 }
                 None => self.take_off(id, grace, now),
             }
@@ -68,13 +68,14 @@
     pub fn remove_after_outage(&mut self, missing: &[TargetId], until: Timestamp, now: Timestamp) {
         for id in missing {
             let is_draining = self.by_id.get(id).is_some_and(|target| target.registration.draining);
-            let grace = (until > now && !is_draining).then_some(Grace { until, reason: GraceReason::AfterOutage });
+            let grace =
+                (until > now && !is_draining).then_some(GracePeriod { until, reason: GraceReason::AfterOutage });
             self.take_off(id, grace, now);
         }
     }
 
     /// Takes one target off the list, or keeps it for a while if there is a `grace`.
-    fn take_off(&mut self, id: &TargetId, grace: Option<Grace>, now: Timestamp) {
+    fn take_off(&mut self, id: &TargetId, grace: Option<GracePeriod>, now: Timestamp) {
         let Some(target) = self.by_id.get(id).cloned() else {
             if self.superseded.remove(id).is_some() {
                 self.forget_removed(now);
@@ -116,13 +117,13 @@
             }
             if self.at_address(target.registration.address).next().is_none() {
                 self.update(target.id.clone(), target.registration.clone(), now);
-                self.graces.insert(target.id.clone(), Grace::cut_off(now + KEPT_AFTER_CUT));
+                self.graces.insert(target.id.clone(), GracePeriod::cut_off(now + PARTITION_GRACE));
             }
         }
         for (id, grace) in &mut self.graces {
             let is_there = self.by_id.get(id).is_some_and(|target| target.registration.address.ip() == machine);
             if is_there && grace.reason != GraceReason::AfterOutage {
-                grace.until = now + KEPT_AFTER_CUT;
+                grace.until = now + PARTITION_GRACE;
             }
         }
     }
@@ -140,7 +141,7 @@
     /// When the target's node last reported that it can't read the store, if the report still holds.
     fn last_cut_off_report(&self, target: &Target, now: Timestamp) -> Option<Timestamp> {
         let machine = target.registration.address.ip();
-        self.cut_off.get(&machine).copied().filter(|_| self.is_reported_cut_off(machine, now))
+        self.cut_off.get(&machine).copied().filter(|_| self.is_reported_partitioned(machine, now))
     }
 
     /// The targets whose grace period is over.
@@ -158,17 +159,17 @@
     }
 
     /// The grace period of a target that is kept though it has no registration.
-    pub fn grace(&self, id: &str) -> Option<Grace> {
+    pub fn grace_period(&self, id: &str) -> Option<GracePeriod> {
         self.graces.get(id).copied()
     }
 
     /// Whether the node of a machine has reported lately that it can't read the store.
-    pub fn is_reported_cut_off(&self, machine: IpAddr, now: Timestamp) -> bool {
+    pub fn is_reported_partitioned(&self, machine: IpAddr, now: Timestamp) -> bool {
         self.cut_off.get(&machine).is_some_and(|reported| now.since(*reported) <= CUT_OFF_REPORT_HOLDS)
     }
 
     /// The targets that are kept though they have no registration, and until when.
-    pub fn kept(&self) -> impl Iterator<Item = (&Arc<Target>, Timestamp)> {
+    pub fn retained(&self) -> impl Iterator<Item = (&Arc<Target>, Timestamp)> {
         self.graces.iter().filter_map(|(id, grace)| Some((self.by_id.get(id)?, grace.until)))
     }
 
@@ -176,12 +177,12 @@
     ///
     /// It is kept for `left`, as long as the other node would keep it, so that nodes that only have it from each other don't keep it for ever.
     /// A report of the target's own machine prolongs it.
-    pub fn keep_unregistered(&mut self, id: TargetId, registration: Registration, left: Duration, now: Timestamp) {
+    pub fn retain_unregistered(&mut self, id: TargetId, registration: Registration, left: Duration, now: Timestamp) {
         if left.is_zero() || registration.draining || self.at_address(registration.address).next().is_some() {
             return;
         }
         self.update(id.clone(), registration, now);
-        self.graces.insert(id, Grace::cut_off(now + left.min(KEPT_AFTER_CUT)));
+        self.graces.insert(id, GracePeriod::cut_off(now + left.min(PARTITION_GRACE)));
     }
 
     /// Whether a target is listed on a machine.
@@ -226,7 +227,7 @@
     /// Does nothing if `former` is not listed, or if another service has taken the address. A gate may not have noticed yet that
     /// its target started again, and what it told may be on its way for a while: a target that is known to be older than `former`
     /// does not take its place.
-    pub fn succeed(&mut self, former: &str, present: TargetId, service: &str, now: Timestamp) {
+    pub fn replace_at_address(&mut self, former: &str, present: TargetId, service: &str, now: Timestamp) {
         let Some(target) = self.by_id.get(former).cloned() else { return };
         if *target.id == *present || *target.registration.service != *service || self.is_older(&present, &target) {
             return;
@@ -283,7 +284,7 @@
     }
 
     /// The services with their shares of all targets.
-    pub fn machine_shares(&self) -> impl Iterator<Item = (&Arc<str>, f64)> {
+    pub fn service_shares(&self) -> impl Iterator<Item = (&Arc<str>, f64)> {
         let all = self.by_id.len().max(1) as f64;
         self.by_service.iter().map(move |(service, members)| (service, members.len() as f64 / all))
     }
--- a/crates/mesh/src/targets/registration.rs
+++ b/crates/mesh/src/targets/registration.rs
@@ -32,7 +32,7 @@
 
 impl Registration {
     /// Orders what one target has written: by its lives, and within a life by its writes.
-    pub fn written(&self) -> (u64, u64) {
+    pub fn write_order(&self) -> (u64, u64) {
         (self.started, self.sequence)
     }
 }
--- a/crates/mesh/tests/decisions/freshness.rs
+++ b/crates/mesh/tests/decisions/freshness.rs
@@ -31,10 +31,10 @@
 #[test]
 fn it_counts_from_when_the_read_was_sent() {
     let mut lease = lease();
-    lease.read(milliseconds(1000));
+    lease.record_read(milliseconds(1000));
     assert!(lease.is_valid(milliseconds(1000 + LEASE_MS - 1)));
     assert!(!lease.is_valid(milliseconds(1000 + LEASE_MS)));
-    lease.read(milliseconds(500));
+    lease.record_read(milliseconds(500));
     assert!(lease.is_valid(milliseconds(1000 + LEASE_MS - 1)), "an older read takes nothing away");
 }
 
@@ -44,38 +44,38 @@
 #[test_case(0, 0, false; "none")]
 fn the_word_of_another_node_counts_for_its_configuration(own: u64, told: u64, counts: bool) {
     let mut lease = lease();
-    lease.heard(FreshnessProof { version: told, age_at_arrival_ms: 200 }, own, milliseconds(10_000));
+    lease.record_proof(FreshnessProof { version: told, age_at_arrival_ms: 200 }, own, milliseconds(10_000));
     assert_eq!(lease.is_valid(milliseconds(10_001)), counts);
 }
 
 #[test]
 fn ages_add_up_over_hops() {
     let (mut first, mut second, mut third) = (lease(), lease(), lease());
-    first.read(milliseconds(10_000));
+    first.record_read(milliseconds(10_000));
     // The clocks of the three start at other moments. Each call takes 40 ms to arrive and lasts 500 ms.
     let proof = first.proof(4, milliseconds(10_700)).expect("a proof");
     assert_eq!(proof.age_at_arrival_ms, 701);
-    second.heard(proof, 4, milliseconds(20_660));
+    second.record_proof(proof, 4, milliseconds(20_660));
     let proof = second.proof(4, milliseconds(21_000)).expect("a proof");
     assert_eq!(proof.age_at_arrival_ms, 701 + 340 + 1);
-    third.heard(proof, 4, milliseconds(30_000));
+    third.record_proof(proof, 4, milliseconds(30_000));
     assert_eq!(third.age(milliseconds(30_000)), Some(Duration::from_millis(1042)));
 }
 
 #[test]
 fn a_proof_that_was_made_after_the_call_arrived_has_a_negative_age() {
     let (mut first, mut second) = (lease(), lease());
-    first.read(milliseconds(10_000));
+    first.record_read(milliseconds(10_000));
     let proof = first.proof(4, milliseconds(9_000)).expect("a proof");
     assert_eq!(proof.age_at_arrival_ms, -999);
-    second.heard(proof, 4, milliseconds(50_000));
+    second.record_proof(proof, 4, milliseconds(50_000));
     assert_eq!(second.age(milliseconds(51_000)), Some(Duration::from_millis(1)));
 }
 
 #[test]
 fn a_proof_from_before_the_start_of_the_process_keeps_its_age() {
     let mut lease = lease();
-    lease.heard(FreshnessProof { version: 4, age_at_arrival_ms: 3900 }, 4, milliseconds(100));
+    lease.record_proof(FreshnessProof { version: 4, age_at_arrival_ms: 3900 }, 4, milliseconds(100));
     assert!(lease.is_valid(milliseconds(159)));
     assert!(!lease.is_valid(milliseconds(160)), "the clock has no moment that is 3.8 s before its start");
 }
@@ -84,7 +84,7 @@
 fn nodes_renew_before_the_lease_ends_and_not_all_at_once() {
     for draw in [0.0, 0.5, 1.0] {
         let mut lease = FreshnessLease::new(Some(REVOCATION), draw);
-        lease.read(milliseconds(0));
+        lease.record_read(milliseconds(0));
         let at = lease.renew_in(milliseconds(0)).expect("a bound").as_millis() as u64;
         assert!((LEASE_MS / 2..LEASE_MS * 9 / 10).contains(&at), "{at}");
     }
--- a/crates/mesh/tests/feed/exploration.rs
+++ b/crates/mesh/tests/feed/exploration.rs
@@ -101,7 +101,7 @@
 
     fn is_drained_at(&self, number: usize) -> bool {
         let node = &self.fleet.nodes[number];
-        let everything = node.replica.since(Position::default(), self.fleet.now);
+        let everything = node.replica.update_since(Position::default(), self.fleet.now);
         let id = format!("t-{}", self.leaving);
         everything.is_some_and(|update| {
             update.changes.iter().any(|revised| match &revised.change {
--- a/crates/mesh/tests/feed/fleet.rs
+++ b/crates/mesh/tests/feed/fleet.rs
@@ -124,7 +124,7 @@
             Fleet { now: Timestamp::from_millis(1_000), nodes, store, wrong_rule: None, bounds, random, by_machine };
         let everything = fleet.store.whole();
         for number in 0..count {
-            fleet.nodes[number].replica.take(everything.clone(), fleet.now).expect("the first update is taken");
+            fleet.nodes[number].replica.apply(everything.clone(), fleet.now).expect("the first update is taken");
         }
         fleet.place_all();
         fleet.play(3_000);
@@ -239,8 +239,8 @@
         }
         self.nodes[number].heard = None;
         if self.nodes[other].ailment == Ailment::None {
-            let update = self.nodes[other].replica.since(self.nodes[number].position(), now);
-            let _ = update.map(|update| self.nodes[number].replica.take(update, now));
+            let update = self.nodes[other].replica.update_since(self.nodes[number].position(), now);
+            let _ = update.map(|update| self.nodes[number].replica.apply(update, now));
         }
     }
 
@@ -270,7 +270,7 @@
                 if !has_news && now.since(sent) < hold {
                     return;
                 }
-                let update = other.replica.since(from, now);
+                let update = other.replica.update_since(from, now);
                 other.answered += 1;
                 other.changes_told += update.as_ref().map_or(0, |update| update.changes.len());
                 let (read_at, lost) = (other.read_at, other.loss.since());
@@ -308,7 +308,7 @@
             Some(WrongRule::TakesEarlierEras) if is_earlier => *replica = Replica::default(),
             _ => {}
         }
-        let _ = replica.take(update, self.now);
+        let _ = replica.apply(update, self.now);
     }
 
     fn question_answered(
@@ -388,10 +388,10 @@
             Access::Silent => {}
             Access::Served => {
                 let has_news = match reading.read {
-                    NextRead::Changes { after } => {
+                    NextRead::Watch { after } => {
                         store_position.revision > after || store_position.era != node.position().era
                     }
-                    NextRead::LaggingCopy | NextRead::Everything => true,
+                    NextRead::StaleList | NextRead::List => true,
                 };
                 if has_news || now.since(reading.sent) >= reading.wait {
                     self.reading_answered(number);
@@ -427,22 +427,22 @@
         let node = &mut self.nodes[number];
         let Some(reading) = node.reading.take() else { return };
         let update = match reading.read {
-            NextRead::Changes { .. } if self.store.position.era != node.position().era => {
+            NextRead::Watch { .. } if self.store.position.era != node.position().era => {
                 node.reader.history_lost();
                 return;
             }
-            NextRead::Changes { after } => self.store.since(after),
-            NextRead::LaggingCopy | NextRead::Everything => self.store.whole(),
+            NextRead::Watch { after } => self.store.since(after),
+            NextRead::StaleList | NextRead::List => self.store.whole(),
         };
         let has_changes = !update.changes.is_empty();
         self.take(number, update);
         let node = &mut self.nodes[number];
-        node.reader.reached();
+        node.reader.read_succeeded();
         node.own_call_failed = false;
         node.read_at = node.read_at.max(Some(reading.sent));
         node.loss.store_read();
         if has_changes {
-            node.read_after = now + self.bounds.gather();
+            node.read_after = now + self.bounds.batch_window();
         }
     }
 
@@ -452,7 +452,7 @@
         let Some(reading) = node.reading.take() else { return };
         node.own_call_failed = true;
         node.loss.store_call_failed(reading.sent, node.read_at);
-        let longest = node.reader.failed(true, &self.bounds);
+        let longest = node.reader.read_failed(true, &self.bounds);
         node.read_after = now + longest.mul_f64(self.random.gen_range(0.5..1.0));
     }
 }
--- a/crates/mesh/tests/feed/main.rs
+++ b/crates/mesh/tests/feed/main.rs
@@ -15,7 +15,7 @@
 const RESERVE: Duration = Duration::from_millis(500);
 
 fn in_time() -> Duration {
-    BOUNDS.least() - RESERVE
+    BOUNDS.shortest() - RESERVE
 }
 
 /// `count` changes, one each 200 ms; returns the calls of the store meanwhile.
@@ -46,7 +46,7 @@
     for number in 0..5 {
         fleet.drain(number, true, 2);
         let took = fleet.catch_up(in_time());
-        assert!(took <= BOUNDS.least() / 2, "{took:?}");
+        assert!(took <= BOUNDS.shortest() / 2, "{took:?}");
         fleet.play(333);
     }
 }
@@ -105,7 +105,7 @@
 #[test_case(Ailment::Dead, Access::Served; "killed")]
 #[test_case(Ailment::Silent, Access::Served; "frozen")]
 fn a_change_reaches_all_within_a_short_bound_though_all_readers_fail(ailment: Ailment, access: Access) {
-    let bound = SHORT_BOUNDS.least();
+    let bound = SHORT_BOUNDS.shortest();
     for (nodes, zones) in [(12, 3), (15, 3), (100, 5)] {
         for phase in (0..2_000).step_by(100) {
             let mut fleet = Fleet::with_bounds(nodes, zones, 12, SHORT_BOUNDS);
@@ -222,7 +222,7 @@
     fleet.drain(50, true, 2);
     fleet.catch_up(in_time());
     for node in &fleet.nodes {
-        let update = node.replica.since(Default::default(), fleet.now).expect("everything");
+        let update = node.replica.update_since(Default::default(), fleet.now).expect("everything");
         let draining = update.changes.iter().filter(|revised| match &revised.change {
             quillhatch_mesh::replica::Change::Target(_, registration) => registration.draining,
             _ => false,
--- a/crates/mesh/tests/feed/store.rs
+++ b/crates/mesh/tests/feed/store.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillhatch_mesh::replica::{Change, Extent, Position, RevisedChange, Update};
+use quillhatch_mesh::replica::{Change, Position, RevisedChange, Update, UpdateScope};
 use quillhatch_mesh::targets::Registration;
 
 /// The store.
@@ -32,19 +32,19 @@
     pub(super) fn whole(&self) -> Update {
         let mut last: HashMap<Arc<str>, RevisedChange> = HashMap::new();
         for revised in &self.log {
-            let (Change::Target(id, _) | Change::TargetGone(id)) = &revised.change else { continue };
+            let (Change::Target(id, _) | Change::TargetRemoved(id)) = &revised.change else { continue };
             last.insert(id.clone(), revised.clone());
         }
         let mut changes: Vec<RevisedChange> =
             last.into_values().filter(|revised| matches!(revised.change, Change::Target(..))).collect();
         changes.sort_by_key(|revised| revised.revision);
-        Update { extent: Extent::Whole, position: self.position, changes }
+        Update { scope: UpdateScope::Full, position: self.position, changes }
     }
 
     pub(super) fn since(&self, after: u64) -> Update {
         let changes = self.log.iter().filter(|revised| revised.revision > after).cloned().collect();
         let from = Position { era: self.position.era, revision: after };
-        Update { extent: Extent::After(from), position: self.position, changes }
+        Update { scope: UpdateScope::After(from), position: self.position, changes }
     }
 }
 
--- a/crates/mesh/tests/freshness/main.rs
+++ b/crates/mesh/tests/freshness/main.rs
@@ -144,7 +144,7 @@
                 What::Read(version) => {
                     node.version = node.version.max(version);
                     let counted = if rule == Rule::FromAnswer { now } else { sent };
-                    node.lease.read(node.clock(counted));
+                    node.lease.record_read(node.clock(counted));
                 }
                 What::Call { from, from_started } => {
                     let arrived = node.clock(now);
@@ -156,7 +156,7 @@
                 What::Answer(Some(proof)) => {
                     let counted = if rule == Rule::HeardFromAnswer { now } else { sent };
                     let own = if rule == Rule::AnyVersion { u64::MAX } else { node.version };
-                    node.lease.heard(proof, own, node.clock(counted));
+                    node.lease.record_proof(proof, own, node.clock(counted));
                 }
                 What::Answer(None) => {}
             }
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -151,7 +151,7 @@
     }
     let follows = report.present.as_ref().is_some_and(|present| {
         let mut targets = node.targets.borrow_mut();
-        targets.succeed(&target.id, Arc::from(present.id.as_str()), &present.service, now);
+        targets.replace_at_address(&target.id, Arc::from(present.id.as_str()), &present.service, now);
         targets.get(&present.id).is_some()
     });
     match report.outcome {
--- a/crates/sidecar/src/feed/answer.rs
+++ b/crates/sidecar/src/feed/answer.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use quillhatch_mesh::feed::long_poll_timeout;
 use quillhatch_mesh::replica::Position;
-use quillhatch_mesh::targets::KEPT_AFTER_CUT;
+use quillhatch_mesh::targets::PARTITION_GRACE;
 use quillhatch_messages::generated::replica as wire;
 use quillhatch_messages::{decode, encode};
 use quillhatch_types::Timestamp;
@@ -96,8 +96,8 @@
     let targets = node.targets.borrow();
     let present = node.present.borrow();
     let own = present.as_ref().filter(|_| own_reach(node).is_cut_off).and_then(|present| targets.get(present));
-    let own = own.map(|target| (target, now + KEPT_AFTER_CUT));
-    let all = own.into_iter().chain(targets.kept()).filter(|(target, _)| !present_target::leaves(node, &target.id));
+    let own = own.map(|target| (target, now + PARTITION_GRACE));
+    let all = own.into_iter().chain(targets.retained()).filter(|(target, _)| !present_target::leaves(node, &target.id));
     all.map(|(target, until)| encode_kept(target, now.until(until))).collect()
 }
 
@@ -115,7 +115,7 @@
     }
     let mut last = node.feed.encoded.borrow_mut();
     if (last.from, last.to) != (from, to) {
-        let update = node.replica.borrow().since(from, node.now())?;
+        let update = node.replica.borrow().update_since(from, node.now())?;
         *last = EncodedUpdate { from, to, message: encode_update(&update) };
     }
     Some(last.message.clone())
--- a/crates/sidecar/src/feed/codec.rs
+++ b/crates/sidecar/src/feed/codec.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use derive_more::Display;
-use quillhatch_mesh::replica::{Change, Extent, Position, RevisedChange, Update};
+use quillhatch_mesh::replica::{Change, Position, RevisedChange, Update, UpdateScope};
 use quillhatch_mesh::targets::{Registration, Target};
 use quillhatch_messages::generated::replica as wire;
 use quillhatch_platform::configuration::read_configuration;
@@ -33,9 +33,9 @@
 
 pub(super) fn encode_update(update: &Update) -> wire::ReplicaUpdate {
     let mut message = wire::ReplicaUpdate {
-        after: match update.extent {
-            Extent::Whole => None,
-            Extent::After(position) => Some(encode_position(position)),
+        after: match update.scope {
+            UpdateScope::Full => None,
+            UpdateScope::After(position) => Some(encode_position(position)),
         },
         position: Some(encode_position(update.position)),
         ..Default::default()
@@ -48,7 +48,7 @@
                 message.configuration = Some(wire::ConfigurationDocument { revision, document });
             }
             Change::Target(id, registration) => message.targets.push(encode_target(revision, id, registration)),
-            Change::TargetGone(id) => message.gone.push(wire::GoneTarget { id: id.to_string(), revision }),
+            Change::TargetRemoved(id) => message.gone.push(wire::GoneTarget { id: id.to_string(), revision }),
             // A replica holds only what can be used.
             Change::UnusableConfiguration(_) | Change::UnusableTarget(..) => {}
         }
@@ -84,7 +84,7 @@
 /// Returns the first thing that can't be read; nothing of such an update should be used.
 pub(super) fn decode_update(message: &wire::ReplicaUpdate) -> Result<Update, MalformedUpdate> {
     let position = message.position.as_ref().map(decode_position).ok_or(MalformedUpdate::NoPosition)?;
-    let extent = message.after.as_ref().map_or(Extent::Whole, |after| Extent::After(decode_position(after)));
+    let extent = message.after.as_ref().map_or(UpdateScope::Full, |after| UpdateScope::After(decode_position(after)));
     let mut changes = Vec::with_capacity(message.targets.len() + message.gone.len() + 1);
     if let Some(wire::ConfigurationDocument { revision, document }) = &message.configuration {
         let configuration = read_configuration(document).map_err(|findings| {
@@ -99,11 +99,11 @@
         changes.push(RevisedChange { revision: target.revision, change });
     }
     for gone in &message.gone {
-        let change = Change::TargetGone(Arc::from(gone.id.as_str()));
+        let change = Change::TargetRemoved(Arc::from(gone.id.as_str()));
         changes.push(RevisedChange { revision: gone.revision, change });
     }
     changes.sort_by_key(|revised| revised.revision);
-    Ok(Update { extent, position, changes })
+    Ok(Update { scope: extent, position, changes })
 }
 
 pub(super) fn decode_target(target: &wire::RegisteredTarget) -> Result<Registration, MalformedUpdate> {
--- a/crates/sidecar/src/feed/question.rs
+++ b/crates/sidecar/src/feed/question.rs
@@ -72,7 +72,7 @@
             Err(error) => return Err(QuestionError::Update(error)),
         }
     }
-    keep_unregistered(node, &answer.kept);
+    retain_unregistered(node, &answer.kept);
     if let Some(proof) = &answer.proof {
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
         node.tenancy.learnt(proof, &node.configuration.borrow(), sent);
@@ -92,7 +92,7 @@
 }
 
 /// Lists targets that serve without a registration. One that can't be read is left out.
-fn keep_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
+fn retain_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
     if kept.is_empty() {
         return;
     }
@@ -101,7 +101,7 @@
         let Some(target) = target else { continue };
         let Ok(registration) = decode_target(target) else { continue };
         let (id, left) = (Arc::from(target.id.as_str()), Duration::from_millis(u64::from(*left_ms)));
-        node.targets.borrow_mut().keep_unregistered(id, registration, left, now);
+        node.targets.borrow_mut().retain_unregistered(id, registration, left, now);
     }
     node.grace_changed.notify_one();
     changed(node);
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -153,7 +153,7 @@
     };
     let called_by = call.route.as_ref().map_or(CalledBy::Unknown, |route| {
         let targets = node.targets.borrow();
-        node.callers.borrow_mut().called_by(route, || targets.machine_shares())
+        node.callers.borrow_mut().called_by(route, || targets.service_shares())
     });
     let health = node.health.borrow_mut().share(now);
     let (reach, proof) = (reach::own_reach(node), node.tenancy.proof(&node.configuration.borrow(), call.arrived));
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -26,7 +26,7 @@
         ("store_revision", node.position().revision as f64),
         ("store_lost_seconds", node.feed.loss.get().since().map_or(0.0, |since| node.now().since(since).as_secs_f64())),
         ("store_access_lost", f64::from(u8::from(node.own_access_lost.get()))),
-        ("targets_kept", node.targets.borrow().kept().count() as f64),
+        ("targets_kept", node.targets.borrow().retained().count() as f64),
         ("ready", f64::from(u8::from(node.is_ready()))),
     ];
     node.counters.render(&gauges, node.log_state().dropped())
--- a/crates/sidecar/src/present_target.rs
+++ b/crates/sidecar/src/present_target.rs
@@ -137,7 +137,7 @@
     let former = former.as_deref().unwrap_or_default();
     node.log(&format!("\"event\":\"target-told\",\"target\":\"{id}\",\"before\":\"{former}\""));
     let now = node.now();
-    node.targets.borrow_mut().succeed(former, Arc::from(id), &node.settings.service, now);
+    node.targets.borrow_mut().replace_at_address(former, Arc::from(id), &node.settings.service, now);
     *node.present.borrow_mut() = Some(Arc::from(id));
     follow_list(node);
 }
@@ -168,12 +168,12 @@
 /// The target beside this node, if it is kept though it has no registration.
 pub fn kept(node: &Node) -> Option<TargetId> {
     let present = node.present.borrow();
-    present.as_ref().filter(|id| node.targets.borrow().grace(id).is_some()).cloned()
+    present.as_ref().filter(|id| node.targets.borrow().grace_period(id).is_some()).cloned()
 }
 
 /// Whether the target beside this node has no registration and has told that it is leaving.
 pub fn leaves(node: &Node, id: &TargetId) -> bool {
-    node.kept_target.leaving.borrow().as_ref() == Some(id) && node.targets.borrow().grace(id).is_some()
+    node.kept_target.leaving.borrow().as_ref() == Some(id) && node.targets.borrow().grace_period(id).is_some()
 }
 
 /// Lets the gate follow the list of targets.
--- a/crates/sidecar/src/reach.rs
+++ b/crates/sidecar/src/reach.rs
@@ -43,7 +43,7 @@
     let own = node.settings.local_target.ip();
     let mut targets = node.targets.borrow_mut();
     let grace_end = targets.next_grace_end();
-    let was_cut_off = targets.is_reported_cut_off(peer, now);
+    let was_cut_off = targets.is_reported_partitioned(peer, now);
     targets.report_store_access(peer, has_lost_the_store(reach), now);
     if was_cut_off != has_lost_the_store(reach) {
         node.log_failure(|| format!("\"event\":\"peer-store-access\",\"peer\":\"{peer}\",\"lost\":{}", !was_cut_off));
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::replica::{Change, Extent, Update, UpdateError};
-use quillhatch_mesh::store_reader::{may_have_lapsed, written_again_within, REGISTERED_AGAIN_WITHIN};
-use quillhatch_mesh::targets::{Grace, TargetId};
+use quillhatch_mesh::replica::{Change, Update, UpdateError, UpdateScope};
+use quillhatch_mesh::store_reader::{may_have_expired, reregistration_timeout, REREGISTRATION_TIMEOUT};
+use quillhatch_mesh::targets::{GracePeriod, TargetId};
 use quillhatch_types::Timestamp;
 use tokio::time::sleep;
 
@@ -24,15 +24,15 @@
     let now = node.now();
     // Whoever has told this could get at the store again before this node.
     note_outage(node, node.feed.loss.get().outage_since());
-    let extent = update.extent;
+    let extent = update.scope;
     let former = node.position();
-    let learnt = node.replica.borrow_mut().take(update, now)?;
+    let learnt = node.replica.borrow_mut().apply(update, now)?;
     let position = node.position();
     if position == former {
         return Ok(());
     }
     if learnt.is_new_era {
-        let until = now + written_again_within(&node.settings.bounds);
+        let until = now + reregistration_timeout(&node.settings.bounds);
         node.registered_again_by.set(node.registered_again_by.get().max(until));
         node.written_again_by.set(until);
         node.log(&format!("\"event\":\"store-era\",\"era\":{},\"before\":{}", position.era, former.era));
@@ -41,10 +41,10 @@
     if has_changes {
         apply(node, learnt.changes, now);
     }
-    if extent == Extent::Whole {
+    if extent == UpdateScope::Full {
         drop_unregistered(node);
     }
-    if has_changes || extent == Extent::Whole {
+    if has_changes || extent == UpdateScope::Full {
         changed(node);
     }
     node.feed.advanced.notify_waiters();
@@ -63,8 +63,8 @@
 
 fn note_outage(node: &Node, outage_since: Option<Timestamp>) {
     let now = node.now();
-    if outage_since.is_some_and(|since| may_have_lapsed(now.since(since))) {
-        let until = now + REGISTERED_AGAIN_WITHIN;
+    if outage_since.is_some_and(|since| may_have_expired(now.since(since))) {
+        let until = now + REREGISTRATION_TIMEOUT;
         node.registered_again_by.set(node.registered_again_by.get().max(until));
     }
 }
@@ -100,7 +100,7 @@
                 node.log_failure(|| format!("\"event\":\"target-unusable\",\"target\":{id:?},\"why\":{why:?}"));
                 gone.push(id);
             }
-            Change::TargetGone(id) => gone.push(id),
+            Change::TargetRemoved(id) => gone.push(id),
         }
     }
     note_own_end(node, &gone);
@@ -114,7 +114,7 @@
 fn log_gone(node: &Node, id: &TargetId, now: Timestamp) {
     let targets = node.targets.borrow();
     let is_kept = targets.get(id).is_some();
-    let grace = targets.grace(id).map_or_else(String::new, |Grace { until, reason }| {
+    let grace = targets.grace_period(id).map_or_else(String::new, |GracePeriod { until, reason }| {
         format!(",\"why\":\"{reason}\",\"kept_ms\":{}", now.until(until).as_millis())
     });
     node.log(&format!("\"event\":\"target-gone\",\"target\":{id:?},\"kept_for_now\":{is_kept}{grace}"));
@@ -150,7 +150,7 @@
     } else if until > now {
         targets.remove_after_outage(gone, until, now);
     } else {
-        targets.remove_reported(gone, node.settings.bounds.longest_grace(), now);
+        targets.remove_missing(gone, node.settings.bounds.max_grace(), now);
     }
     drop(targets);
     node.grace_changed.notify_one();
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -14,9 +14,9 @@
 
 use hyper::StatusCode;
 use quillhatch_mesh::feed::{watch_timeout, ReadReason};
-use quillhatch_mesh::freshness::WHOLE_ANSWER;
+use quillhatch_mesh::freshness::MAX_COMPLETE_PAGE_CHANGES;
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::replica::{Change, Extent, Position, RevisedChange, Update, UpdateError};
+use quillhatch_mesh::replica::{Change, Position, RevisedChange, Update, UpdateError, UpdateScope};
 use quillhatch_mesh::store_reader::NextRead;
 use quillhatch_mesh::targets::Target;
 use quillhatch_platform::store::{listing_path, read_page, watch_path, Freshness};
@@ -58,7 +58,7 @@
             continue;
         }
         let has_view = node.position().is_known();
-        let longest = node.store_reader.borrow_mut().failed(has_view, &node.settings.bounds);
+        let longest = node.store_reader.borrow_mut().read_failed(has_view, &node.settings.bounds);
         let pause = node.random.borrow_mut().gen_range(longest / 2..longest);
         sleep(pause).await;
     }
@@ -72,9 +72,9 @@
     }
     let next = node.store_reader.borrow().next(node.position());
     match next {
-        NextRead::Changes { .. } => {}
-        NextRead::Everything => read_all(node, Freshness::Current).await?,
-        NextRead::LaggingCopy => read_all(node, Freshness::MayLag).await?,
+        NextRead::Watch { .. } => {}
+        NextRead::List => read_all(node, Freshness::Current).await?,
+        NextRead::StaleList => read_all(node, Freshness::MayLag).await?,
     }
     watch(node, turn).await
 }
@@ -103,7 +103,7 @@
 
 /// The store has answered a call that was sent at `sent`.
 fn reached(node: &Rc<Node>, sent: Timestamp) {
-    node.store_reader.borrow_mut().reached();
+    node.store_reader.borrow_mut().read_succeeded();
     if node.own_access_lost.replace(false) {
         node.log("\"event\":\"store-access\",\"lost\":false");
     }
@@ -142,7 +142,7 @@
         after.clone_from(&page.last_key);
     }
     let position = position.unwrap_or_default();
-    let update = Update { extent: Extent::Whole, position, changes };
+    let update = Update { scope: UpdateScope::Full, position, changes };
     let taken = take(node, update);
     if position.era < node.position().era {
         return Err(StoreError::OtherEra);
@@ -218,11 +218,11 @@
         if era != position.era {
             return Err(StoreError::OtherEra);
         }
-        let is_whole = page.changes.len() <= WHOLE_ANSWER;
+        let is_whole = page.changes.len() <= MAX_COMPLETE_PAGE_CHANGES;
         let has_changes = !page.changes.is_empty();
         let reaches = Position { era, revision: page.revision };
         reached(node, sent);
-        let update = Update { extent: Extent::After(position), position: reaches, changes: page.changes };
+        let update = Update { scope: UpdateScope::After(position), position: reaches, changes: page.changes };
         match take(node, update) {
             // Others may have told more meanwhile.
             Ok(()) | Err(UpdateError::Outdated) => {}
@@ -238,7 +238,7 @@
         // Where one change is, more follow; each answer has its price. A change that comes while none was gathered is known at
         // once, since the watch waits for it.
         if has_changes && node.has(Mechanism::GatheredChanges) {
-            sleep(node.settings.bounds.gather()).await;
+            sleep(node.settings.bounds.batch_window()).await;
         }
     }
 }
--- a/crates/sidecar/src/tenancy.rs
+++ b/crates/sidecar/src/tenancy.rs
@@ -52,7 +52,7 @@
     /// newest then, unless the newest can't be used.
     pub fn is_up_to_date(&self, sent: Timestamp) {
         if !self.later_is_unusable.get() {
-            self.freshness.borrow_mut().read(sent);
+            self.freshness.borrow_mut().record_read(sent);
         }
     }
 
@@ -72,14 +72,14 @@
     /// Takes the proof of the node whose view was taken over, in the answer to a question that was sent at `sent`.
     pub fn learnt(&self, proof: FreshnessProof, in_force: &ConfigurationInForce, sent: Timestamp) {
         if !self.later_is_unusable.get() {
-            self.freshness.borrow_mut().heard(proof, in_force.version(), sent);
+            self.freshness.borrow_mut().record_proof(proof, in_force.version(), sent);
         }
     }
 
     /// Takes what another node has told of how recent its configuration is, in the answer to a call that was sent at `sent`.
     pub fn heard(&self, proof: FreshnessProof, in_force: &ConfigurationInForce, sent: Timestamp) {
         if self.hears_others && !self.later_is_unusable.get() {
-            self.freshness.borrow_mut().heard(proof, in_force.version(), sent);
+            self.freshness.borrow_mut().record_proof(proof, in_force.version(), sent);
         }
     }
 
--- a/crates/sidecar/tests/changes.rs
+++ b/crates/sidecar/tests/changes.rs
@@ -195,7 +195,7 @@
             let is_known = || machine.node().targets.borrow().get(&present).is_some();
             eventually("the new one is listed", is_known).await;
         }
-        sleep(BOUNDS.gather()).await;
+        sleep(BOUNDS.batch_window()).await;
         for number in 0..10 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200, "call {number}");
