--- a/crates/mesh/benches/tenants.rs
+++ b/crates/mesh/benches/tenants.rs
@@ -42,13 +42,13 @@
         bencher.iter(|| {
             round += 1;
             let key = &keys[round % keys.len()];
-            let tenant = table.holder(black_box(key.as_bytes())).expect("a tenant");
+            let tenant = table.tenant_by_key(black_box(key.as_bytes())).expect("a tenant");
             let now = Timestamp(round as u64 * 100);
             limits.admit(tenant, NODES, report_period(NODES), 0.5, now)
         });
     });
     criterion.bench_function("an unknown key", |bencher| {
-        bencher.iter(|| table.holder(black_box(b"key-that-nobody-has")));
+        bencher.iter(|| table.tenant_by_key(black_box(b"key-that-nobody-has")));
     });
 }
 
--- a/crates/mesh/src/authentication.rs
+++ b/crates/mesh/src/authentication.rs
@@ -37,7 +37,7 @@
     /// No tenant holds its key.
     UnknownKey,
     /// The configuration may be too old to tell: the key may be new, or taken away.
-    Stale,
+    StaleConfiguration,
 }
 
 impl Denial {
@@ -46,7 +46,7 @@
         match self {
             Denial::NoKey => "no-key",
             Denial::UnknownKey => "unknown-key",
-            Denial::Stale => "stale-configuration",
+            Denial::StaleConfiguration => "stale-configuration",
         }
     }
 }
@@ -69,9 +69,9 @@
         return if credentials.may_be_target { Ok(Sender::Target) } else { Err(Denial::NoKey) };
     };
     if !is_fresh {
-        return Err(Denial::Stale);
+        return Err(Denial::StaleConfiguration);
     }
-    match configuration.tenants.holder(key) {
+    match configuration.tenants.tenant_by_key(key) {
         Some(tenant) => Ok(Sender::Tenant(tenant.clone())),
         None => Err(Denial::UnknownKey),
     }
--- a/crates/mesh/src/configuration.rs
+++ b/crates/mesh/src/configuration.rs
@@ -9,9 +9,9 @@
 
 /// Whether a call may be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeatability {
+pub enum Retryability {
     /// It may run more than once.
-    Repeatable,
+    Retryable,
     /// It may run at most once.
     AtMostOnce,
 }
@@ -33,13 +33,13 @@
     /// The beginning of the paths that it takes; ends with a slash.
     pub prefix: String,
     /// Whether its calls may be repeated.
-    pub repeatability: Repeatability,
+    pub retryability: Retryability,
     /// The time within which an answer is worth its full value.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// The longest time that a call may be held.
     pub timeout: Duration,
     /// The most targets that one call may be sent to.
-    pub maximum_attempts: u32,
+    pub max_attempts: u32,
     /// The importance; 0 is the greatest.
     pub priority: u8,
     /// Whether its calls need no key of a tenant.
@@ -78,7 +78,7 @@
     /// The path that tells a target's health.
     pub health_path: String,
     /// The most connections that a target takes from all callers together.
-    pub maximum_connections: usize,
+    pub max_connections: usize,
 }
 
 /// One version of the configuration.
@@ -98,7 +98,7 @@
     pub document: Document,
     /// The least important priority of the routes, worked out when it is first asked for: each call asks, and there may be thousands of
     /// routes.
-    pub least_route_priority: OnceLock<u8>,
+    pub lowest_route_priority: OnceLock<u8>,
 }
 
 /// The text of a configuration. It holds keys, so it is never printed.
@@ -113,21 +113,21 @@
 
 impl Configuration {
     /// How many importances are in use, counted from the greatest to the least: those of routes for each of tenants.
-    pub fn priorities(&self) -> u32 {
-        u32::from(self.route_priorities()) * u32::from(self.tenants.priorities())
+    pub fn priority_count(&self) -> u32 {
+        u32::from(self.route_priorities()) * u32::from(self.tenants.priority_count())
     }
 
     /// The importance of a call of `route` by `tenant`, or by anyone: the tenant's goes before the route's. Calls without a tenant rank
     /// with those of the least important one.
-    pub fn importance(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
-        let last = self.tenants.priorities() - 1;
+    pub fn call_priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
+        let last = self.tenants.priority_count() - 1;
         let by_tenant = tenant.map_or(last, |tenant| tenant.priority.min(last));
         by_tenant.saturating_mul(self.route_priorities()).saturating_add(route.priority)
     }
 
     fn route_priorities(&self) -> u8 {
         let least = || self.hosts.values().flatten().map(|route| route.priority).max().unwrap_or(0);
-        self.least_route_priority.get_or_init(least).saturating_add(1)
+        self.lowest_route_priority.get_or_init(least).saturating_add(1)
     }
 }
 
--- a/crates/mesh/src/feed/tree.rs
+++ b/crates/mesh/src/feed/tree.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use crate::limits::place_of;
+use crate::limits::machine_hash;
 use crate::targets::Target;
 
 /// The nodes that ask one parent.
@@ -21,7 +21,7 @@
 type Place = (u64, IpAddr);
 
 fn place(machine: IpAddr) -> Place {
-    (place_of(machine), machine)
+    (machine_hash(machine), machine)
 }
 
 /// The machines of each zone in the order that decides who reads.
--- a/crates/mesh/src/limits/coordinator.rs
+++ b/crates/mesh/src/limits/coordinator.rs
@@ -137,7 +137,7 @@
 
     /// Takes a report of one of `machines` nodes that each report once in `period`, and tells the shares of the tenants that are beyond
     /// their limits.
-    pub fn take(
+    pub fn apply_report(
         &mut self,
         node: IpAddr,
         usages: Vec<TenantUsage>,
@@ -152,7 +152,7 @@
     }
 
     /// Takes what a node tells before its regular report, and tells the shares of the tenants that are beyond their limits.
-    pub fn take_surges(
+    pub fn apply_surge_report(
         &mut self,
         surges: &[TenantSurge],
         limit_of: impl Fn(&str) -> Option<RateLimit>,
@@ -186,7 +186,7 @@
 
     /// The nodes to which the shares that were told last must go at once: a share has fallen so steeply that nodes would let in far more of
     /// the tenant's calls until their next reports. None mostly.
-    pub fn tell_at_once(&mut self, period: Duration, now: Timestamp) -> Vec<IpAddr> {
+    pub fn urgent_update_recipients(&mut self, period: Duration, now: Timestamp) -> Vec<IpAddr> {
         let pause = Duration::from_secs_f64(self.nodes.len() as f64 / MOST_UPDATES);
         let falls = self.levels.values().any(|level| level.share < level.known * STEEP_FALL);
         if !falls || !self.is_settled(period, now) || now.since(self.told_all) < pause {
@@ -206,7 +206,7 @@
     }
 
     /// The nodes that report to this one.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
--- a/crates/mesh/src/limits/local.rs
+++ b/crates/mesh/src/limits/local.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverLimit {
     /// When the limit has room again for what the tenant sends now.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// The share of the tenant's calls that is let in.
     pub share: f64,
 }
@@ -134,11 +134,11 @@
         let share = if has_coordinator { share } else { limit.rate * part / usage.arriving.at(now) };
         let (least, most) = COME_BACK;
         let seconds = (1.0 / share.max(f64::MIN_POSITIVE)).clamp(least, most) * (0.7 + 0.6 * draw);
-        Err(OverLimit { come_back: Duration::from_secs_f64(seconds), share })
+        Err(OverLimit { retry_after: Duration::from_secs_f64(seconds), share })
     }
 
     /// A call that was let in has not run.
-    pub fn returned(&mut self, tenant: &str, now: Timestamp) {
+    pub fn refund(&mut self, tenant: &str, now: Timestamp) {
         if let Some(usage) = self.usages.get_mut(tenant) {
             usage.admitted.add(-1.0, now);
         }
@@ -172,7 +172,7 @@
     }
 
     /// The coordinator has answered.
-    pub fn answered(&mut self, shares: &[TenantShare], now: Timestamp) {
+    pub fn apply_shares(&mut self, shares: &[TenantShare], now: Timestamp) {
         self.answered = Some(now);
         self.shares.clear();
         self.shares.extend(shares.iter().map(|told| (told.tenant.clone(), told.share.clamp(0.0, 1.0))));
--- a/crates/mesh/src/limits/mod.rs
+++ b/crates/mesh/src/limits/mod.rs
@@ -1,7 +1,7 @@
 //! Limits of tenants over all nodes together.
 //!
 //! No shared state can be written, so nodes agree by messages. One of them is the **coordinator**: the first one that answers, in an
-//! order of machines that is the same everywhere ([`candidates`]). Each node reports several times a second how often each tenant's calls
+//! order of machines that is the same everywhere ([`coordinator_candidates`]). Each node reports several times a second how often each tenant's calls
 //! arrive and are let in; the answer tells the share of each tenant's calls to let in. So a tenant whose calls all arrive at one node
 //! gets its whole rate, and so does one whose calls are spread over all.
 //!
@@ -103,15 +103,15 @@
 }
 
 /// The place of a machine in an order that is the same at all nodes.
-pub fn place_of(machine: IpAddr) -> u64 {
+pub fn machine_hash(machine: IpAddr) -> u64 {
     let mut hasher = DefaultHasher::new();
     machine.hash(&mut hasher);
     hasher.finish()
 }
 
 /// The machines in the order in which they are asked to coordinate.
-pub fn candidates(mut machines: Vec<IpAddr>) -> Vec<IpAddr> {
-    machines.sort_unstable_by_key(|machine| (place_of(*machine), *machine));
+pub fn coordinator_candidates(mut machines: Vec<IpAddr>) -> Vec<IpAddr> {
+    machines.sort_unstable_by_key(|machine| (machine_hash(*machine), *machine));
     machines.dedup();
     machines
 }
--- a/crates/mesh/src/tenants.rs
+++ b/crates/mesh/src/tenants.rs
@@ -72,7 +72,7 @@
     }
 
     /// The tenant that holds `key`.
-    pub fn holder(&self, key: &[u8]) -> Option<&Arc<Tenant>> {
+    pub fn tenant_by_key(&self, key: &[u8]) -> Option<&Arc<Tenant>> {
         self.by_key.get(&KeyDigest::of(key))
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// The number of keys of all tenants.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// How many priorities tenants have, counted from the greatest to the least important one.
-    pub fn priorities(&self) -> u8 {
+    pub fn priority_count(&self) -> u8 {
         self.least_priority.saturating_add(1)
     }
 }
--- a/crates/mesh/tests/decisions/authentication.rs
+++ b/crates/mesh/tests/decisions/authentication.rs
@@ -28,9 +28,9 @@
 }
 
 #[test_case(Some(b"right"), true => Ok("first".to_owned()); "a known key")]
-#[test_case(Some(b"right"), false => Err(Denial::Stale); "a known key that may have been taken away")]
+#[test_case(Some(b"right"), false => Err(Denial::StaleConfiguration); "a known key that may have been taken away")]
 #[test_case(Some(b"wrong"), true => Err(Denial::UnknownKey); "an unknown key")]
-#[test_case(Some(b"wrong"), false => Err(Denial::Stale); "an unknown key that may be new")]
+#[test_case(Some(b"wrong"), false => Err(Denial::StaleConfiguration); "an unknown key that may be new")]
 #[test_case(Some(b""), true => Err(Denial::UnknownKey); "an empty key")]
 #[test_case(None, true => Err(Denial::NoKey); "no key")]
 #[test_case(None, false => Err(Denial::NoKey); "no key and an old configuration")]
--- a/crates/mesh/tests/decisions/limits.rs
+++ b/crates/mesh/tests/decisions/limits.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use quillhatch_mesh::limits::{
-    candidates, report_period, CoordinatorChoice, LimitBounds, LimitCoordinator, LocalLimits, TenantShare, TenantUsage,
+    coordinator_candidates, report_period, CoordinatorChoice, LimitBounds, LimitCoordinator, LocalLimits, TenantShare,
+    TenantUsage,
 };
 use quillhatch_mesh::tenants::{RateLimit, Tenant};
 
@@ -40,7 +41,7 @@
     let mut limits = LocalLimits::new(BOUNDS);
     let tenant = tenant(100.0);
     let _ = limits.admit(&tenant, 82, PERIOD, 0.0, milliseconds(0));
-    limits.answered(&[TenantShare { tenant: tenant.name.clone(), share: 0.25 }], milliseconds(0));
+    limits.apply_shares(&[TenantShare { tenant: tenant.name.clone(), share: 0.25 }], milliseconds(0));
     let admitted: Vec<bool> =
         (0..400).map(|at| limits.admit(&tenant, 82, PERIOD, 0.0, milliseconds(at)).is_ok()).collect();
     assert_eq!(admitted.iter().filter(|admitted| **admitted).count(), 100);
@@ -54,9 +55,9 @@
     let _ = limits.admit(&tenant, 82, PERIOD, 0.0, milliseconds(0));
     let mut told = Vec::new();
     for share in [0.9, 0.5, 0.0] {
-        limits.answered(&[TenantShare { tenant: tenant.name.clone(), share }], milliseconds(1));
+        limits.apply_shares(&[TenantShare { tenant: tenant.name.clone(), share }], milliseconds(1));
         let refused = (0..20).find_map(|_| limits.admit(&tenant, 82, PERIOD, 0.5, milliseconds(1)).err());
-        told.push(refused.expect("a refusal").come_back);
+        told.push(refused.expect("a refusal").retry_after);
     }
     assert!(told[0] < told[1] && told[1] < told[2], "{told:?}");
     assert!(told[2] <= Duration::from_secs(7), "{told:?}");
@@ -76,7 +77,7 @@
     let tenant = tenant(82.0);
     let mut limits = LocalLimits::new(BOUNDS);
     let _ = limits.admit(&tenant, 82, PERIOD, 0.0, milliseconds(0));
-    limits.answered(&[], milliseconds(0));
+    limits.apply_shares(&[], milliseconds(0));
     assert!(limits.has_coordinator(PERIOD, milliseconds(1300)));
     assert!(!limits.has_coordinator(PERIOD, milliseconds(1400)));
 }
@@ -87,7 +88,7 @@
     let mut limits = LocalLimits::new(BOUNDS);
     for at in 0..50 {
         let _ = limits.admit(&tenant, 1, PERIOD, 0.5, milliseconds(at));
-        limits.returned(&tenant.name, milliseconds(at));
+        limits.refund(&tenant.name, milliseconds(at));
     }
     let report = limits.report(milliseconds(50));
     assert!(report[0].arriving > 50.0 && report[0].admitted < 1.0, "{report:?}");
@@ -101,7 +102,8 @@
     for round in 0..40 {
         for node in 0..10 {
             let now = milliseconds(round * 300 + u64::from(node) * 30);
-            let shares = coordinator.take(machine(node), usage(40.0, 40.0 * share), |_| Some(limit), (10, PERIOD), now);
+            let shares =
+                coordinator.apply_report(machine(node), usage(40.0, 40.0 * share), |_| Some(limit), (10, PERIOD), now);
             share = shares.first().map_or(1.0, |told| told.share);
         }
     }
@@ -115,7 +117,8 @@
     let mut coordinator = LimitCoordinator::new(BOUNDS);
     for round in 0..40 {
         let now = milliseconds(round * 300);
-        let shares = coordinator.take(machine(1), usage(400.0, 400.0 * share), |_| Some(limit), (10, PERIOD), now);
+        let shares =
+            coordinator.apply_report(machine(1), usage(400.0, 400.0 * share), |_| Some(limit), (10, PERIOD), now);
         share = shares.first().map_or(1.0, |told| told.share);
     }
     // One of ten nodes: a tenth of the rate and the piece of the tolerance.
@@ -126,23 +129,24 @@
 fn the_burst_is_there_for_a_tenant_that_was_still_but_not_for_a_coordinator_that_has_just_begun() {
     let limit = RateLimit { rate: 100.0, burst: 100.0 };
     let take = |coordinator: &mut LimitCoordinator, at: u64| {
-        let shares = coordinator.take(machine(1), usage(200.0, 0.0), |_| Some(limit), (1, PERIOD), milliseconds(at));
+        let shares =
+            coordinator.apply_report(machine(1), usage(200.0, 0.0), |_| Some(limit), (1, PERIOD), milliseconds(at));
         shares.first().map_or(1.0, |told| told.share)
     };
     let mut new = LimitCoordinator::new(BOUNDS);
     assert!((take(&mut new, 0) - 0.5).abs() < 0.01);
     let mut known = LimitCoordinator::new(BOUNDS);
     for at in (0..3000).step_by(300) {
-        known.take(machine(1), Vec::new(), |_| Some(limit), (1, PERIOD), milliseconds(at));
+        known.apply_report(machine(1), Vec::new(), |_| Some(limit), (1, PERIOD), milliseconds(at));
     }
     assert!((take(&mut known, 3000) - 1.0).abs() < 0.01);
 }
 
 #[test]
 fn the_next_candidate_is_asked_when_one_is_silent_and_the_first_again_later() {
-    let order = candidates(vec![machine(3), machine(1), machine(2), machine(1)]);
+    let order = coordinator_candidates(vec![machine(3), machine(1), machine(2), machine(1)]);
     assert_eq!(order.len(), 3, "each machine once");
-    assert_eq!(order, candidates(vec![machine(1), machine(2), machine(3)]), "the same at all nodes");
+    assert_eq!(order, coordinator_candidates(vec![machine(1), machine(2), machine(3)]), "the same at all nodes");
     let mut choice = CoordinatorChoice::default();
     let asked: Vec<_> = (0..4).map(|at| choice.next(&order, milliseconds(at * 300))).collect();
     assert_eq!(asked, [Some(order[0]), Some(order[0]), Some(order[0]), Some(order[1])]);
@@ -164,7 +168,7 @@
     let mut coordinator = LimitCoordinator::new(BOUNDS);
     assert!(!coordinator.is_settled(PERIOD, milliseconds(0)), "nobody has reported");
     let limit = RateLimit { rate: 10.0, burst: 10.0 };
-    coordinator.take(machine(1), Vec::new(), |_| Some(limit), (2, PERIOD), milliseconds(1_000));
+    coordinator.apply_report(machine(1), Vec::new(), |_| Some(limit), (2, PERIOD), milliseconds(1_000));
     assert!(!coordinator.is_settled(PERIOD, milliseconds(1_000) + PERIOD.mul_f64(1.1)), "the slowest reports now");
     assert!(coordinator.is_settled(PERIOD, milliseconds(1_000) + PERIOD.mul_f64(1.2)));
 }
--- a/crates/mesh/tests/decisions/main.rs
+++ b/crates/mesh/tests/decisions/main.rs
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillhatch_mesh::configuration::{Destination, Repeatability, Route};
+use quillhatch_mesh::configuration::{Destination, Retryability, Route};
 use quillhatch_mesh::limits::LimitBounds;
 use quillhatch_mesh::settings::Bounds;
 use quillhatch_mesh::targets::{Registration, Target};
@@ -50,10 +50,10 @@
     Arc::new(Route {
         name: Arc::from(prefix),
         prefix: prefix.to_owned(),
-        repeatability: Repeatability::Repeatable,
-        objective: Duration::from_secs(1),
+        retryability: Retryability::Retryable,
+        latency_objective: Duration::from_secs(1),
         timeout: Duration::from_secs(2),
-        maximum_attempts: 2,
+        max_attempts: 2,
         priority: 1,
         is_public: false,
         destinations: destinations
--- a/crates/mesh/tests/decisions/tenants.rs
+++ b/crates/mesh/tests/decisions/tenants.rs
@@ -32,10 +32,10 @@
     assert!(table.add_key(&first, b"k1"));
     assert!(table.add_key(&second, b"k2"));
     assert!(!table.add_key(&second, b"k1"), "the first one has it");
-    assert_eq!(table.holder(b"k1"), Some(&first));
-    assert_eq!(table.holder(b"k2"), Some(&second));
-    assert_eq!(table.holder(b"k"), None);
-    assert_eq!(table.holder(b""), None);
+    assert_eq!(table.tenant_by_key(b"k1"), Some(&first));
+    assert_eq!(table.tenant_by_key(b"k2"), Some(&second));
+    assert_eq!(table.tenant_by_key(b"k"), None);
+    assert_eq!(table.tenant_by_key(b""), None);
 }
 
 #[test]
@@ -44,17 +44,17 @@
     let configuration = configuration(&[great.clone(), small.clone()], &[0, 2]);
     let routes = &configuration.hosts["shop.example"];
     let (first, last) = (&routes[0], &routes[1]);
-    assert_eq!(configuration.priorities(), 6);
-    assert_eq!(configuration.importance(first, Some(&great)), 0);
-    assert_eq!(configuration.importance(last, Some(&great)), 2);
-    assert_eq!(configuration.importance(first, Some(&small)), 3);
-    assert_eq!(configuration.importance(last, Some(&small)), 5);
-    assert_eq!(configuration.importance(first, None), 3, "as the least important tenant");
+    assert_eq!(configuration.priority_count(), 6);
+    assert_eq!(configuration.call_priority(first, Some(&great)), 0);
+    assert_eq!(configuration.call_priority(last, Some(&great)), 2);
+    assert_eq!(configuration.call_priority(first, Some(&small)), 3);
+    assert_eq!(configuration.call_priority(last, Some(&small)), 5);
+    assert_eq!(configuration.call_priority(first, None), 3, "as the least important tenant");
 }
 
 #[test]
 fn without_tenants_the_routes_importance_stands() {
     let configuration = configuration(&[], &[0, 2]);
-    assert_eq!(configuration.priorities(), 3);
-    assert_eq!(configuration.importance(&configuration.hosts["shop.example"][1], None), 2);
+    assert_eq!(configuration.priority_count(), 3);
+    assert_eq!(configuration.call_priority(&configuration.hosts["shop.example"][1], None), 2);
 }
--- a/crates/mesh/tests/limits/fleet.rs
+++ b/crates/mesh/tests/limits/fleet.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use quillhatch_mesh::limits::{
-    candidates, report_period, CoordinatorChoice, LimitBounds, LimitCoordinator, LocalLimits, TenantShare, TenantSurge,
-    TenantUsage,
+    coordinator_candidates, report_period, CoordinatorChoice, LimitBounds, LimitCoordinator, LocalLimits, TenantShare,
+    TenantSurge, TenantUsage,
 };
 use quillhatch_mesh::tenants::{RateLimit, Tenant};
 use quillhatch_types::Timestamp;
@@ -109,7 +109,7 @@
         Fleet {
             way,
             nodes: (0..nodes).map(|_| Node::new(0, &mut random)).collect(),
-            order: candidates((0..nodes).map(address).collect()),
+            order: coordinator_candidates((0..nodes).map(address).collect()),
             limit,
             random,
             random_besides: Pcg64::seed_from_u64(seed ^ SEED_BESIDES),
@@ -217,22 +217,22 @@
                 Message::Report(usages) => {
                     let limit = self.limit;
                     let fleet = (machines, period);
-                    let shares = node.coordinator.take(address(from), usages, |_| Some(limit), fleet, now);
+                    let shares = node.coordinator.apply_report(address(from), usages, |_| Some(limit), fleet, now);
                     let told = node.coordinator.is_settled(period, now).then(|| shares.clone());
                     self.send(to, from, Message::Answer(told), true);
                     self.update(to, None, &shares);
                 }
                 Message::Surges(surges) => {
                     let limit = self.limit;
-                    let shares = node.coordinator.take_surges(&surges, |_| Some(limit), period, now);
+                    let shares = node.coordinator.apply_surge_report(&surges, |_| Some(limit), period, now);
                     self.update(to, Some(from), &shares);
                 }
-                Message::Update(shares) if node.reports_to == from => node.limits.answered(&shares, now),
+                Message::Update(shares) if node.reports_to == from => node.limits.apply_shares(&shares, now),
                 Message::Update(_) => {}
                 Message::Answer(shares) => {
                     node.choice.answered();
                     if let Some(shares) = shares {
-                        node.limits.answered(&shares, now);
+                        node.limits.apply_shares(&shares, now);
                     }
                 }
             }
@@ -245,7 +245,7 @@
         let period = report_period(self.nodes.len());
         let deciding = &mut self.nodes[coordinator].coordinator;
         let reporter = reporter.filter(|_| deciding.is_settled(period, now));
-        let at_once = deciding.tell_at_once(period, now);
+        let at_once = deciding.urgent_update_recipients(period, now);
         for to in 0..self.nodes.len() {
             if Some(to) == reporter || at_once.contains(&address(to)) {
                 self.send(coordinator, to, Message::Update(shares.to_vec()), false);
--- a/crates/sidecar/src/edge/answers.rs
+++ b/crates/sidecar/src/edge/answers.rs
@@ -47,7 +47,7 @@
 
 /// When a caller whose call of `route` has not run is told to come back.
 pub(super) fn come_back(node: &Node, route: &Route) -> Duration {
-    route.objective.mul_f64(node.random.borrow_mut().gen_range(COME_BACK_PART))
+    route.latency_objective.mul_f64(node.random.borrow_mut().gen_range(COME_BACK_PART))
 }
 
 /// Tells the caller that the call has not run, and when to come back.
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use quillhatch_mesh::configuration::Repeatability;
+use quillhatch_mesh::configuration::Retryability;
 use quillhatch_mesh::mechanisms::Mechanism;
 use quillhatch_mesh::targets::{Target, TargetId};
 use quillhatch_platform::headers;
@@ -96,7 +96,7 @@
     } else if call.is_inner {
         left.mul_f64(INNER_PATIENCE_PART)
     } else {
-        begun.until(call.arrived + call.route.objective.mul_f64(UNOFFERED_PART)).min(left)
+        begun.until(call.arrived + call.route.latency_objective.mul_f64(UNOFFERED_PART)).min(left)
     };
     let forwarded = Forwarded {
         is_root: !call.is_inner,
@@ -244,7 +244,7 @@
     let mut exchange = pin!(exchange);
     let end = call.deadline + DEADLINE_ALLOWANCE;
     let suspicion = node.balance.borrow().suspicion_after(&call.route.name);
-    if suspicion < node.now().until(end) && call.route.repeatability == Repeatability::Repeatable {
+    if suspicion < node.now().until(end) && call.route.retryability == Retryability::Retryable {
         let suspicious_from = node.now() + suspicion;
         if let Ok(result) = node.clock.timeout_at(suspicious_from, &mut exchange).await {
             return result.into();
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -45,7 +45,7 @@
     priority: u8,
     now: Timestamp,
 ) -> f64 {
-    node.cuts.borrow().cut(&route.name, now).admitted_share(priority, configuration.priorities())
+    node.cuts.borrow().cut(&route.name, now).admitted_share(priority, configuration.priority_count())
 }
 
 /// Whether a call that enters the graph here is refused. The same ones are let in everywhere and all the while, as long as the
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -112,7 +112,7 @@
         Sender::Anyone | Sender::Target => None,
     };
     let origin = origin(node, &route, shown, &sender, arrived);
-    let priority = configuration.importance(&route, tenant.as_deref());
+    let priority = configuration.call_priority(&route, tenant.as_deref());
     let mut lineage = lineage_of(node, priority, &origin, &id);
     let is_inner = origin != Origin::Caller;
     if !is_inner && node.refuses_callers.get() {
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::Response;
-use quillhatch_mesh::configuration::Repeatability;
+use quillhatch_mesh::configuration::Retryability;
 use quillhatch_mesh::cut::Cut;
 use quillhatch_mesh::routing::choose_service;
 use quillhatch_mesh::targets::{Target, TargetId};
@@ -45,7 +45,7 @@
 
     /// Whether the call may be sent to one more target after an attempt that may have run.
     fn may_run_again(&self, call: &Call) -> bool {
-        call.route.repeatability == Repeatability::Repeatable && self.runs < call.route.maximum_attempts
+        call.route.retryability == Retryability::Retryable && self.runs < call.route.max_attempts
     }
 }
 
@@ -56,7 +56,7 @@
         return refuse(node, &call.id, "no-destination", NO_DESTINATION_PAUSE, call.arrived);
     };
     node.count_call(&service, call.lineage.is_repeat);
-    let offer_until = call.arrived + call.route.objective.mul_f64(super::attempt::UNOFFERED_PART);
+    let offer_until = call.arrived + call.route.latency_objective.mul_f64(super::attempt::UNOFFERED_PART);
     let mut call = call;
     let mut body = Some(body);
     let mut progress = Progress::default();
@@ -80,7 +80,7 @@
             node.cuts.borrow_mut().report(&call.route.name, Cut::after(0.0), now);
             return give_up(&call, &progress, "no-target");
         };
-        let runs_once = call.route.repeatability == Repeatability::AtMostOnce;
+        let runs_once = call.route.retryability == Retryability::AtMostOnce;
         if runs_once && !presence::is_there_now(node, &target).await {
             node.log_failure(|| attempt_line(&call, &target, "silent, not sent"));
             progress.tried.push(target.id.clone());
@@ -90,7 +90,7 @@
             return give_up(&call, &progress, "body-gone");
         };
         let may_leave = || {
-            let can_be_sent_again = body.is_some() && progress.runs == 0 && call.route.maximum_attempts > 1;
+            let can_be_sent_again = body.is_some() && progress.runs == 0 && call.route.max_attempts > 1;
             can_be_sent_again
                 && has_other_target(node, &service, &target, &progress.tried)
                 && is_worth_leaving(node, &call)
@@ -154,7 +154,7 @@
     let mut random = node.random.borrow_mut();
     let balance = node.balance.borrow();
     let now = node.now();
-    let time = call.route.objective.min(now.until(call.deadline));
+    let time = call.route.latency_objective.min(now.until(call.deadline));
     let place = balance.place(&node.settings.zone, &call.route.name, time);
     balance.choose(members, tried, place, now, &mut *random)
 }
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -79,7 +79,7 @@
     });
     // A call without a key on a route of targets may be one whose parent has just ended.
     let is_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_by_targets(name);
-    if denial == Denial::Stale || is_of_ended_parent {
+    if denial == Denial::StaleConfiguration || is_of_ended_parent {
         return refuse(node, id, why, STALE_PAUSE, now);
     }
     own_answer(node, id, StatusCode::UNAUTHORIZED, why, now)
@@ -104,7 +104,7 @@
     id: &str,
     now: Timestamp,
 ) -> Response<Body> {
-    let OverLimit { come_back, share } = over;
+    let OverLimit { retry_after: come_back, share } = over;
     node.log_failure(|| {
         let name = tenant.map_or("", |tenant| &tenant.name);
         let come_back = come_back.as_millis();
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 use quillhatch_mesh::freshness::FreshnessProof;
-use quillhatch_mesh::limits::{candidates, report_period, CoordinatorChoice, TenantShare, TenantSurge, TenantUsage};
+use quillhatch_mesh::limits::{
+    coordinator_candidates, report_period, CoordinatorChoice, TenantShare, TenantSurge, TenantUsage,
+};
 use quillhatch_mesh::mechanisms::Mechanism;
 use quillhatch_messages::encode;
 use quillhatch_messages::generated::limits as wire;
@@ -111,7 +113,7 @@
         return;
     }
     let now = node.now();
-    let Some(coordinator) = choice.next(&candidates(machines), now) else { return };
+    let Some(coordinator) = choice.next(&coordinator_candidates(machines), now) else { return };
     let sequence = awaited.send(coordinator, now);
     let report = usage_report(node, sequence, now);
     send(node, socket, &wire::LimitMessage { report: Some(report), ..Default::default() }, coordinator).await;
@@ -172,14 +174,14 @@
     }
     if let Some(update) = message.update.filter(|_| awaited.coordinator == Some(from.ip())) {
         let shares: Vec<TenantShare> = update.shares.iter().filter_map(decode_share).collect();
-        node.tenancy.limits.borrow_mut().answered(&shares, arrived);
+        node.tenancy.limits.borrow_mut().apply_shares(&shares, arrived);
     }
     let Some(answer) = message.answer else { return };
     let Some(sent) = awaited.answered(answer.sequence) else { return };
     choice.answered();
     if !answer.settling {
         let shares: Vec<TenantShare> = answer.shares.iter().filter_map(decode_share).collect();
-        node.tenancy.limits.borrow_mut().answered(&shares, arrived);
+        node.tenancy.limits.borrow_mut().apply_shares(&shares, arrived);
     }
     if let Some(proof) = answer.proof {
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
@@ -194,7 +196,7 @@
     let machines = node.tenancy.machines.get();
     let usages = report.usages.iter().filter_map(decode_usage).collect();
     let fleet = (machines, report_period(machines));
-    node.tenancy.coordinator.borrow_mut().take(from, usages, limit_of, fleet, arrived)
+    node.tenancy.coordinator.borrow_mut().apply_report(from, usages, limit_of, fleet, arrived)
 }
 
 /// Takes a report of surges as the coordinator; the shares that hold now.
@@ -203,7 +205,7 @@
     let limit_of = |tenant: &str| configuration.as_ref()?.tenants.get(tenant)?.limit;
     let surges: Vec<TenantSurge> = report.surges.iter().map(decode_surge).collect();
     let period = report_period(node.tenancy.machines.get());
-    node.tenancy.coordinator.borrow_mut().take_surges(&surges, limit_of, period, arrived)
+    node.tenancy.coordinator.borrow_mut().apply_surge_report(&surges, limit_of, period, arrived)
 }
 
 /// The answer to a report of usage.
@@ -226,7 +228,7 @@
     let period = report_period(node.tenancy.machines.get());
     let (is_settled, at_once) = {
         let mut coordinator = node.tenancy.coordinator.borrow_mut();
-        (coordinator.is_settled(period, now), coordinator.tell_at_once(period, now))
+        (coordinator.is_settled(period, now), coordinator.urgent_update_recipients(period, now))
     };
     if !at_once.is_empty() {
         node.log_failure(|| format!("\"event\":\"shares-fall\",\"told\":{}", at_once.len()));
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -20,7 +20,7 @@
             "configuration_age_seconds",
             node.tenancy.freshness.borrow().age(node.now()).map_or(-1.0, |age| age.as_secs_f64()),
         ),
-        ("coordinated_nodes", node.tenancy.coordinator.borrow().nodes() as f64),
+        ("coordinated_nodes", node.tenancy.coordinator.borrow().node_count() as f64),
         ("store_reader", f64::from(u8::from(node.feed.place.borrow().is_reader))),
         ("store_era", node.position().era as f64),
         ("store_revision", node.position().revision as f64),
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -291,7 +291,7 @@
 
     /// What this node's target can't serve of what arrives, if anything.
     pub fn shortage(&self) -> Option<Shortage> {
-        let priorities = self.current_configuration().map_or(1, |configuration| configuration.priorities());
+        let priorities = self.current_configuration().map_or(1, |configuration| configuration.priority_count());
         let load = self.gate.borrow().load();
         let now = self.now();
         self.capacity.borrow_mut().shortage(load, priorities, |route| self.called_cut(route, now), now)
--- a/crates/sidecar/src/tenancy.rs
+++ b/crates/sidecar/src/tenancy.rs
@@ -101,6 +101,6 @@
 
     /// A call of `tenant` that was let in has not run.
     pub fn returned(&self, tenant: &Tenant, now: Timestamp) {
-        self.limits.borrow_mut().returned(&tenant.name, now);
+        self.limits.borrow_mut().refund(&tenant.name, now);
     }
 }
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -166,7 +166,7 @@
             machines.push(Machine::start(&store, "alpha", 8).await);
         }
         eventually("one coordinates all", || {
-            machines.iter().any(|machine| machine.node().tenancy.coordinator.borrow().nodes() == machines.len())
+            machines.iter().any(|machine| machine.node().tenancy.coordinator.borrow().node_count() == machines.len())
         })
         .await;
         sleep(Duration::from_secs(1)).await;
