--- a/crates/mesh/src/feed/mod.rs
+++ b/crates/mesh/src/feed/mod.rs
@@ -75,7 +75,7 @@
     /// Nodes that have lost their sources must not follow each other in a circle, each of them well by the other's word. So one that does not
     /// stand before is followed only if the store was read since the loss.
     pub fn verdict(&self, is_before: bool, loss: StoreAccessLoss, bounds: &Bounds, now: Timestamp) -> SourceVerdict {
-        let recent = self.store_read_at.filter(|read_at| now.since(*read_at) <= bounds.contact * OLDEST_READ);
+        let recent = self.store_read_at.filter(|read_at| now.since(*read_at) <= bounds.recovery * OLDEST_READ);
         match (self.lost_since, recent) {
             (Some(_), _) | (None, None) => SourceVerdict::Disconnected,
             (None, Some(read_at)) if is_before || loss.since().is_none_or(|since| since < read_at) => {
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -32,7 +32,7 @@
     /// Where the platform's store is.
     pub store: SocketAddr,
     /// The descriptors that the process may hold.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// The bounds in force.
     pub bounds: Bounds,
     /// The mechanisms that are switched on; set on the command line, not in the settings file.
@@ -49,7 +49,7 @@
     /// Within this time after it was written a configuration is in force.
     pub apply: Duration,
     /// After this time with a path to the store, a machine that had none must keep all bounds again.
-    pub contact: Duration,
+    pub recovery: Duration,
     /// Repeats may be at most this share of the calls of a service.
     pub retry_ratio: f64,
     /// The window over which repeats are counted.
--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -77,7 +77,7 @@
     pub fn read_failed(&mut self, has_view: bool, bounds: &Bounds) -> Duration {
         let doubled = SHORTEST_PAUSE * 2_u32.pow(self.failures.min(8));
         self.failures += 1;
-        let longest = if has_view { bounds.contact.mul_f64(LONGEST_PAUSE_PART) } else { LONGEST_PAUSE_UNKNOWING };
+        let longest = if has_view { bounds.recovery.mul_f64(LONGEST_PAUSE_PART) } else { LONGEST_PAUSE_UNKNOWING };
         doubled.min(longest)
     }
 }
@@ -85,7 +85,7 @@
 /// The longest time for which the store may be asked to wait for a change, by what readers alone must keep.
 pub fn max_watch_timeout(bounds: &Bounds) -> Duration {
     let for_keys = bounds.revocation.map_or(Duration::MAX, |bound| bound.mul_f64(REVOCATION_WAIT_PART));
-    bounds.contact.mul_f64(WAIT_PART).min(for_keys)
+    bounds.recovery.mul_f64(WAIT_PART).min(for_keys)
 }
 
 /// Within what time targets are registered again that an older copy of the store lacks, since they were registered after it was made.
--- a/crates/mesh/tests/decisions/main.rs
+++ b/crates/mesh/tests/decisions/main.rs
@@ -33,7 +33,7 @@
     stop_grace: Duration::from_secs(6),
     drain: Duration::from_secs(2),
     apply: Duration::from_secs(2),
-    contact: Duration::from_secs(3),
+    recovery: Duration::from_secs(3),
     retry_ratio: 0.2,
     retry_window: Duration::from_secs(10),
     retry_slack: 55.0,
--- a/crates/mesh/tests/decisions/store_reader.rs
+++ b/crates/mesh/tests/decisions/store_reader.rs
@@ -11,7 +11,7 @@
 const BOUNDS: Bounds = Bounds {
     drain: Duration::from_secs(3),
     apply: Duration::from_secs(3),
-    contact: Duration::from_secs(4),
+    recovery: Duration::from_secs(4),
     ..crate::BOUNDS
 };
 
@@ -53,7 +53,7 @@
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]));
     let longest = *pauses.last().expect("pauses");
     assert_eq!(longest, Duration::from_secs(2));
-    assert!(longest + Duration::from_secs(1) < BOUNDS.contact, "the view is whole before bounds hold again");
+    assert!(longest + Duration::from_secs(1) < BOUNDS.recovery, "the view is whole before bounds hold again");
     reader.read_succeeded();
     assert_eq!(reader.read_failed(true, &BOUNDS), Duration::from_millis(100), "counted anew");
 }
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_watch_that_hangs_is_noticed_before_bounds_hold_again() {
-    assert!(watch_timeout(&BOUNDS) < BOUNDS.contact / 2, "{:?}", watch_timeout(&BOUNDS));
+    assert!(watch_timeout(&BOUNDS) < BOUNDS.recovery / 2, "{:?}", watch_timeout(&BOUNDS));
     let revoking = Bounds { revocation: Some(Duration::from_secs(5)), ..BOUNDS };
     assert!(watch_timeout(&revoking) < Duration::from_secs(1), "{:?}", watch_timeout(&revoking));
 }
--- a/crates/mesh/tests/feed/exploration.rs
+++ b/crates/mesh/tests/feed/exploration.rs
@@ -186,13 +186,13 @@
         watched.change_era(schedule.outage, true)?;
     }
     // In another era everything is read anew by whoever reads next.
-    let longest = if schedule.era_change == EraChange::None { BOUNDS.drain } else { BOUNDS.contact };
+    let longest = if schedule.era_change == EraChange::None { BOUNDS.drain } else { BOUNDS.recovery };
     watched.all_know_in(longest - Duration::from_millis(500))?;
     // The readers are well again, and soon nobody takes itself or the store for lost.
     for reader in &readers {
         watched.strike(*reader, FAILURES[0]);
     }
-    watched.play(BOUNDS.contact.as_millis() as u64)?;
+    watched.play(BOUNDS.recovery.as_millis() as u64)?;
     let lost = watched.fleet.nodes.iter().position(|node| node.own_call_failed || node.loss.since().is_some());
     lost.map_or(Ok(()), |number| Err(format!("node {number} still reports a loss")))
 }
--- a/crates/mesh/tests/feed/fleet.rs
+++ b/crates/mesh/tests/feed/fleet.rs
@@ -25,7 +25,7 @@
     stop_grace: Duration::from_secs(10),
     drain: Duration::from_secs(4),
     apply: Duration::from_secs(4),
-    contact: Duration::from_secs(5),
+    recovery: Duration::from_secs(5),
     retry_ratio: 0.2,
     retry_window: Duration::from_secs(10),
     retry_slack: 100.0,
@@ -38,7 +38,7 @@
 pub const SHORT_BOUNDS: Bounds = Bounds {
     drain: Duration::from_secs(2),
     apply: Duration::from_secs(2),
-    contact: Duration::from_secs(3),
+    recovery: Duration::from_secs(3),
     heartbeat: Duration::from_millis(1500),
     ..BOUNDS
 };
--- a/crates/mesh/tests/feed/main.rs
+++ b/crates/mesh/tests/feed/main.rs
@@ -164,8 +164,8 @@
     assert!(fleet.nodes.iter().all(|node| node.loss.is_partitioned(fleet.now)), "all know that the store is away");
     fleet.drain(0, true, 2);
     fleet.set_down(false);
-    let took = fleet.catch_up(BOUNDS.contact);
-    assert!(took <= BOUNDS.contact, "{took:?}");
+    let took = fleet.catch_up(BOUNDS.recovery);
+    assert!(took <= BOUNDS.recovery, "{took:?}");
     fleet.play(3_000);
     assert!(fleet.nodes.iter().all(|node| node.loss.since().is_none()), "all know that it is back");
 }
@@ -181,7 +181,7 @@
         let failed = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
         let calls = fleet.store.calls;
         fleet.set_down(false);
-        fleet.play(BOUNDS.contact.as_millis() as u64);
+        fleet.play(BOUNDS.recovery.as_millis() as u64);
         let still = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
         assert_eq!(still, 0, "of {failed} after {outage} ms");
         let verified = fleet.store.calls - calls;
@@ -197,7 +197,7 @@
     strike(&mut fleet, &readers, Ailment::None, Access::Refused);
     fleet.play(4_000);
     let turned_away: Vec<usize> = (0..300).filter(|number| fleet.nodes[*number].own_call_failed).collect();
-    let (before, longest_pause) = (fleet.store.calls, BOUNDS.contact / 2);
+    let (before, longest_pause) = (fleet.store.calls, BOUNDS.recovery / 2);
     fleet.play(20_000);
     let calls = fleet.store.calls - before;
     let often = Duration::from_secs(20).div_duration_f64(longest_pause / 2) as usize;
@@ -216,7 +216,7 @@
     fleet.play(1_500);
     fleet.restore(5);
     fleet.set_down(false);
-    fleet.catch_up(BOUNDS.contact);
+    fleet.catch_up(BOUNDS.recovery);
     assert!(fleet.nodes.iter().all(|node| node.position().era == 1));
     // Revisions are given out again.
     fleet.drain(50, true, 2);
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -139,7 +139,7 @@
         limits: Rc::new(move || for_limits.current_configuration().map(|in_force| in_force.limits).unwrap_or_default()),
         ending,
         open: Rc::clone(&open),
-        most_kept: settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
+        most_kept: settings.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
         leading_away: Rc::clone(&leading_away),
         begins_early: true,
     };
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -142,7 +142,7 @@
         let alpha = Machine::start(&store, "alpha", 4).await;
         let address = support::machine();
         let settings = SidecarSettings {
-            descriptors: 204,
+            max_descriptors: 204,
             ..support::settings(address, "beta", (address, 1).into(), store.address)
         };
         let beta =
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -70,7 +70,7 @@
         eventually("it has the view of the other", || restarted.node.position().is_known()).await;
         let unread_for = restarted.node.feed.read_at.get().map(|read_at| restarted.node.now().since(read_at));
         // A watch that waited when the store fell silent was answered at its end.
-        let least = lost.elapsed() - BOUNDS.contact / 2;
+        let least = lost.elapsed() - BOUNDS.recovery / 2;
         assert!(unread_for >= Some(least), "{unread_for:?} of {least:?}");
     });
 }
--- a/crates/sidecar/tests/leaving_targets.rs
+++ b/crates/sidecar/tests/leaving_targets.rs
@@ -145,7 +145,7 @@
     run(async {
         let fleet = Fleet::start(8).await;
         let number = fleet.outage().await;
-        fleet.keep_calling("recovery", BOUNDS.contact).await;
+        fleet.keep_calling("recovery", BOUNDS.recovery).await;
         let leaving = &fleet.machines[number];
         let reports_loss = own_reach(leaving.node()).is_cut_off;
 
--- a/crates/sidecar/tests/store.rs
+++ b/crates/sidecar/tests/store.rs
@@ -330,7 +330,7 @@
         let returned = Instant::now();
         let is_back = |machine: &Machine| machine.node().feed.loss.get().since().is_none();
         eventually("both read the store again", || is_back(&alpha) && is_back(&beta)).await;
-        assert!(returned.elapsed() < support::BOUNDS.contact, "{:?}", returned.elapsed());
+        assert!(returned.elapsed() < support::BOUNDS.recovery, "{:?}", returned.elapsed());
     });
 }
 
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -73,7 +73,7 @@
     stop_grace: Duration::from_secs(6),
     drain: Duration::from_secs(2),
     apply: Duration::from_secs(2),
-    contact: Duration::from_secs(3),
+    recovery: Duration::from_secs(3),
     retry_ratio: 0.2,
     retry_window: Duration::from_secs(10),
     retry_slack: 55.0,
@@ -97,7 +97,7 @@
         limits: Some(at(LIMITS)),
         quarantine: Some(at(QUARANTINE)),
         store,
-        descriptors: 4096,
+        max_descriptors: 4096,
         mechanisms: Mechanisms::default(),
         bounds: BOUNDS,
     }
--- a/crates/sidecar/tests/turned_away.rs
+++ b/crates/sidecar/tests/turned_away.rs
@@ -64,7 +64,7 @@
         fleet.store.configure(&document(6, "alpha"));
         let alpha = fleet.alpha.node();
         // Until a silent connection is noticed.
-        let longest = BOUNDS.contact + BOUNDS.apply;
+        let longest = BOUNDS.recovery + BOUNDS.apply;
         let is_in_force = || alpha.configuration.borrow().version() == 6;
         fleet.serve_until("configuration", longest, is_in_force).await;
         fleet.store.list(&fleet.gamma.target, "draining");
@@ -176,7 +176,7 @@
             if machines.iter().all(is_in_force) {
                 break;
             }
-            assert!(written.elapsed() < BOUNDS.contact, "not everywhere in time");
+            assert!(written.elapsed() < BOUNDS.recovery, "not everywhere in time");
             for machine in &machines {
                 let answer = call(machine.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
                 assert_eq!(answer.status, 200);
