--- a/crates/mesh/src/feed/choice.rs
+++ b/crates/mesh/src/feed/choice.rs
@@ -1,4 +1,4 @@
-//! Which of its candidates a node asks next.
+//! Selects the source: the candidate that a node queries next.
 
 use std::time::Duration;
 
@@ -6,55 +6,56 @@
 
 use super::FeedCandidate;
 
-/// How long a node stays with another than its first candidate before it tries that one again.
-const FIRST_AGAIN: Duration = Duration::from_secs(3);
+/// How long a node queries another candidate before it retries the first one.
+const FIRST_CANDIDATE_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The choice among the candidates.
+/// Selects one of the candidates: the same one until it fails, then the next one, and at intervals the first one again.
 #[derive(Clone, Debug, Default)]
 pub struct SourceChoice {
-    /// The candidate that is asked, counted from the first.
-    number: usize,
-    moved: Timestamp,
-    /// The candidates that have failed since one was well.
+    /// The index of the selected candidate.
+    current: usize,
+    last_switch: Timestamp,
+    /// The failures since a candidate last succeeded.
     failures: usize,
-    /// Whether the first one is asked again while another is well.
-    is_retrying: bool,
+    /// Whether the first candidate is retried although the selected one works.
+    is_retrying_first: bool,
 }
 
 impl SourceChoice {
-    /// The one of `candidates` that is asked now.
+    /// Returns the candidate to query now.
     pub fn next(&mut self, candidates: &[FeedCandidate], now: Timestamp) -> Option<FeedCandidate> {
-        if self.number > 0 && self.failures == 0 && now.since(self.moved) >= FIRST_AGAIN {
-            self.number = 0;
-            self.is_retrying = true;
+        if self.current > 0 && self.failures == 0 && now.since(self.last_switch) >= FIRST_CANDIDATE_RETRY_INTERVAL {
+            self.current = 0;
+            self.is_retrying_first = true;
         }
-        if self.number >= candidates.len() {
-            self.number = 0;
+        if self.current >= candidates.len() {
+            self.current = 0;
         }
-        candidates.get(self.number).copied()
+        candidates.get(self.current).copied()
     }
 
-    /// The candidate that was asked is well.
+    /// Records that the queried candidate is usable.
     pub fn answered(&mut self) {
         self.failures = 0;
-        self.is_retrying = false;
+        self.is_retrying_first = false;
     }
 
-    /// The candidate that was asked gave no answer, knows nothing, or can't get at the store.
+    /// Records that the queried candidate did not answer, has no data or can't reach the store.
     pub fn failed(&mut self, now: Timestamp) {
         self.failures += 1;
-        self.is_retrying = false;
-        self.number += 1;
-        self.moved = now;
+        self.is_retrying_first = false;
+        self.current += 1;
+        self.last_switch = now;
     }
 
-    /// Whether all of `candidates` have failed one after the other.
+    /// Whether all of `candidates` have failed in a row.
     pub fn all_failed(&self, candidates: &[FeedCandidate]) -> bool {
         self.failures >= candidates.len()
     }
 
-    /// Whether it is not known that the candidate which is asked now is well. Then the question is not to be held.
+    /// Whether the selected candidate is not known to be usable. A query to it must not be a long poll then, so that its failure is noticed
+    /// soon.
     pub fn is_searching(&self) -> bool {
-        self.failures > 0 || self.is_retrying
+        self.failures > 0 || self.is_retrying_first
     }
 }
--- a/crates/mesh/src/feed/mod.rs
+++ b/crates/mesh/src/feed/mod.rs
@@ -1,16 +1,16 @@
-//! From whom a node gets what changes in the platform's store.
+//! How changes of the platform's store are distributed to all nodes.
 //!
-//! Every call of the store is paid for and loads it, so three nodes read it, whatever the fleet's size. In each zone the node whose
-//! address has the least hash is its **head**, and the first heads are the **readers**. The others follow over a tree in their zone: each
-//! node asks its parent, which answers as soon as something has changed. The list of targets decides who reads and who asks whom; there is
-//! no election and no message about it. Nodes with different lists disagree on some parents, which does no harm: any node answers any
-//! other, and a position never goes back.
+//! Every call to the store costs money and adds load, so only three nodes read it, whatever the size of the fleet. In each zone the nodes
+//! with the lowest hashes of their addresses are the **heads**: one, or more where there are few zones. The first three heads of all zones
+//! are the **readers**. The other nodes follow in a tree per zone: each node sends long polls to its parent, which responds as soon as there
+//! is a change. The roles follow from the list of targets alone; there is no election and no message about them. Nodes with different lists
+//! disagree on some parents, which is harmless: any node answers any other, and a position never goes back.
 //!
-//! Readers ask each other too, in a ring, and the other heads ask them. So what one reader has read reaches all zones, also if the store
-//! turns the others away.
+//! Readers query each other in a ring, and the other heads query them. So what one reader has read reaches all zones, even if the store
+//! refuses the others.
 //!
-//! A parent that says nothing, or that can't get at the store, is left for the next candidate ([`SourceChoice`]). The store itself is asked
-//! by those whose candidates all fail, and, while the store can't be read by readers, by one more node of each zone after the other
+//! A source that times out, or that can't reach the store, is replaced by the next candidate ([`SourceChoice`]). A node whose candidates all
+//! fail reads the store itself. While no reader can read the store, further nodes of each zone take over one after the other
 //! ([`ReadScheduleInputs`]).
 
 mod choice;
@@ -27,58 +27,63 @@
 pub use schedule::{watch_timeout, ReadReason, ReadSchedule, ReadScheduleInputs, SoloReads};
 pub use tree::{FeedCandidate, FeedRole, FeedTree, FANOUT};
 
-/// The part of the least bound for which a parent without news holds a question. A parent that has gone silent is noticed after it.
-const HOLD_PART: f64 = 0.25;
-const HEAD_HOLD_PART: f64 = 0.1;
-/// The part of the least bound that an answer may take beyond that, and what it may take at least.
-const ANSWER_PART: f64 = 0.1;
-const ANSWER_LEAST: Duration = Duration::from_millis(100);
-/// How old the last reading of the store may be at a node that is followed, in times after which bounds hold again. It is older the deeper
-/// the node stands in the tree.
-const OLDEST_READ: u32 = 2;
-/// For how long the store must be out of reach before a node says that it is cut off.
+/// The timeout of a long poll as a fraction of the shortest bound. A source that no longer responds is only noticed after it.
+const LONG_POLL_FRACTION: f64 = 0.25;
+/// The same for the long polls of zone heads.
+const HEAD_LONG_POLL_FRACTION: f64 = 0.1;
+/// The time that a response may take beyond the long poll, as a fraction of the shortest bound. It is added to [`MIN_RESPONSE_ALLOWANCE`].
+const RESPONSE_ALLOWANCE_FRACTION: f64 = 0.1;
+/// The minimum time that a response may take beyond the long poll.
+const MIN_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(100);
+/// The maximum age of the last store read that a usable source reports, as a multiple of [`Bounds::recovery`]. The age grows with the depth
+/// in the tree.
+const MAX_STORE_READ_AGE_FACTOR: u32 = 2;
+/// How long a node must be without access to the store before it reports that it is partitioned from it.
 pub const PARTITION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// For how long a node without news holds the question of another. Heads are held for less: they must know soon when the store was read.
+/// How long a node without changes holds the long poll of another one. The long polls of heads are shorter: heads must learn early when the
+/// store was last read.
 pub fn long_poll_timeout(is_head: bool, bounds: &Bounds) -> Duration {
-    bounds.shortest().mul_f64(if is_head { HEAD_HOLD_PART } else { HOLD_PART })
+    bounds.shortest().mul_f64(if is_head { HEAD_LONG_POLL_FRACTION } else { LONG_POLL_FRACTION })
 }
 
-/// How long the answer to a question may take that is held for `hold` at most.
-pub fn response_timeout(hold: Duration, bounds: &Bounds) -> Duration {
-    hold + ANSWER_LEAST + bounds.shortest().mul_f64(ANSWER_PART)
+/// How long the querying node waits for the response to a long poll that is held for up to `long_poll`.
+pub fn response_timeout(long_poll: Duration, bounds: &Bounds) -> Duration {
+    long_poll + MIN_RESPONSE_ALLOWANCE + bounds.shortest().mul_f64(RESPONSE_ALLOWANCE_FRACTION)
 }
 
-/// How well another node is supplied, as it tells.
+/// What a source reports about its own access to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceStatus {
-    /// When the store was read last on the way to it; `None` if that is not told.
+    /// When the store was last read, by the source or by a node that it follows; `None` if unknown.
     pub store_read_at: Option<Timestamp>,
-    /// Since when it can't get at the store, if it can't.
+    /// Since when the source can't reach the store, neither itself nor through others; `None` if it can.
     pub lost_since: Option<Timestamp>,
 }
 
-/// Whether a node may follow another one.
+/// Whether a node may follow a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceVerdict {
     /// It may.
     Usable,
-    /// The other one is well by what it tells, which may come from the asking node itself.
+    /// The source reports access to the store, but its knowledge may come from the querying node itself.
     Unverified,
-    /// The other one can't get at the store.
+    /// The source can't reach the store.
     Disconnected,
 }
 
 impl SourceStatus {
-    /// Whether a node with this `loss` may follow the one that tells it; `is_before` says whether that one stands before it.
+    /// Whether a node with the given `loss` may follow the source that sent this status; `is_upstream` is [`FeedCandidate::is_upstream`] of
+    /// that source.
     ///
-    /// Nodes that have lost their sources must not follow each other in a circle, each of them well by the other's word. So one that does not
-    /// stand before is followed only if the store was read since the loss.
-    pub fn verdict(&self, is_before: bool, loss: StoreAccessLoss, bounds: &Bounds, now: Timestamp) -> SourceVerdict {
-        let recent = self.store_read_at.filter(|read_at| now.since(*read_at) <= bounds.recovery * OLDEST_READ);
+    /// Nodes that have lost their sources must not follow each other in a circle, each relying on the status of the other. So a source that
+    /// is not upstream is followed only if the store was read after the loss began.
+    pub fn verdict(&self, is_upstream: bool, loss: StoreAccessLoss, bounds: &Bounds, now: Timestamp) -> SourceVerdict {
+        let recent =
+            self.store_read_at.filter(|read_at| now.since(*read_at) <= bounds.recovery * MAX_STORE_READ_AGE_FACTOR);
         match (self.lost_since, recent) {
             (Some(_), _) | (None, None) => SourceVerdict::Disconnected,
-            (None, Some(read_at)) if is_before || loss.since().is_none_or(|since| since < read_at) => {
+            (None, Some(read_at)) if is_upstream || loss.since().is_none_or(|since| since < read_at) => {
                 SourceVerdict::Usable
             }
             (None, Some(_)) => SourceVerdict::Unverified,
@@ -86,72 +91,75 @@
     }
 }
 
-/// Since when a node is without a source that can get at the store.
+/// Since when a node has no access to the store, neither by its own calls nor through a source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreAccessLoss {
-    /// Since when its own calls of the store fail, if it makes any.
-    own: Option<Timestamp>,
-    /// Since when it looks for another node to ask.
+    /// Since when the node's own calls to the store fail, if it makes any.
+    own_calls_failing: Option<Timestamp>,
+    /// Since when the node has been looking for another source.
     searching: Option<Timestamp>,
-    /// Since when no other node that it asks can get at the store.
-    others: Option<Timestamp>,
+    /// Since when none of its candidates can reach the store.
+    all_sources_failing: Option<Timestamp>,
 }
 
 impl StoreAccessLoss {
-    /// A call of the store, sent at `sent`, has failed, and the store was read at `proved` last, as far as is known.
-    pub fn store_call_failed(&mut self, sent: Timestamp, proved: Option<Timestamp>) {
-        if proved.is_none_or(|proved| proved < sent) {
-            self.own.get_or_insert(sent);
+    /// Records that a call to the store, sent at `sent`, failed. It doesn't count if the store is known to have been read since;
+    /// `last_read` is the latest known read.
+    pub fn store_call_failed(&mut self, sent: Timestamp, last_read: Option<Timestamp>) {
+        if last_read.is_none_or(|last_read| last_read < sent) {
+            self.own_calls_failing.get_or_insert(sent);
         }
     }
 
-    /// The node that it asks has failed, at `at`. Until another one is known to be well, it must not tell others that it is well itself.
+    /// Records that the source failed at `at`. Until a usable one is found, the node must not report to others that it has access to the
+    /// store.
     pub fn source_failed(&mut self, at: Timestamp) {
         self.searching.get_or_insert(at);
     }
 
-    /// None of the other nodes that it asks can get at the store, the last one since `since`; or there is none to ask.
+    /// Records that none of the candidates can reach the store, the last one since `since`, or that there is no candidate.
     pub fn all_sources_failed(&mut self, since: Timestamp) {
-        self.others = Some(self.others.map_or(since, |known| known.min(since)));
+        self.all_sources_failing = Some(self.all_sources_failing.map_or(since, |known| known.min(since)));
     }
 
-    /// Another node is well, and the store was read at `proved` on the way to it. Returns since when the store was in an outage, if that is
-    /// over.
+    /// Records that a source is usable and reports `last_read` as the last read of the store. Returns the start of the store's outage if
+    /// there was one and it is over.
     ///
-    /// A failed call of the node's own counts until the store was read after it: two nodes that only have each other's word don't
-    /// keep each other up to date.
-    pub fn source_available(&mut self, proved: Option<Timestamp>) -> Option<Timestamp> {
+    /// A failed call of the node's own counts until the store was read after it. Otherwise two nodes that only have each other as source
+    /// would both regard themselves as up to date.
+    pub fn source_available(&mut self, last_read: Option<Timestamp>) -> Option<Timestamp> {
         self.searching = None;
-        self.own = self.own.filter(|failed| proved.is_none_or(|proved| proved < *failed));
-        if self.own.is_some() {
+        self.own_calls_failing =
+            self.own_calls_failing.filter(|failed| last_read.is_none_or(|last_read| last_read < *failed));
+        if self.own_calls_failing.is_some() {
             return None;
         }
-        self.others.take()
+        self.all_sources_failing.take()
     }
 
-    /// The store has answered this node. Returns since when it was in an outage, if it was.
+    /// Records that this node has read the store. Returns the start of the store's outage if there was one.
     pub fn store_read(&mut self) -> Option<Timestamp> {
-        self.own = None;
+        self.own_calls_failing = None;
         self.searching = None;
-        self.others.take()
+        self.all_sources_failing.take()
     }
 
-    /// Since when the store is in an outage: neither this node nor any that it asks can get at it, as far as they tried.
+    /// The start of the store's outage: since then neither this node nor any of its candidates can reach the store, as far as they tried.
     pub fn outage_since(&self) -> Option<Timestamp> {
-        self.others
+        self.all_sources_failing
     }
 
-    /// Since when, if there is a loss.
+    /// Since when the node has had no confirmed access to the store; `None` if it has access.
     pub fn since(&self) -> Option<Timestamp> {
-        self.own.into_iter().chain(self.searching).chain(self.others).min()
+        self.own_calls_failing.into_iter().chain(self.searching).chain(self.all_sources_failing).min()
     }
 
-    /// Whether it is known that there is no way, rather than that another one is looked for.
+    /// Whether access is known to be lost, as opposed to a search for another source that is still going on.
     pub fn is_confirmed(&self) -> bool {
-        self.own.is_some() || self.others.is_some()
+        self.own_calls_failing.is_some() || self.all_sources_failing.is_some()
     }
 
-    /// Whether it has lasted so long that the node is taken as cut off.
+    /// Whether the loss has lasted so long that the node counts as partitioned from the store.
     pub fn is_partitioned(&self, now: Timestamp) -> bool {
         self.since().is_some_and(|since| now.since(since) >= PARTITION_TIMEOUT)
     }
--- a/crates/mesh/src/feed/schedule.rs
+++ b/crates/mesh/src/feed/schedule.rs
@@ -1,4 +1,4 @@
-//! When it is a node's turn to read the platform's store.
+//! When a node reads the platform's store.
 
 use std::time::Duration;
 
@@ -8,48 +8,48 @@
 use crate::settings::Bounds;
 use crate::store_reader::max_watch_timeout;
 
-/// The part of the least bound after which the first node that is no reader asks the store while the readers can't read it.
-const TURN_PART: f64 = 0.15;
-/// By which part the turns of later nodes grow: it is ever less likely that all before them are turned away, rather than that the store is
-/// down for all.
-const TURN_GROWTH: f64 = 0.125;
-/// How much later than expected a reading of the store may be known to a head: what an answer takes where the store is slow.
-const OVERDUE_MARGIN: Duration = Duration::from_millis(300);
-/// What is left of the bound on changes for the reading itself, for the way down the tree and for the node's own work.
-const SPREAD_RESERVE: Duration = Duration::from_millis(500);
-/// The shortest watch, where bounds leave no room for one: each has its price.
-const SHORTEST_WATCH: Duration = Duration::from_millis(300);
-/// The pause after the first reading in which a node has found neither itself nor others; it doubles with each further one.
-const LONE_PAUSE: Duration = Duration::from_millis(400);
-/// The readings after which such a node takes itself for the only one.
-const LONE_READINGS: u32 = 4;
-/// The parts of the least bound between which a node that no other one answers asks the store itself. Each node draws its own, so that the
-/// first ones can answer the others.
-const ISOLATED_PARTS: (f64, f64) = (0.1, 0.4);
+/// The delay after which the first node that is not a reader reads the store while the readers can't, as a fraction of the shortest bound.
+const TAKEOVER_DELAY_FRACTION: f64 = 0.15;
+/// By which fraction the delay between further nodes grows with each node ahead. The more nodes have failed, the more likely it is that the
+/// store is down for all of them, rather than that it refuses each of them.
+const TAKEOVER_DELAY_GROWTH: f64 = 0.125;
+/// How much later than expected a head may learn of a read of the store: the time of a response when the store is slow.
+const OVERDUE_TOLERANCE: Duration = Duration::from_millis(300);
+/// The part of the bound on changes that is reserved for the read itself, the way down the tree and the node's own work.
+const PROPAGATION_RESERVE: Duration = Duration::from_millis(500);
+/// The minimum timeout of a watch, also where the bounds leave less time: each watch is a call that costs money.
+const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(300);
+/// The base of the pause after a read in which a node has found neither itself nor others; it doubles with each such read.
+const SOLO_READ_PAUSE: Duration = Duration::from_millis(400);
+/// The number of such reads after which the node assumes that it is the only one and acts as a reader.
+const MAX_SOLO_READS: u32 = 4;
+/// The range of the delay after which a node that gets no answer from any candidate reads the store, in fractions of the shortest bound. Each
+/// node picks its own delay, so that the first ones can answer the others.
+const ISOLATED_DELAY_FRACTIONS: (f64, f64) = (0.1, 0.4);
 
 /// Why the store is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadReason {
-    /// The node knows nothing, or nobody: a copy that may lag shows who is there.
+    /// The node knows nothing of the store, or no other node. A stale copy is enough to find other nodes.
     Initial,
-    /// It is one of the readers.
+    /// The node is one of the readers.
     Reader,
-    /// Once, for what no other node can tell.
+    /// A single read, for what no other node can tell.
     Once,
 }
 
-/// When the next turn is.
+/// When the next read is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadSchedule {
     /// Now.
     Now(ReadReason),
-    /// After this time, if nothing changes.
+    /// After this time, if nothing changes until then.
     After(Duration),
     /// Not before something changes.
     OnChange,
 }
 
-/// How often a node has read the store without finding any node in it, and when it did last.
+/// How often a node has read the store without finding any node in it, and when it last did.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SoloReads {
     count: u32,
@@ -57,18 +57,18 @@
 }
 
 impl SoloReads {
-    /// One more at `now`.
+    /// Counts one more such read, at `now`.
     pub fn increment(self, now: Timestamp) -> Self {
         SoloReads { count: self.count + 1, last: now }
     }
 
-    /// The turn of a node that finds no other one. While a fleet starts, others appear.
-    fn next_turn(self, draw: f64, now: Timestamp) -> ReadSchedule {
-        if self.count >= LONE_READINGS {
+    /// The schedule of a node that finds no other one. While a fleet starts, others appear.
+    fn schedule(self, jitter: f64, now: Timestamp) -> ReadSchedule {
+        if self.count >= MAX_SOLO_READS {
             return ReadSchedule::Now(ReadReason::Reader);
         }
-        let pause = LONE_PAUSE * 2_u32.pow(self.count);
-        let left = pause.mul_f64(0.75 + draw / 2.0).saturating_sub(now.since(self.last));
+        let pause = SOLO_READ_PAUSE * 2_u32.pow(self.count);
+        let left = pause.mul_f64(0.75 + jitter / 2.0).saturating_sub(now.since(self.last));
         if left.is_zero() {
             return ReadSchedule::Now(ReadReason::Initial);
         }
@@ -76,43 +76,45 @@
     }
 }
 
-/// How long the store is asked to wait for a change.
+/// How long a reader lets the store hold a watch without changes.
 ///
-/// All readers' watches may hang at once. Then a change is known only once the first other head has found the last reading overdue and had its
-/// turn; the watch is so short that all of this ends within the least bound.
+/// The watches of all readers may hang at the same time. Then a change is only found after the first head that is not a reader has noticed that
+/// the last read is overdue, and has read the store itself. The timeout is so short that all of this ends within the shortest bound.
 pub fn watch_timeout(bounds: &Bounds) -> Duration {
-    let found_after =
-        long_poll_timeout(true, bounds) + OVERDUE_MARGIN + bounds.shortest().mul_f64(TURN_PART) + SPREAD_RESERVE;
-    max_watch_timeout(bounds).min(bounds.shortest().saturating_sub(found_after)).max(SHORTEST_WATCH)
+    let found_after = long_poll_timeout(true, bounds)
+        + OVERDUE_TOLERANCE
+        + bounds.shortest().mul_f64(TAKEOVER_DELAY_FRACTION)
+        + PROPAGATION_RESERVE;
+    max_watch_timeout(bounds).min(bounds.shortest().saturating_sub(found_after)).max(MIN_WATCH_TIMEOUT)
 }
 
-/// What decides on a node's turn.
+/// What decides when a node reads the store.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadScheduleInputs<'a> {
-    /// Whether it knows anything of the store.
+    /// Whether the node knows any state of the store.
     pub has_view: bool,
-    /// Whether it must find out if it can get at the store.
+    /// Whether it must find out if it can reach the store.
     pub must_probe: bool,
-    /// Whether its own last call of the store has failed.
+    /// Whether its last call to the store failed.
     pub own_call_failed: bool,
-    /// Its place among the others.
+    /// Its role.
     pub role: &'a FeedRole,
-    /// Since when it has no way to the store.
+    /// Since when it has no access to the store.
     pub loss: StoreAccessLoss,
-    /// When the store was read last on the way to it, if that is known.
+    /// When the store was last read, by the node itself or by one that it follows, if that is known.
     pub store_read_at: Option<Timestamp>,
-    /// Whether all others that it asks have failed to answer at all.
+    /// Whether none of its candidates answers.
     pub is_isolated: bool,
-    /// The readings in which it found nobody.
+    /// The reads in which it found no node.
     pub solo_reads: SoloReads,
-    /// How long its proof that keys are valid may be used before it is renewed, if that is needed.
+    /// The time until it must renew its proof that the configuration is recent ([`crate::freshness`]), if there is a bound on revocation.
     pub proof_renewal_in: Option<Duration>,
-    /// A random number in 0..1 of the node's own.
+    /// A random number in 0..1 that the node has drawn once, which spreads the reads of different nodes.
     pub jitter: f64,
 }
 
 impl ReadScheduleInputs<'_> {
-    /// When its next turn is.
+    /// When the node's next read is due.
     pub fn schedule(&self, bounds: &Bounds, now: Timestamp) -> ReadSchedule {
         if !self.has_view {
             return ReadSchedule::Now(ReadReason::Initial);
@@ -124,38 +126,40 @@
             return ReadSchedule::Now(ReadReason::Reader);
         }
         if self.role.candidates.is_empty() {
-            return self.solo_reads.next_turn(self.jitter, now);
+            return self.solo_reads.schedule(self.jitter, now);
         }
-        match self.proof_renewal_in.into_iter().chain(self.loss_turn(bounds, now)).min() {
+        match self.proof_renewal_in.into_iter().chain(self.takeover_in(bounds, now)).min() {
             None => ReadSchedule::OnChange,
             Some(Duration::ZERO) => ReadSchedule::Now(ReadReason::Once),
             Some(wait) => ReadSchedule::After(wait),
         }
     }
 
-    /// Whether its own call failed and others have read the store since. Either only its machine is cut off, or the trouble is over; a node that
-    /// follows others has no other reason to call the store, and would report the loss for ever.
+    /// Whether the node's own call failed and others have read the store since. Either only its machine is partitioned from the store, or the
+    /// problem is over. A node that follows others has no other reason to call the store, and would report the loss forever.
     fn must_verify_access(&self) -> bool {
         self.own_call_failed && self.loss.since().is_none()
     }
 
-    /// From when on the readers should have read the store again. All their watches may hang, which each of them notices only after a
-    /// while. Nodes further down learn of readings too late to judge by them.
+    /// Since when the readers' next read of the store is overdue. The watches of all readers may hang, which each of them only notices after a
+    /// while. Nodes further down the tree learn of reads too late to judge by them.
     fn overdue_since(&self, bounds: &Bounds) -> Option<Timestamp> {
-        let allowed = watch_timeout(bounds) + long_poll_timeout(true, bounds) + OVERDUE_MARGIN;
+        let allowed = watch_timeout(bounds) + long_poll_timeout(true, bounds) + OVERDUE_TOLERANCE;
         self.store_read_at.filter(|_| self.role.is_head).map(|read_at| read_at + allowed)
     }
 
-    /// How long until the node asks the store since others can't get at it.
-    fn loss_turn(&self, bounds: &Bounds, now: Timestamp) -> Option<Duration> {
+    /// The time until the node reads the store because others can't; `None` if they can, as far as it knows.
+    fn takeover_in(&self, bounds: &Bounds, now: Timestamp) -> Option<Duration> {
         let since = self.loss.since().or_else(|| self.overdue_since(bounds))?;
-        let part = match self.is_isolated {
-            true => ISOLATED_PARTS.0 + (ISOLATED_PARTS.1 - ISOLATED_PARTS.0) * self.jitter,
+        let fraction = match self.is_isolated {
+            true => {
+                ISOLATED_DELAY_FRACTIONS.0 + (ISOLATED_DELAY_FRACTIONS.1 - ISOLATED_DELAY_FRACTIONS.0) * self.jitter
+            }
             false => {
-                let ahead = self.role.nodes_ahead as f64;
-                TURN_PART * (ahead + 1.0) * (1.0 + TURN_GROWTH * ahead)
+                let nodes_ahead = self.role.nodes_ahead as f64;
+                TAKEOVER_DELAY_FRACTION * (nodes_ahead + 1.0) * (1.0 + TAKEOVER_DELAY_GROWTH * nodes_ahead)
             }
         };
-        Some((now.until(since) + bounds.shortest().mul_f64(part)).saturating_sub(now.since(since)))
+        Some((now.until(since) + bounds.shortest().mul_f64(fraction)).saturating_sub(now.since(since)))
     }
 }
