--- a/crates/mesh/src/feed/choice.rs
+++ b/crates/mesh/src/feed/choice.rs
@@ -53,8 +53,8 @@
         self.failures >= candidates.len()
     }
 
-    /// Whether the selected candidate is not known to be usable. A query to it must not be a long poll then, so that its failure is noticed
-    /// soon.
+    /// Whether the selected candidate is not known to be usable. A query to it must not be a long poll then, so that
+    /// its failure is noticed soon.
     pub fn is_searching(&self) -> bool {
         self.failures > 0 || self.is_retrying_first
     }
--- a/crates/mesh/src/feed/schedule.rs
+++ b/crates/mesh/src/feed/schedule.rs
@@ -8,23 +8,26 @@
 use crate::settings::Bounds;
 use crate::store_reader::max_watch_timeout;
 
-/// The delay after which the first node that is not a reader reads the store while the readers can't, as a fraction of the shortest bound.
+/// The delay after which the first node that is not a reader reads the store while the readers can't, as a fraction of
+/// the shortest bound.
 const TAKEOVER_DELAY_FRACTION: f64 = 0.15;
-/// By which fraction the delay between further nodes grows with each node ahead. The more nodes have failed, the more likely it is that the
-/// store is down for all of them, rather than that it refuses each of them.
+/// By which fraction the delay between further nodes grows with each node ahead. The more nodes have failed, the more
+/// likely it is that the store is down for all of them, rather than that it refuses each of them.
 const TAKEOVER_DELAY_GROWTH: f64 = 0.125;
 /// How much later than expected a head may learn of a read of the store: the time of a response when the store is slow.
 const OVERDUE_TOLERANCE: Duration = Duration::from_millis(300);
-/// The part of the bound on changes that is reserved for the read itself, the way down the tree and the node's own work.
+/// The part of the bound on changes that is reserved for the read itself, the way down the tree and the node's own
+/// work.
 const PROPAGATION_RESERVE: Duration = Duration::from_millis(500);
 /// The minimum timeout of a watch, also where the bounds leave less time: each watch is a call that costs money.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// The base of the pause after a read in which a node has found neither itself nor others; it doubles with each such read.
+/// The base of the pause after a read in which a node has found neither itself nor others; it doubles with each such
+/// read.
 const SOLO_READ_PAUSE: Duration = Duration::from_millis(400);
 /// The number of such reads after which the node assumes that it is the only one and acts as a reader.
 const MAX_SOLO_READS: u32 = 4;
-/// The range of the delay after which a node that gets no answer from any candidate reads the store, in fractions of the shortest bound. Each
-/// node picks its own delay, so that the first ones can answer the others.
+/// The range of the delay after which a node that gets no answer from any candidate reads the store, in fractions of
+/// the shortest bound. Each node picks its own delay, so that the first ones can answer the others.
 const ISOLATED_DELAY_FRACTIONS: (f64, f64) = (0.1, 0.4);
 
 /// Why the store is read.
@@ -78,8 +81,9 @@
 
 /// How long a reader lets the store hold a watch without changes.
 ///
-/// The watches of all readers may hang at the same time. Then a change is only found after the first head that is not a reader has noticed that
-/// the last read is overdue, and has read the store itself. The timeout is so short that all of this ends within the shortest bound.
+/// The watches of all readers may hang at the same time. Then a change is only found after the first head that is not a
+/// reader has noticed that the last read is overdue, and has read the store itself. The timeout is so short that all of
+/// this ends within the shortest bound.
 pub fn watch_timeout(bounds: &Bounds) -> Duration {
     let found_after = long_poll_timeout(true, bounds)
         + OVERDUE_TOLERANCE
@@ -107,7 +111,8 @@
     pub is_isolated: bool,
     /// The reads in which it found no node.
     pub solo_reads: SoloReads,
-    /// The time until it must renew its proof that the configuration is recent ([`crate::freshness`]), if there is a bound on revocation.
+    /// The time until it must renew its proof that the configuration is recent ([`crate::freshness`]), if there is a
+    /// bound on revocation.
     pub proof_renewal_in: Option<Duration>,
     /// A random number in 0..1 that the node has drawn once, which spreads the reads of different nodes.
     pub jitter: f64,
@@ -135,14 +140,15 @@
         }
     }
 
-    /// Whether the node's own call failed and others have read the store since. Either only its machine is partitioned from the store, or the
-    /// problem is over. A node that follows others has no other reason to call the store, and would report the loss forever.
+    /// Whether the node's own call failed and others have read the store since. Either only its machine is partitioned
+    /// from the store, or the problem is over. A node that follows others has no other reason to call the store, and
+    /// would report the loss forever.
     fn must_verify_access(&self) -> bool {
         self.own_call_failed && self.loss.since().is_none()
     }
 
-    /// Since when the readers' next read of the store is overdue. The watches of all readers may hang, which each of them only notices after a
-    /// while. Nodes further down the tree learn of reads too late to judge by them.
+    /// Since when the readers' next read of the store is overdue. The watches of all readers may hang, which each of
+    /// them only notices after a while. Nodes further down the tree learn of reads too late to judge by them.
     fn overdue_since(&self, bounds: &Bounds) -> Option<Timestamp> {
         let allowed = watch_timeout(bounds) + long_poll_timeout(true, bounds) + OVERDUE_TOLERANCE;
         self.store_read_at.filter(|_| self.role.is_head).map(|read_at| read_at + allowed)
--- a/crates/mesh/src/feed/tree.rs
+++ b/crates/mesh/src/feed/tree.rs
@@ -9,13 +9,14 @@
 
 /// The maximum number of nodes that have the same parent in a zone's tree.
 pub const FANOUT: usize = 16;
-/// The number of nodes that read the store, whatever the size of the fleet: two of them may be lost or refused by the store at the same
-/// time, and no more calls than theirs are paid for.
+/// The number of nodes that read the store, whatever the size of the fleet: two of them may be lost or refused by the
+/// store at the same time, and no more calls than theirs are paid for.
 const READERS: usize = 3;
-/// The number of nodes per zone, next to its heads, that are queried when the heads fail. They are also the first to read the store then.
+/// The number of nodes per zone, next to its heads, that are queried when the heads fail. They are also the first to
+/// read the store then.
 const STANDBYS_PER_ZONE: usize = 2;
-/// The number of heads of all zones that a node queries when those of its own zone fail: the readers, and as many more as may be lost of
-/// them at the same time.
+/// The number of heads of all zones that a node queries when those of its own zone fail: the readers, and as many more
+/// as may be lost of them at the same time.
 const FALLBACK_HEADS: usize = READERS + 2;
 
 /// Sorts machines in an order that is the same at all nodes.
@@ -38,10 +39,11 @@
     pub is_reader: bool,
     /// Whether it is a head of its zone.
     pub is_head: bool,
-    /// The number of nodes that take over from failing readers before this one: other heads if it is a head, else its zone's head and the
-    /// nodes of its zone that precede it.
+    /// The number of nodes that take over from failing readers before this one: other heads if it is a head, else its
+    /// zone's head and the nodes of its zone that precede it.
     pub nodes_ahead: usize,
-    /// The nodes that it may follow, in order of preference: it follows the first one that answers and can reach the store.
+    /// The nodes that it may follow, in order of preference: it follows the first one that answers and can reach the
+    /// store.
     pub candidates: Vec<FeedCandidate>,
 }
 
@@ -50,13 +52,14 @@
 pub struct FeedCandidate {
     /// Its machine.
     pub machine: IpAddr,
-    /// Whether it is nearer to the readers than the querying node, in an order that is the same at all nodes. What a node that is not upstream
-    /// reports may come from the querying node itself.
+    /// Whether it is nearer to the readers than the querying node, in an order that is the same at all nodes. What a
+    /// node that is not upstream reports may come from the querying node itself.
     pub is_upstream: bool,
 }
 
 impl FeedTree {
-    /// Builds the tree from the machines of the listed targets. Draining targets are left out, so that no node starts to follow theirs.
+    /// Builds the tree from the machines of the listed targets. Draining targets are left out, so that no node starts
+    /// to follow theirs.
     pub fn new<'a>(targets: impl Iterator<Item = &'a Arc<Target>>) -> Self {
         let mut zones: BTreeMap<Arc<str>, Vec<OrderKey>> = BTreeMap::new();
         for target in targets {
@@ -127,8 +130,8 @@
     }
 }
 
-/// The parent of the node with the given index among the nodes of its zone that are not heads, and a substitute parent. When a parent is lost,
-/// its children are spread over the other nodes of its level.
+/// The parent of the node with the given index among the nodes of its zone that are not heads, and a substitute parent.
+/// When a parent is lost, its children are spread over the other nodes of its level.
 fn parents(index: usize, members: &[OrderKey]) -> [OrderKey; 2] {
     let parent = index / FANOUT;
     let substitute = (parent + 1 + index % FANOUT) % (parent + 1);
--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -1,29 +1,34 @@
-//! For how long the configuration in force may be taken for the newest one: a lease on its freshness.
+//! A lease on the freshness of the configuration in force: how long it may be assumed to be the newest one.
 //!
-//! A node knows that its configuration was the newest at some moment: when it sent a read of the store that brought nothing
-//! newer, or by the word of another node that knows it. Keys are believed until a part of the bound on revocation after that moment
-//! is over. The moment counts from when a read was **sent**, on the steady clock: an answer may have been on its way for long.
+//! A node knows that its configuration was the newest at some moment: either it sent a read of the store then that
+//! returned nothing newer, or another node that knows the moment reported it. API keys are accepted until a fraction of
+//! the bound on revocation after that moment. The moment is when the read was **sent**, on the steady clock, since a
+//! response may take long to arrive.
 //!
-//! Another node's word is taken from answers only. The call was sent at a known moment of this node's clock, so the other one had it
-//! after that; it tells how long before the call's arrival its own proof was made, and both spans add up. How long a request has been
-//! on its way nobody knows, so what a request says proves nothing. Ages add up at each hop, so no bound on hops is needed.
+//! Reports of other nodes are taken from responses only. The call was sent at a known time of this node's clock, and it
+//! arrived at the other node after that. The response states how long before the call's arrival the other node's proof
+//! was made, so the age of the proof is at most that time plus the time since the call was sent. How long a request has
+//! been under way is unknown, so nothing in a request counts as proof. Ages add up at each hop, so the number of hops
+//! needs no limit.
 
 use std::time::Duration;
 
 use quillhatch_types::Timestamp;
 
-/// How long watches of the store may say nothing though changes are made, before it cuts them: a watch that ends without a change
-/// may be wrong by so much.
-const SILENT_WATCH: Duration = Duration::from_secs(1);
-/// The part of the lease in which clocks of two machines may go apart; crystals differ by a thousandth of it.
-const CLOCK_PART: f64 = 0.01;
-/// The ages, as parts of the lease, between which a node whose proof is older asks the store itself. Each node draws its own, so that
-/// the first one's proof reaches the others before they ask.
-const RENEWED_FROM: (f64, f64) = (0.55, 0.8);
-/// The changes in one answer of the store up to which it holds all of them.
+/// How long a watch of the store may stay without a response although there are changes, before the store closes it. A
+/// watch that ends without a change may have missed the changes of this time.
+const MAX_WATCH_LAG: Duration = Duration::from_secs(1);
+/// The drift between the clocks of two machines that the lease allows for, as a fraction of the lease. The drift of
+/// crystals is a thousandth of it.
+const CLOCK_DRIFT_FRACTION: f64 = 0.01;
+/// The range of the age at which a node renews its proof by a read of the store, in fractions of the lease. Each node
+/// picks its own age, so that the proof of the first one reaches the others before they read the store.
+const RENEWAL_AGE_FRACTIONS: (f64, f64) = (0.55, 0.8);
+/// The maximum number of changes in a response of the store that is known to contain all changes up to its revision. A
+/// longer response may have been cut short.
 pub const MAX_COMPLETE_PAGE_CHANGES: usize = 45;
 
-/// A moment on the steady clock in microseconds; before the start of the process it is negative.
+/// A time of the steady clock in microseconds; negative if it is before the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Moment(i64);
 
@@ -37,43 +42,46 @@
     }
 }
 
-/// What a node tells of its proof in an answer.
+/// A node's proof of freshness, as it is sent in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessProof {
-    /// The version of the newest configuration at that moment.
+    /// The version of the configuration that was the newest when the proof was made.
     pub version: u64,
-    /// How long before the call's arrival the moment was, in milliseconds and rounded up; negative if it was after the arrival.
+    /// How long before the call's arrival the proof was made, in milliseconds and rounded up; negative if it was made
+    /// after the arrival.
     pub age_at_arrival_ms: i64,
 }
 
-/// The lease of one node.
+/// A node's lease on the freshness of its configuration.
 #[derive(Clone, Debug)]
 pub struct FreshnessLease {
-    length: Option<Duration>,
-    renew_after: Duration,
-    proved: Option<Moment>,
+    duration: Option<Duration>,
+    renewal_age: Duration,
+    proved_at: Option<Moment>,
 }
 
 impl FreshnessLease {
-    /// A lease for a bound on revocation; without one it never ends. `draw` in 0..1 spreads the renewals of nodes.
-    pub fn new(revocation: Option<Duration>, draw: f64) -> Self {
-        let length = revocation.map(|bound| bound.saturating_sub(SILENT_WATCH).mul_f64(1.0 - CLOCK_PART));
-        let (from, to) = RENEWED_FROM;
-        let renew_after = length.map_or(Duration::MAX, |length| length.mul_f64(from + (to - from) * draw));
-        FreshnessLease { length, renew_after, proved: None }
+    /// Creates a lease for a bound on revocation; without a bound it never expires. `jitter` in 0..1 spreads the
+    /// renewals of different nodes.
+    pub fn new(revocation: Option<Duration>, jitter: f64) -> Self {
+        let duration = revocation.map(|bound| bound.saturating_sub(MAX_WATCH_LAG).mul_f64(1.0 - CLOCK_DRIFT_FRACTION));
+        let (from, to) = RENEWAL_AGE_FRACTIONS;
+        let renewal_age = duration.map_or(Duration::MAX, |duration| duration.mul_f64(from + (to - from) * jitter));
+        FreshnessLease { duration, renewal_age, proved_at: None }
     }
 
-    /// Whether there is a bound.
+    /// Whether there is a bound on revocation, so that the lease can expire.
     pub fn is_bounded(&self) -> bool {
-        self.length.is_some()
+        self.duration.is_some()
     }
 
-    /// A read of the store that was sent at `sent` brought nothing newer than what is in force.
+    /// Records that a read of the store, sent at `sent`, returned nothing newer than the configuration in force.
     pub fn record_read(&mut self, sent: Timestamp) {
         self.prove(Moment::of(sent));
     }
 
-    /// Another node has answered a call that was sent at `sent`. Its proof counts if this node's configuration, of `version`, is as new.
+    /// Records the proof in another node's response to a call that was sent at `sent`. It counts only if this node's
+    /// configuration, with the given `version`, is at least as new as the one that the proof is about.
     pub fn record_proof(&mut self, proof: FreshnessProof, version: u64, sent: Timestamp) {
         if version < proof.version || version == 0 {
             return;
@@ -82,32 +90,32 @@
         self.prove(Moment(Moment::of(sent).0.saturating_sub(age)));
     }
 
-    /// What is told in the answer to a call that arrived at `arrived`.
+    /// The proof to send in the response to a call that arrived at `arrived`.
     pub fn proof(&self, version: u64, arrived: Timestamp) -> Option<FreshnessProof> {
-        let proved = self.proved?;
-        let age = Moment::of(arrived).0.saturating_sub(proved.0);
+        let proved_at = self.proved_at?;
+        let age = Moment::of(arrived).0.saturating_sub(proved_at.0);
         Some(FreshnessProof { version, age_at_arrival_ms: age.div_euclid(1000) + 1 })
     }
 
-    /// Whether keys may be believed now.
+    /// Whether keys may be accepted now.
     pub fn is_valid(&self, now: Timestamp) -> bool {
-        let Some(length) = self.length else { return true };
-        self.proved.is_some_and(|proved| proved.age(now) < length)
+        let Some(duration) = self.duration else { return true };
+        self.proved_at.is_some_and(|proved_at| proved_at.age(now) < duration)
     }
 
-    /// How old the proof is; `None` without one.
+    /// The age of the newest proof; `None` if there is none.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.proved.map(|proved| proved.age(now))
+        self.proved_at.map(|proved_at| proved_at.age(now))
     }
 
-    /// How long until this node asks the store itself if it hears nothing newer. `None` if it need not.
+    /// The time until this node must read the store if it receives no newer proof; `None` if there is no bound.
     pub fn renew_in(&self, now: Timestamp) -> Option<Duration> {
-        self.length?;
+        self.duration?;
         let age = self.age(now).unwrap_or(Duration::MAX);
-        Some(self.renew_after.saturating_sub(age))
+        Some(self.renewal_age.saturating_sub(age))
     }
 
     fn prove(&mut self, moment: Moment) {
-        self.proved = self.proved.max(Some(moment));
+        self.proved_at = self.proved_at.max(Some(moment));
     }
 }
--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -1,52 +1,54 @@
-//! What a node reads of the platform's store next, and when.
+//! Which read of the platform's store is next, and how long to wait before it.
 //!
-//! List and watch: everything is read once, then only the changes after the revision that was reached. The first list may
-//! come from a copy of the store that lags, which costs a tenth; the watch behind it brings what the copy lacked. After an
-//! outage the watch goes on where it stood. Everything is read again only if the store no longer has the changes in between.
+//! A node lists and watches: it reads everything once, and then only the changes after the revision that it has
+//! reached. The first list may come from a stale copy of the store, which costs a tenth; the following watch returns
+//! what the copy lacked. After an outage the watch continues from the same revision. Everything is listed again only if
+//! the store no longer has the changes in between.
 
 use std::time::Duration;
 
 use crate::replica::Position;
 use crate::settings::Bounds;
 
-/// The pause after the first failed call in a row; it doubles with each further one.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause of a node that has no view yet, and can serve nobody before it has read the store.
-const LONGEST_PAUSE_UNKNOWING: Duration = Duration::from_millis(800);
-/// The longest pause of a node with a view, as a part of the time after which a machine that reaches the store again must keep
-/// all bounds: the store is read at least once in that time.
-const LONGEST_PAUSE_PART: f64 = 0.5;
-/// An outage of the store in which registrations may have run out. A shorter one is a call or two that failed; a longer one may
-/// have begun some time before it was noticed.
-const OUTAGE_FROM: Duration = Duration::from_millis(500);
-/// How long after the end of an outage targets whose registrations ran out meanwhile may take to be registered again; the
+/// The maximum pause after the first failed call in a row; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// The limit of that pause for a node that has no view of the store yet, and so can't serve any call.
+const MAX_BACKOFF_WITHOUT_VIEW: Duration = Duration::from_millis(800);
+/// The limit of that pause for a node with a view, as a fraction of [`Bounds::recovery`]: the store is read at least
+/// once in that time.
+const MAX_BACKOFF_FRACTION: f64 = 0.5;
+/// The minimum duration of an outage of the store in which registrations may have expired. A shorter one is just one or
+/// two failed calls; a longer one may have begun some time before it was noticed.
+const MIN_OUTAGE: Duration = Duration::from_millis(500);
+/// How long targets whose registrations expired in an outage may take to be registered again after its end; the
 /// platform promises about two seconds.
 pub const REREGISTRATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the store is asked to wait for a change, as a part of the time after which bounds hold again. All readers' watches may hang
-/// at once on connections that stay open, and then nobody learns of a change: the rest is left to connect anew.
-const WAIT_PART: f64 = 0.4;
-/// The same as a part of the bound on revocation, where keys must be refused that were taken away: all nodes live on what the readers
-/// know, which is up to two waits and a gathering old.
-const REVOCATION_WAIT_PART: f64 = 0.15;
-/// How often a target's registration may be late after the store came back from an older copy, beyond one heartbeat.
-const WRITTEN_AGAIN_MARGIN: Duration = Duration::from_secs(1);
+/// The maximum timeout of a watch as a fraction of [`Bounds::recovery`]. The watches of all readers may hang at the
+/// same time on connections that stay open, and then no node learns of a change; the rest of the time is left for
+/// reconnecting.
+const WATCH_TIMEOUT_FRACTION: f64 = 0.4;
+/// The maximum timeout of a watch as a fraction of the bound on revocation, if there is one. All nodes depend on what
+/// the readers know, which may be as old as two watches and a [`Bounds::batch_window`].
+const REVOCATION_WATCH_TIMEOUT_FRACTION: f64 = 0.15;
+/// How late a target's registration may be, beyond one heartbeat, after the store was restored from an older copy.
+const REREGISTRATION_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// What is read next.
+/// The next read of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextRead {
-    /// Everything, from a copy that may lag behind.
+    /// Lists everything, from a copy that may lag behind the store.
     StaleList,
-    /// Everything, as the store holds it now.
+    /// Lists everything in its current state.
     List,
-    /// The changes after this revision.
+    /// Watches for the changes after a revision.
     Watch {
-        /// The revision up to which the view is whole.
+        /// The revision up to which the view is complete.
         after: u64,
     },
 }
 
-/// Decides what is read next, and how long to wait before.
+/// Decides which read is next, and how long to wait before it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreReader {
     has_lost_history: bool,
@@ -54,7 +56,7 @@
 }
 
 impl StoreReader {
-    /// What is read next by a node whose view reaches to `position`.
+    /// The next read of a node whose view has reached `position`.
     pub fn next(&self, position: Position) -> NextRead {
         match position.is_known() {
             _ if self.has_lost_history => NextRead::List,
@@ -63,37 +65,41 @@
         }
     }
 
-    /// The store was read.
+    /// Records that the store was read.
     pub fn read_succeeded(&mut self) {
         *self = StoreReader::default();
     }
 
-    /// The store no longer has the changes after the revision that was reached, or its revisions have started again.
+    /// Records that the store no longer has the changes after the revision that was reached, or that its revisions have
+    /// started anew.
     pub fn history_lost(&mut self) {
         self.has_lost_history = true;
     }
 
-    /// A call failed. Returns the longest pause before the next one.
+    /// Records that a call failed. Returns the maximum pause before the next one.
     pub fn read_failed(&mut self, has_view: bool, bounds: &Bounds) -> Duration {
-        let doubled = SHORTEST_PAUSE * 2_u32.pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.failures.min(8));
         self.failures += 1;
-        let longest = if has_view { bounds.recovery.mul_f64(LONGEST_PAUSE_PART) } else { LONGEST_PAUSE_UNKNOWING };
-        doubled.min(longest)
+        let max_backoff =
+            if has_view { bounds.recovery.mul_f64(MAX_BACKOFF_FRACTION) } else { MAX_BACKOFF_WITHOUT_VIEW };
+        backoff.min(max_backoff)
     }
 }
 
-/// The longest time for which the store may be asked to wait for a change, by what readers alone must keep.
+/// The maximum timeout of a watch, by the bounds that readers must meet on their own.
 pub fn max_watch_timeout(bounds: &Bounds) -> Duration {
-    let for_keys = bounds.revocation.map_or(Duration::MAX, |bound| bound.mul_f64(REVOCATION_WAIT_PART));
-    bounds.recovery.mul_f64(WAIT_PART).min(for_keys)
+    let for_revocation =
+        bounds.revocation.map_or(Duration::MAX, |bound| bound.mul_f64(REVOCATION_WATCH_TIMEOUT_FRACTION));
+    bounds.recovery.mul_f64(WATCH_TIMEOUT_FRACTION).min(for_revocation)
 }
 
-/// Within what time targets are registered again that an older copy of the store lacks, since they were registered after it was made.
+/// How long targets that an older copy of the store lacks, since they were registered after it was made, may take to be
+/// registered again after the store was restored from that copy.
 pub fn reregistration_timeout(bounds: &Bounds) -> Duration {
-    REREGISTRATION_TIMEOUT.max(bounds.heartbeat + WRITTEN_AGAIN_MARGIN)
+    REREGISTRATION_TIMEOUT.max(bounds.heartbeat + REREGISTRATION_TOLERANCE)
 }
 
-/// Whether registrations may have run out in an outage of this length.
+/// Whether registrations may have expired in an outage of this duration.
 pub fn may_have_expired(outage: Duration) -> bool {
-    outage >= OUTAGE_FROM
+    outage >= MIN_OUTAGE
 }
