--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -24,8 +24,8 @@
 /// The range of the age at which a node renews its proof by a read of the store, in fractions of the lease. Each node
 /// picks its own age, so that the proof of the first one reaches the others before they read the store.
 const RENEWAL_AGE_FRACTIONS: (f64, f64) = (0.55, 0.8);
-/// The maximum number of changes in a response of the store that is known to contain all changes up to its revision. A
-/// longer response may have been cut short.
+/// The maximum number of changes in a response of the store that is known to be complete. A response with more changes
+/// may be incomplete.
 pub const MAX_COMPLETE_PAGE_CHANGES: usize = 45;
 
 /// A time of the steady clock in microseconds; negative if it is before the start of the process.
--- a/crates/mesh/src/replica.rs
+++ b/crates/mesh/src/replica.rs
@@ -1,11 +1,12 @@
 //! A node's replica of the platform's store, and the differences between two positions of it.
 //!
-//! Few nodes read the store; the others get what has changed from them. So each node keeps, besides the list of targets that it
-//! works with, what the store holds: with the revision of each entry, and of those that are gone for a while. From that it tells
-//! another node what has changed since that one's position, or everything.
+//! Few nodes read the store; the others receive its changes from them. So besides the list of targets that a node works
+//! with, it keeps the contents of the store with the revision of each entry, and for some time also the entries that
+//! were removed. From that it computes what has changed since the position of another node, or sends everything.
 //!
-//! The store may come back from an older copy. It then has a higher era, and revisions start again from an earlier one. A
-//! position of a later era goes before any of an earlier one, and differences are only told within an era.
+//! The store may be restored from an older copy. Its era is higher then, and its revisions start again from an earlier
+//! one. A position of a later era is later than any position of an earlier era, and differences are only computed
+//! within an era.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -15,42 +16,42 @@
 use crate::configuration::Configuration;
 use crate::targets::{Registration, TargetId};
 
-/// The entries that are gone and remembered. A node that is further behind gets everything.
-const MOST_GONE: usize = 2048;
+/// The maximum number of removed entries that are remembered. A node that is further behind gets everything.
+const MAX_TOMBSTONES: usize = 2048;
 
-/// How far a view of the store reaches; the default is before everything.
+/// The state of the store that a view of it has reached; the default is before any state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// Rises whenever the store comes back from an older copy.
+    /// Increases whenever the store is restored from an older copy.
     pub era: u64,
-    /// Rises with each change within an era.
+    /// Increases with each change within an era.
     pub revision: u64,
 }
 
 impl Position {
-    /// Whether anything of the store is known.
+    /// Whether any state of the store is known.
     pub fn is_known(self) -> bool {
         self != Position::default()
     }
 }
 
-/// One thing that lies in the store, or no longer does.
+/// A change of one entry of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The configuration.
+    /// A configuration was written.
     Configuration(Arc<Configuration>),
-    /// A configuration that can't be used, and all that is wrong with it.
+    /// A configuration was written that can't be used; its errors.
     UnusableConfiguration(Vec<String>),
-    /// A target's registration.
+    /// A target's registration was written.
     Target(TargetId, Registration),
-    /// An entry among those of targets that names no target to use, and why.
+    /// A registration was written that can't be used, and why.
     UnusableTarget(TargetId, String),
-    /// A target that is registered no longer.
+    /// A target's registration was removed.
     TargetRemoved(TargetId),
 }
 
 impl Change {
-    /// The identity of the target that the change is about.
+    /// The identity of the target concerned, if any.
     fn target(&self) -> Option<&TargetId> {
         match self {
             Change::Target(id, _) | Change::UnusableTarget(id, _) | Change::TargetRemoved(id) => Some(id),
@@ -59,50 +60,51 @@
     }
 }
 
-/// A change, and the revision that it made.
+/// A change with its revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisedChange {
     /// The revision.
     pub revision: u64,
-    /// What changed.
+    /// The change.
     pub change: Change,
 }
 
-/// What an answer covers.
+/// The part of the store that an update covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Everything: what it does not name is gone.
+    /// Everything: entries that the update does not contain no longer exist.
     Full,
     /// The changes after a position.
     After(Position),
 }
 
-/// What the store, or another node's replica, has told.
+/// An update of a replica, from the store or from another node's replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// What it covers.
+    /// The part of the store that it covers.
     pub scope: UpdateScope,
-    /// The position that it leads to.
+    /// The position of a replica to which it was applied.
     pub position: Position,
     /// The changes in their order.
     pub changes: Vec<RevisedChange>,
 }
 
-/// What a replica has learnt of an update.
+/// The effect of an update on a replica.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedUpdate {
-    /// The changes that are new, in order.
+    /// The changes that are new to the replica, in order.
     pub changes: Vec<Change>,
-    /// Whether the store has come back from an older copy.
+    /// Whether the store was restored from an older copy.
     pub is_new_era: bool,
 }
 
-/// An update that can't be taken over.
+/// Why an update can't be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateError {
-    /// It does not lead as far as the replica stands, or is of an earlier era.
+    /// Its position is before that of the replica.
     Outdated,
-    /// Changes between the replica's position and its beginning are missing.
+    /// The changes between the replica's position and the start of the update are missing, or the two are of different
+    /// eras.
     Gap,
 }
 
@@ -114,49 +116,50 @@
 }
 
 #[derive(Clone, Debug)]
-struct Gone {
+struct Tombstone {
     revision: u64,
     id: TargetId,
-    last: (u64, u64),
+    /// The [`Registration::write_order`] of the target's last registration.
+    last_write: (u64, u64),
 }
 
-/// What the store holds, as far as a node knows it.
+/// The contents of the store, as far as a node knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     position: Position,
     entries: HashMap<TargetId, Entry>,
-    gone: VecDeque<Gone>,
-    /// Entries that went up to this revision may have been forgotten.
-    forgotten: u64,
+    tombstones: VecDeque<Tombstone>,
+    /// Tombstones up to this revision may have been discarded.
+    discarded_revision: u64,
     configuration: Option<(u64, Arc<Configuration>)>,
 }
 
 impl Replica {
-    /// How far it reaches.
+    /// The position that it has reached.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The targets that it lists.
+    /// The targets that it contains.
     pub fn ids(&self) -> impl Iterator<Item = &TargetId> {
         self.entries.keys()
     }
 
-    /// The number of targets that it lists.
+    /// The number of targets that it contains.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether it lists no target.
+    /// Whether it contains no target.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes an update over.
+    /// Applies an update.
     ///
     /// # Errors
     ///
-    /// Returns why nothing of it was taken.
+    /// Returns why the update was not applied.
     pub fn apply(&mut self, update: Update, now: Timestamp) -> Result<AppliedUpdate, UpdateError> {
         if update.position < self.position {
             return Err(UpdateError::Outdated);
@@ -165,40 +168,40 @@
             return Ok(AppliedUpdate::default());
         }
         match update.scope {
-            UpdateScope::Full => Ok(self.take_whole(update, now)),
+            UpdateScope::Full => Ok(self.apply_full(update, now)),
             UpdateScope::After(from) if from.era != self.position.era || update.position.era != from.era => {
                 Err(UpdateError::Gap)
             }
             UpdateScope::After(from) if from.revision > self.position.revision => Err(UpdateError::Gap),
             UpdateScope::After(_) => {
-                let changes = self.take_changes(update.changes, false, now);
+                let changes = self.apply_changes(update.changes, false, now);
                 self.position = update.position;
                 Ok(AppliedUpdate { changes, is_new_era: false })
             }
         }
     }
 
-    fn take_whole(&mut self, update: Update, now: Timestamp) -> AppliedUpdate {
+    fn apply_full(&mut self, update: Update, now: Timestamp) -> AppliedUpdate {
         let is_new_era = self.position.is_known() && update.position.era > self.position.era;
         let revision = update.position.revision;
         if is_new_era || !self.position.is_known() {
-            // What went before is known only as far as the update names it.
-            self.forgotten = revision;
+            // Which entries were removed before is not known.
+            self.discarded_revision = revision;
         }
         if is_new_era {
-            // Revisions of the former era say nothing in this one.
+            // Revisions of the previous era have no meaning in this one.
             self.entries.values_mut().for_each(|entry| entry.revision = 0);
-            self.gone.iter_mut().for_each(|gone| gone.revision = revision);
-            self.configuration.iter_mut().for_each(|(former, _)| *former = revision);
+            self.tombstones.iter_mut().for_each(|tombstone| tombstone.revision = revision);
+            self.configuration.iter_mut().for_each(|(previous, _)| *previous = revision);
         }
-        let named: HashSet<TargetId> = update
+        let contained: HashSet<TargetId> = update
             .changes
             .iter()
             .filter(|revised| !matches!(revised.change, Change::TargetRemoved(_)))
             .filter_map(|revised| revised.change.target().cloned())
             .collect();
-        let mut changes = self.take_changes(update.changes, is_new_era, now);
-        let mut missing: Vec<TargetId> = self.entries.keys().filter(|id| !named.contains(*id)).cloned().collect();
+        let mut changes = self.apply_changes(update.changes, is_new_era, now);
+        let mut missing: Vec<TargetId> = self.entries.keys().filter(|id| !contained.contains(*id)).cloned().collect();
         missing.sort_unstable();
         for id in missing {
             self.remove(&id, revision);
@@ -208,24 +211,24 @@
         AppliedUpdate { changes, is_new_era }
     }
 
-    fn take_changes(&mut self, revised: Vec<RevisedChange>, is_new_era: bool, now: Timestamp) -> Vec<Change> {
-        let mut taken = Vec::with_capacity(revised.len());
+    fn apply_changes(&mut self, revised: Vec<RevisedChange>, is_new_era: bool, now: Timestamp) -> Vec<Change> {
+        let mut applied = Vec::with_capacity(revised.len());
         for RevisedChange { revision, change } in revised {
-            if self.take_change(revision, &change, is_new_era, now) {
-                taken.push(change);
+            if self.apply_change(revision, &change, is_new_era, now) {
+                applied.push(change);
             }
         }
-        taken
+        applied
     }
 
-    /// Says whether the change is new.
-    fn take_change(&mut self, revision: u64, change: &Change, is_new_era: bool, now: Timestamp) -> bool {
+    /// Applies a change; returns whether it is new.
+    fn apply_change(&mut self, revision: u64, change: &Change, is_new_era: bool, now: Timestamp) -> bool {
         match change {
-            Change::Configuration(offered) => {
+            Change::Configuration(written) => {
                 let known = self.configuration.as_ref().map_or(0, |(_, known)| known.version);
-                let is_newer = offered.version > known;
+                let is_newer = written.version > known;
                 if is_newer {
-                    self.configuration = Some((revision, Arc::clone(offered)));
+                    self.configuration = Some((revision, Arc::clone(written)));
                 }
                 is_newer
             }
@@ -247,13 +250,14 @@
         is_new_era: bool,
         now: Timestamp,
     ) -> bool {
-        let written = registration.write_order();
+        let write_order = registration.write_order();
         if let Some(entry) = self.entries.get_mut(id) {
             if entry.revision >= revision {
                 return false;
             }
-            if written < entry.registration.write_order() {
-                // A late write of an earlier life, or an older copy of the store: what is known goes before it.
+            if write_order < entry.registration.write_order() {
+                // A late write from before a restart of the target, or from an older copy of the store: the known entry
+                // is newer.
                 entry.revision = revision;
                 return false;
             }
@@ -264,11 +268,13 @@
                 return false;
             }
         }
-        let left = self.gone.iter().rev().find(|gone| gone.id == *id);
-        if left.is_some_and(|left| written < left.last || (is_new_era && written == left.last)) {
+        let tombstone = self.tombstones.iter().rev().find(|tombstone| tombstone.id == *id);
+        if tombstone.is_some_and(|tombstone| {
+            write_order < tombstone.last_write || (is_new_era && write_order == tombstone.last_write)
+        }) {
             return false;
         }
-        self.gone.retain(|gone| gone.id != *id);
+        self.tombstones.retain(|tombstone| tombstone.id != *id);
         let cold_until = now + registration.cold_for;
         let entry = Entry { revision, registration: registration.clone(), cold_until };
         self.entries.insert(id.clone(), entry);
@@ -285,20 +291,22 @@
 
     fn remove(&mut self, id: &TargetId, revision: u64) {
         let Some(entry) = self.entries.remove(id) else { return };
-        self.gone.push_back(Gone { revision, id: id.clone(), last: entry.registration.write_order() });
-        if self.gone.len() > MOST_GONE {
-            let oldest = self.gone.pop_front();
-            self.forgotten = oldest.map_or(self.forgotten, |gone| self.forgotten.max(gone.revision));
+        self.tombstones.push_back(Tombstone { revision, id: id.clone(), last_write: entry.registration.write_order() });
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstones.pop_front();
+            self.discarded_revision =
+                oldest.map_or(self.discarded_revision, |tombstone| self.discarded_revision.max(tombstone.revision));
         }
     }
 
-    /// What has changed since `from`; everything if not all of that is known. `None` if there is nothing new.
+    /// The changes since `from`, or everything if they are not all known; `None` if there is nothing new.
     pub fn update_since(&self, from: Position, now: Timestamp) -> Option<Update> {
         if from >= self.position {
             return None;
         }
-        let is_difference = from.is_known() && from.era == self.position.era && from.revision >= self.forgotten;
-        let extent = if is_difference { UpdateScope::After(from) } else { UpdateScope::Full };
+        let is_difference =
+            from.is_known() && from.era == self.position.era && from.revision >= self.discarded_revision;
+        let scope = if is_difference { UpdateScope::After(from) } else { UpdateScope::Full };
         let after = if is_difference { from.revision } else { 0 };
         let mut changes: Vec<RevisedChange> = Vec::new();
         for (id, entry) in &self.entries {
@@ -308,9 +316,12 @@
             let registration = Registration { cold_for: now.until(entry.cold_until), ..entry.registration.clone() };
             changes.push(RevisedChange { revision: entry.revision, change: Change::Target(id.clone(), registration) });
         }
-        for gone in &self.gone {
-            if is_difference && gone.revision > after {
-                changes.push(RevisedChange { revision: gone.revision, change: Change::TargetRemoved(gone.id.clone()) });
+        for tombstone in &self.tombstones {
+            if is_difference && tombstone.revision > after {
+                changes.push(RevisedChange {
+                    revision: tombstone.revision,
+                    change: Change::TargetRemoved(tombstone.id.clone()),
+                });
             }
         }
         if let Some((revision, configuration)) = &self.configuration {
@@ -320,6 +331,6 @@
             }
         }
         changes.sort_by_cached_key(|revised| (revised.revision, revised.change.target().cloned()));
-        Some(Update { scope: extent, position: self.position, changes })
+        Some(Update { scope: scope, position: self.position, changes })
     }
 }
--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -1,9 +1,9 @@
 //! Which read of the platform's store is next, and how long to wait before it.
 //!
 //! A node lists and watches: it reads everything once, and then only the changes after the revision that it has
-//! reached. The first list may come from a stale copy of the store, which costs a tenth; the following watch returns
-//! what the copy lacked. After an outage the watch continues from the same revision. Everything is listed again only if
-//! the store no longer has the changes in between.
+//! reached. The first list may come from a stale copy of the store, which costs a tenth of a current one; the following
+//! watch returns what the copy lacked. After an outage the watch continues from the same revision. Everything is listed
+//! again only if the store no longer has the changes in between.
 
 use std::time::Duration;
 
