--- a/crates/mesh/src/targets/registration.rs
+++ b/crates/mesh/src/targets/registration.rs
@@ -1,4 +1,4 @@
-//! What a target registers of itself.
+//! The registration of a target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,32 +6,34 @@
 
 use quillhatch_types::Timestamp;
 
-/// Identifies a target. One that starts again mostly has a new one; else its [`Registration::started`] tells its lives apart.
+/// Identifies a target. A restarted target usually has a new identity; otherwise [`Registration::started`]
+/// distinguishes its processes.
 pub type TargetId = Arc<str>;
 
 /// The registration of a target in the platform's store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// The service that it serves.
+    /// The service that the target provides.
     pub service: Arc<str>,
-    /// Where it listens; its node listens at the same IP address.
+    /// Where the target listens; its node listens at the same IP address.
     pub address: SocketAddr,
-    /// The zone in which it stands.
+    /// The zone of the target's machine.
     pub zone: Arc<str>,
-    /// The calls that it works on at a time.
+    /// The number of calls that the target runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the target drains: it is about to stop and must get no new calls.
     pub draining: bool,
-    /// For how long it will be slow after its start.
+    /// How long the target will still be slow after its start.
     pub cold_for: Duration,
-    /// When the target started, in milliseconds of its own clock; zero if it does not tell.
+    /// When the target's process started, in milliseconds of its own clock; zero if unknown.
     pub started: u64,
-    /// How often it has written its registration since.
+    /// The number of times the process has written its registration.
     pub sequence: u64,
 }
 
 impl Registration {
-    /// Orders what one target has written: by its lives, and within a life by its writes.
+    /// Orders the registrations that one target has written: by the start of its process, then by the sequence of its
+    /// writes.
     pub fn write_order(&self) -> (u64, u64) {
         (self.started, self.sequence)
     }
@@ -46,6 +48,6 @@
     pub registration: Registration,
     /// Until when it is slow after its start.
     pub cold_until: Timestamp,
-    /// When it was listed first; of two targets at one address the later one is the present one.
+    /// When it was first listed. Of two targets at one address, the one that was listed later is the current one.
     pub listed_at: Timestamp,
 }
