--- a/crates/sidecar/src/edge/answers.rs
+++ b/crates/sidecar/src/edge/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the node itself.
+//! Responses that the node itself generates.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 use crate::body::Body;
 use crate::node::Node;
 
-/// The parts of a call's objective between which its caller is told to come back: late enough for a short shortage to be over, and while
-/// an answer can still be in time. With 0.6 to 1.4 s for calls refused at entry more answers were late: worth 0.745 instead of 0.754 and 0.730
-/// instead of 0.735 on two days of a shortage of 18 s.
-const COME_BACK_PART: std::ops::Range<f64> = 0.15..0.4;
+/// The range of `Retry-After`, as fractions of the call's latency objective: late enough for a short shortage to be
+/// over, and early enough for a response in time. With 0.6 to 1.4 s for calls refused at entry more responses were
+/// late: on two days with a shortage of 18 s the score was 0.745 instead of 0.754 and 0.730 instead of 0.735.
+const RETRY_AFTER_FRACTION: std::ops::Range<f64> = 0.15..0.4;
 
-/// The final answer to a call that no target has answered. If it has not run, its caller is told to come back after `pause`.
+/// The final response to a call that no target has answered. If the call has not run, the response tells its caller to
+/// retry after `retry_after`.
 pub(super) fn give_up(
     node: &Node,
     call: &Call,
     may_have_run: bool,
     why: &'static str,
     tried: usize,
-    pause: Duration,
+    retry_after: Duration,
 ) -> Response<Body> {
     let now = node.now();
     let version = node.configuration.borrow().version();
@@ -39,40 +40,46 @@
         if let Some(tenant) = &call.tenant {
             node.tenancy.returned(tenant, now);
         }
-        return refuse(node, &call.id, why, pause, call.arrived);
+        return refuse(node, &call.id, why, retry_after, call.arrived);
     }
     let status = if why == "late" { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-    own_answer(node, &call.id, status, why, call.arrived)
+    local_response(node, &call.id, status, why, call.arrived)
 }
 
-/// When a caller whose call of `route` has not run is told to come back.
-pub(super) fn come_back(node: &Node, route: &Route) -> Duration {
-    route.objective.mul_f64(node.random.borrow_mut().gen_range(COME_BACK_PART))
+/// A random `Retry-After` for a call of `route` that has not run.
+pub(super) fn retry_delay(node: &Node, route: &Route) -> Duration {
+    route.objective.mul_f64(node.random.borrow_mut().gen_range(RETRY_AFTER_FRACTION))
 }
 
-/// Tells the caller that the call has not run, and when to come back.
-pub(super) fn refuse(node: &Node, id: &str, why: &'static str, pause: Duration, arrived: Timestamp) -> Response<Body> {
-    refuse_with(node, StatusCode::SERVICE_UNAVAILABLE, id, why, pause, arrived)
+/// A 503 response: the call has not run and may be retried after `retry_after`.
+pub(super) fn refuse(
+    node: &Node,
+    id: &str,
+    why: &'static str,
+    retry_after: Duration,
+    arrived: Timestamp,
+) -> Response<Body> {
+    refuse_with_status(node, StatusCode::SERVICE_UNAVAILABLE, id, why, retry_after, arrived)
 }
 
-/// The same with another status that says that the call has not run.
-pub(super) fn refuse_with(
+/// As [`refuse`], with another status that means that the call has not run.
+pub(super) fn refuse_with_status(
     node: &Node,
     status: StatusCode,
     id: &str,
     why: &'static str,
-    pause: Duration,
+    retry_after: Duration,
     arrived: Timestamp,
 ) -> Response<Body> {
-    let mut response = own_answer(node, id, status, why, arrived);
-    if let Ok(value) = HeaderValue::from_str(&format!("{:.2}", pause.as_secs_f64())) {
+    let mut response = local_response(node, id, status, why, arrived);
+    if let Ok(value) = HeaderValue::from_str(&format!("{:.2}", retry_after.as_secs_f64())) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
     response
 }
 
-/// An answer without a body.
-pub(super) fn own_answer(
+/// A response without a body, counted under the outcome `why`.
+pub(super) fn local_response(
     node: &Node,
     id: &str,
     status: StatusCode,
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at one target.
+//! One attempt to serve a call at one target.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -27,44 +27,47 @@
 use crate::reach;
 use crate::relay::relay_response;
 
-/// How long a target's own answer at the deadline is waited for.
+/// How long past the deadline the edge waits for a response that the target sends at the deadline.
 const DEADLINE_ALLOWANCE: Duration = Duration::from_millis(40);
-/// The part of its time that a call made by a target may wait at a gate.
-const INNER_PATIENCE_PART: f64 = 0.6;
-/// The part of its objective for which a call may go without being offered to a target.
-pub(super) const UNOFFERED_PART: f64 = 0.22;
+/// The fraction of its remaining time that a nested call may spend in a gate's queue.
+const NESTED_QUEUE_FRACTION: f64 = 0.6;
+/// The fraction of its latency objective within which a root call must be dispatched to a target. Until then it may
+/// wait in a gate's queue, or for a target that can be reached.
+pub(super) const DISPATCH_FRACTION: f64 = 0.22;
 
-/// The cut of a route from which its service is not short of room: then a call takes long because of its target, and one more
-/// attempt does not add to an overload.
-const ROOM_FROM: f64 = 0.95;
-/// The mean times of a route that must be left for a slow attempt to be left for another.
-const TIMES_LEFT: u32 = 2;
+/// The minimum cut of a route at which its service has spare capacity. A call that takes long is then slow because of
+/// its target, and one more attempt does not add to an overload.
+const SPARE_CAPACITY_MIN_CUT: f64 = 0.95;
+/// How many mean response times of the route must remain until the deadline for a slow attempt to be abandoned for
+/// another target.
+const MIN_MEAN_TIMES_LEFT: u32 = 2;
 
-/// When a request that crashes targets may be tried again if its gate does not tell.
-const UNTOLD_QUARANTINE: Duration = Duration::from_secs(60);
+/// The retry delay of a quarantined request if the gate's response has no valid `Retry-After` header.
+const DEFAULT_QUARANTINE_DELAY: Duration = Duration::from_secs(60);
 
 /// How one attempt ended.
 pub(super) enum Attempt {
-    /// The target's answer.
-    Answer(Box<Response<Body>>),
-    /// It has not run: the gate has no room.
+    /// The target's response.
+    Response(Box<Response<Body>>),
+    /// The call has not run: the gate has no free slot for it.
     Full,
-    /// It has not run for another reason, and no target has seen it.
+    /// The call has not run and no target has received it, for this reason.
     NotRun(&'static str),
-    /// It has not run, since another target has followed the one that was meant; that one is listed now.
-    Followed,
-    /// It has not run, but a target has seen and refused it.
+    /// The call has not run: another instance has replaced the target, and is now in the list of targets.
+    TargetReplaced,
+    /// The call has not run: a target received it and refused it.
     Rejected,
-    /// It has not run, since requests like it crash targets; it may be tried again after so long.
+    /// The call has not run: requests with its signature crash targets. It may be retried after this delay.
     Quarantined(Duration),
-    /// It may have run, and there is no answer.
-    Broken(String),
-    /// It was left while its target works on it, since the target is slow and another one may answer in time.
-    Left,
-    /// Its time is over.
-    Late,
+    /// The call may have run, and there is no valid response, for this reason.
+    NoResponse(String),
+    /// The call may have run: the attempt was abandoned because the target is slow and another one may respond in time.
+    Abandoned,
+    /// The call may have run, and its deadline has passed.
+    DeadlineExceeded,
 }
 
+/// An attempt that the load balancer counts as in flight at its target, until it is dropped.
 struct InFlight<'a> {
     node: &'a Node,
     target: &'a TargetId,
@@ -76,42 +79,42 @@
     }
 }
 
-/// Sends a call to a target and waits for what becomes of it. `may_leave` decides whether another target is tried while a slow
-/// one still works on the call.
+/// Sends a call to a target and waits for the outcome. `may_abandon` decides whether a slow attempt is abandoned for
+/// another target while its target still works on the call.
 pub(super) async fn attempt(
     node: &Rc<Node>,
     call: &Call,
     target: &Target,
     body: Body,
-    may_leave: impl FnOnce() -> bool,
+    may_abandon: impl FnOnce() -> bool,
 ) -> Attempt {
-    let begun = node.now();
-    let left = begun.until(call.deadline);
+    let started = node.now();
+    let remaining = started.until(call.deadline);
     let mut request = Request::new(body);
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
-    let patience = if !node.has(Mechanism::Patience) {
-        left
-    } else if call.is_inner {
-        left.mul_f64(INNER_PATIENCE_PART)
+    let max_wait = if !node.has(Mechanism::Patience) {
+        remaining
+    } else if call.is_nested {
+        remaining.mul_f64(NESTED_QUEUE_FRACTION)
     } else {
-        begun.until(call.arrived + call.route.objective.mul_f64(UNOFFERED_PART)).min(left)
+        started.until(call.arrived + call.route.objective.mul_f64(DISPATCH_FRACTION)).min(remaining)
     };
     let forwarded = HopContext {
-        is_root: !call.is_inner,
+        is_root: !call.is_nested,
         lineage: call.lineage.clone(),
-        max_wait: patience,
+        max_wait,
         store_view: reach::own_reach(node),
         edge_ip: node.settings.local_target.ip(),
     };
     let added = [
         (HOP_HEADER, forwarded.encode()),
-        (headers::DEADLINE_MS, left.as_millis().to_string()),
+        (headers::DEADLINE_MS, remaining.as_millis().to_string()),
         (headers::EXPECT_INSTANCE, target.id.to_string()),
     ];
     for (name, value) in added {
-        let Ok(value) = HeaderValue::from_str(&value) else { return Attempt::NotRun("unfit header") };
+        let Ok(value) = HeaderValue::from_str(&value) else { return Attempt::NotRun("invalid header value") };
         request.headers_mut().insert(name, value);
     }
     let address = SocketAddr::new(target.registration.address.ip(), node.settings.inbound.port());
@@ -119,28 +122,32 @@
     let in_flight = InFlight { node, target: &target.id };
     let sent = SentFlag::default();
     let exchange = node.peers.exchange_tracking_sent(address, request, &sent);
-    let (response, lease) = match exchange_while_present(node, call, target, begun, exchange, may_leave).await {
-        // It still waited for a connection, so no target has seen it.
-        Exchanged::Late | Exchanged::Silent if !sent.is_set() => return Attempt::NotRun("no connection in time"),
-        Exchanged::Late => {
+    let (response, lease) = match exchange_while_alive(node, call, target, started, exchange, may_abandon).await {
+        // The attempt was still waiting for a connection, so no target has received the call.
+        Exchanged::DeadlineExceeded | Exchanged::Unresponsive if !sent.is_set() => {
+            return Attempt::NotRun("no connection in time")
+        }
+        Exchanged::DeadlineExceeded => {
             let now = node.now();
-            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(begun), now);
-            return Attempt::Late;
+            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(started), now);
+            return Attempt::DeadlineExceeded;
         }
-        Exchanged::Left => {
+        Exchanged::Abandoned => {
             let now = node.now();
-            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(begun), now);
-            return Attempt::Left;
+            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(started), now);
+            return Attempt::Abandoned;
         }
-        Exchanged::Silent => return Attempt::Broken("the node is silent".to_owned()),
+        Exchanged::Unresponsive => return Attempt::NoResponse("node did not answer the liveness probe".to_owned()),
         Exchanged::Failed(ExchangeError::ConnectionRefused | ExchangeError::NotSent(_)) => {
             return Attempt::NotRun("unreachable")
         }
-        Exchanged::Failed(ExchangeError::NoResponse(why)) => return Attempt::Broken(why),
-        Exchanged::Answered(response, lease) => (*response, lease),
+        Exchanged::Failed(ExchangeError::NoResponse(why)) => return Attempt::NoResponse(why),
+        Exchanged::Response(response, lease) => (*response, lease),
     };
     let report = response.headers().get(HOP_HEADER).and_then(|value| value.to_str().ok()).and_then(HopReport::decode);
-    let Some(report) = report else { return Attempt::Broken("an answer without a report".to_owned()) };
+    let Some(report) = report else {
+        return Attempt::NoResponse("response without a valid quillhatch-hop header".to_owned());
+    };
     let now = node.now();
     node.balance.borrow_mut().reported(&target.id, report.load, report.health, now);
     if matches!(report.outcome, GateOutcome::Answered | GateOutcome::Full) {
@@ -149,16 +156,16 @@
     node.parents.borrow_mut().report(&call.route.name, report.called_by);
     reach::heard(node, target.registration.address.ip(), report.store_view);
     if let Some(proof) = report.proof {
-        node.tenancy.heard(proof, &node.configuration.borrow(), begun);
+        node.tenancy.heard(proof, &node.configuration.borrow(), started);
     }
-    let follows = report.local_target.as_ref().is_some_and(|present| {
+    let is_replaced = report.local_target.as_ref().is_some_and(|present| {
         let mut targets = node.targets.borrow_mut();
         targets.succeed(&target.id, Arc::from(present.id.as_str()), &present.service, now);
         targets.get(&present.id).is_some()
     });
     match report.outcome {
         GateOutcome::Answered => {
-            let took = now.since(begun);
+            let took = now.since(started);
             if response.status().is_success() {
                 node.balance.borrow_mut().answered(&target.id, &call.route.name, took, now);
             } else if response.status() == StatusCode::GATEWAY_TIMEOUT {
@@ -168,120 +175,125 @@
             relay(response, lease).await
         }
         GateOutcome::Full => {
-            finish(response, lease).await;
+            discard_response(response, lease).await;
             Attempt::Full
         }
-        GateOutcome::Closed if follows => {
-            finish(response, lease).await;
-            Attempt::Followed
+        GateOutcome::Closed if is_replaced => {
+            discard_response(response, lease).await;
+            Attempt::TargetReplaced
         }
         GateOutcome::Closed => {
-            finish(response, lease).await;
+            discard_response(response, lease).await;
             Attempt::NotRun("closed")
         }
         GateOutcome::Rejected => {
-            finish(response, lease).await;
+            discard_response(response, lease).await;
             Attempt::Rejected
         }
         GateOutcome::Quarantined => {
-            let told = text(response.headers(), RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
-            finish(response, lease).await;
-            Attempt::Quarantined(told.map_or(UNTOLD_QUARANTINE, Duration::from_secs))
+            let retry_after = text(response.headers(), RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
+            discard_response(response, lease).await;
+            Attempt::Quarantined(retry_after.map_or(DEFAULT_QUARANTINE_DELAY, Duration::from_secs))
         }
         GateOutcome::NoResponse => {
-            finish(response, lease).await;
-            Attempt::Broken("broken at the target".to_owned())
+            discard_response(response, lease).await;
+            Attempt::NoResponse("gate got no valid response from the target".to_owned())
         }
         GateOutcome::DeadlineExceeded => {
-            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(begun), now);
-            finish(response, lease).await;
-            Attempt::Late
+            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(started), now);
+            discard_response(response, lease).await;
+            Attempt::DeadlineExceeded
         }
     }
 }
 
+/// How the exchange with the target's node ended.
 enum Exchanged {
-    Answered(Box<Response<Incoming>>, ConnectionLease),
+    /// The head of a response has arrived.
+    Response(Box<Response<Incoming>>, ConnectionLease),
+    /// The connection failed.
     Failed(ExchangeError),
-    /// The call's time is over.
-    Late,
-    /// The node is not there; only told of calls that may be repeated.
-    Silent,
-    /// The node is there and takes long; only told of calls that may be repeated.
-    Left,
+    /// The call's deadline has passed.
+    DeadlineExceeded,
+    /// The node did not answer the liveness probe. Only for calls that may be retried.
+    Unresponsive,
+    /// The node is alive but slow, and the attempt was abandoned. Only for calls that may be retried.
+    Abandoned,
 }
 
 impl From<Result<(Response<Incoming>, ConnectionLease), ExchangeError>> for Exchanged {
     fn from(result: Result<(Response<Incoming>, ConnectionLease), ExchangeError>) -> Self {
         match result {
-            Ok((response, lease)) => Exchanged::Answered(Box::new(response), lease),
+            Ok((response, lease)) => Exchanged::Response(Box::new(response), lease),
             Err(error) => Exchanged::Failed(error),
         }
     }
 }
 
-/// Whether a call that takes long at its target is better sent to another one: it is made by a target, whose own call fails with
-/// it, its service has room, and there is time left. A node that stops breaks nothing off: the other target may refuse, and the
-/// answer would be its own.
-pub(super) fn is_worth_leaving(node: &Node, call: &Call) -> bool {
+/// Whether a slow attempt should be abandoned for another target: the call is nested, so its parent call fails with it,
+/// its service has spare capacity, and enough time is left. A stopping node abandons nothing: the other target may
+/// refuse the call, and the caller would then get this node's error instead of a target's response.
+pub(super) fn should_abandon(node: &Node, call: &Call) -> bool {
     let now = node.now();
     let Some(mean) = node.balance.borrow().route_time(&call.route.name) else { return false };
     node.has(Mechanism::SlowAttempts)
         && !node.is_stopping()
-        && call.is_inner
-        && node.cuts.borrow().cut(&call.route.name, now).share() >= ROOM_FROM
-        && now.until(call.deadline) >= mean * TIMES_LEFT
+        && call.is_nested
+        && node.cuts.borrow().cut(&call.route.name, now).share() >= SPARE_CAPACITY_MIN_CUT
+        && now.until(call.deadline) >= mean * MIN_MEAN_TIMES_LEFT
 }
 
-/// Waits for an exchange until the call's deadline, or until its node turns out not to be there, or to be so slow that the call
-/// is left.
-async fn exchange_while_present(
+/// Waits for a response until the call's deadline. Ends earlier if the target's node fails the liveness probe, or if
+/// the attempt is abandoned because the target is slow.
+async fn exchange_while_alive(
     node: &Rc<Node>,
     call: &Call,
     target: &Target,
-    begun: Timestamp,
+    started: Timestamp,
     exchange: impl Future<Output = Result<(Response<Incoming>, ConnectionLease), ExchangeError>>,
-    may_leave: impl FnOnce() -> bool,
+    may_abandon: impl FnOnce() -> bool,
 ) -> Exchanged {
     let mut exchange = pin!(exchange);
-    let end = call.deadline + DEADLINE_ALLOWANCE;
-    let suspicion = node.balance.borrow().suspicion_after(&call.route.name);
-    if suspicion < node.now().until(end) && call.route.repeatability == Repeatability::Repeatable {
-        let suspicious_from = node.now() + suspicion;
-        if let Ok(result) = node.clock.timeout_at(suspicious_from, &mut exchange).await {
+    let give_up_at = call.deadline + DEADLINE_ALLOWANCE;
+    let probe_delay = node.balance.borrow().suspicion_after(&call.route.name);
+    if probe_delay < node.now().until(give_up_at) && call.route.repeatability == Repeatability::Repeatable {
+        let probe_at = node.now() + probe_delay;
+        if let Ok(result) = node.clock.timeout_at(probe_at, &mut exchange).await {
             return result.into();
         }
         // The machine was suspended for the rest of the call's time.
-        if node.now() >= end {
-            return Exchanged::Late;
+        if node.now() >= give_up_at {
+            return Exchanged::DeadlineExceeded;
         }
         tokio::select! {
             biased;
             result = &mut exchange => return result.into(),
-            is_there = presence::is_there(node, target, begun) => if !is_there { return Exchanged::Silent },
+            is_alive = presence::is_there(node, target, started) => if !is_alive { return Exchanged::Unresponsive },
         }
-        if may_leave() {
-            return Exchanged::Left;
+        if may_abandon() {
+            return Exchanged::Abandoned;
         }
     }
-    match node.clock.timeout_at(end, exchange).await {
+    match node.clock.timeout_at(give_up_at, exchange).await {
         Ok(result) => result.into(),
-        Err(_) => Exchanged::Late,
+        Err(_) => Exchanged::DeadlineExceeded,
     }
 }
 
-async fn finish(response: Response<Incoming>, lease: ConnectionLease) {
+/// Reads the rest of a gate's own response, which is discarded, and releases the connection.
+async fn discard_response(response: Response<Incoming>, lease: ConnectionLease) {
     if response.into_body().collect().await.is_ok() {
         lease.release();
     }
 }
 
+/// Passes a target's response on without the header of the gate.
 async fn relay(response: Response<Incoming>, lease: ConnectionLease) -> Attempt {
     match relay_response(response, lease).await {
         Ok(mut response) => {
             response.headers_mut().remove(HOP_HEADER);
-            Attempt::Answer(Box::new(response))
+            Attempt::Response(Box::new(response))
         }
-        Err(why) => Attempt::Broken(why),
+        Err(why) => Attempt::NoResponse(why),
     }
 }
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -1,4 +1,4 @@
-//! What a call inherits, and whether it may enter the graph.
+//! The lineage of a call, the admission of root calls, and checks of malformed requests.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -14,30 +14,31 @@
 
 use crate::node::Node;
 
-/// What a call of this origin inherits from the call that entered the graph; one that enters here has `priority`.
+/// The lineage of a call with this origin. A nested call inherits it from its root call; a root call starts one with
+/// `priority`.
 pub(super) fn lineage_of(node: &Node, priority: u8, origin: &Origin, id: &str) -> Lineage {
-    let own = Lineage { priority, position: position(id), is_repeat: false, admitted_permille: ALL_ADMITTED };
+    let new_root = Lineage { priority, position: position(id), is_repeat: false, admitted_permille: ALL_ADMITTED };
     match origin {
-        _ if !node.has(Mechanism::InheritedRank) => own,
+        _ if !node.has(Mechanism::InheritedRank) => new_root,
         Origin::Parent(_, lineage) => lineage.clone(),
         Origin::Target(Some(likely)) => Lineage {
             priority: likely.priority,
             is_repeat: node.random.borrow_mut().gen_bool(likely.repeated_share.min(1.0)),
             admitted_permille: likely.admitted_permille,
-            ..own
+            ..new_root
         },
-        Origin::Target(None) | Origin::Caller => own,
+        Origin::Target(None) | Origin::Caller => new_root,
     }
 }
 
-/// The position of a call that enters the graph, drawn from its identity.
+/// The position of a root call, a hash of its identity.
 fn position(id: &str) -> u8 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish() as u8
 }
 
-/// The share of calls like this one that enter the graph here.
+/// The share of root calls of this route and priority that are admitted.
 pub(super) fn admitted_share(
     node: &Node,
     configuration: &Configuration,
@@ -48,14 +49,18 @@
     node.cuts.borrow().cut(&route.name, now).admitted_share(priority, configuration.priorities())
 }
 
-/// Whether a call that enters the graph here is refused. The same ones are let in everywhere and all the while, as long as the
-/// share does not change.
+/// Whether a root call is refused at this admitted share. While the share does not change, every node and every retry
+/// decides alike for the same call.
 pub(super) fn is_refused(lineage: &Lineage, share: f64) -> bool {
     f64::from(lineage.position) / 256.0 >= share
 }
 
-/// The status with which a request is refused that no target should see.
-pub(super) fn malformed(configuration: &Configuration, parts: &Parts, body: Option<&Incoming>) -> Option<StatusCode> {
+/// The status with which a malformed or oversized request is refused before it reaches a target.
+pub(super) fn malformed_status(
+    configuration: &Configuration,
+    parts: &Parts,
+    body: Option<&Incoming>,
+) -> Option<StatusCode> {
     let limits = &configuration.limits;
     let head: usize = parts.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
     if head + parts.uri.path().len() > limits.header_bytes {
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! The edge: takes a call from a caller or from this node's own target and brings back an answer.
+//! The edge: accepts calls from callers and from this node's own target, and returns the responses.
 
 mod answers;
 mod attempt;
@@ -29,60 +29,61 @@
 use crate::headers::{remove_connection_headers, text};
 use crate::hop::HOP_HEADER;
 use crate::node::Node;
-use answers::{come_back, own_answer, refuse};
-use entry::{admitted_share, is_refused, lineage_of, malformed};
-use sender::{check_limit, deny, origin, refuse_over_limit, sender, Shown};
+use answers::{local_response, refuse, retry_delay};
+use entry::{admitted_share, is_refused, lineage_of, malformed_status};
+use sender::{check_limit, deny, identify_sender, origin_of, refuse_over_limit, CallerEvidence};
 
-/// The largest request that is kept to be sent again, in bytes.
-const KEPT_REQUEST_BYTES: usize = 64 * 1024;
-/// When a caller that comes late to a stopping node is told to come back.
-const STOPPING_PAUSE: Duration = Duration::from_millis(200);
-/// When a caller that comes before the first configuration is told to come back.
-const NO_CONFIGURATION_PAUSE: Duration = Duration::from_millis(300);
+/// The maximum size of a request body that is buffered so that the call can be retried, in bytes.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 64 * 1024;
+/// The `Retry-After` of a root call that a stopping node refuses.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// The `Retry-After` of a call that arrives before the node has a configuration.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A call on its way.
+/// A call in progress at the edge.
 pub(super) struct Call {
     pub(super) id: String,
     pub(super) route: Arc<Route>,
     pub(super) method: Method,
     pub(super) uri: hyper::Uri,
     pub(super) headers: HeaderMap,
-    pub(super) is_inner: bool,
+    /// Whether this node's target makes the call while it serves another one. Otherwise it is a root call.
+    pub(super) is_nested: bool,
     pub(super) lineage: Lineage,
-    /// The tenant that sends it.
+    /// The tenant that sends the call, if any.
     pub(super) tenant: Option<Arc<Tenant>>,
     pub(super) arrived: Timestamp,
     pub(super) deadline: Timestamp,
 }
 
-/// Counts a call while it is served.
-struct Counted<'a>(&'a Cell<usize>);
+/// Increments a gauge of calls in progress until it is dropped.
+struct CallGauge<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> CallGauge<'a> {
     fn new(counter: &'a Cell<usize>) -> Self {
         counter.set(counter.get() + 1);
-        Counted(counter)
+        CallGauge(counter)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CallGauge<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Serves one request.
+/// Serves one request that arrived at the outbound address.
 pub async fn serve(node: Rc<Node>, parts: Parts, body: Option<Incoming>, peer: SocketAddr) -> Response<Body> {
-    let _counted = Counted::new(&node.edge_calls);
-    answer(&node, parts, body, peer).await
+    let _edge_call = CallGauge::new(&node.edge_calls);
+    serve_call(&node, parts, body, peer).await
 }
 
-async fn answer(node: &Rc<Node>, parts: Parts, incoming: Option<Incoming>, peer: SocketAddr) -> Response<Body> {
+async fn serve_call(node: &Rc<Node>, parts: Parts, incoming: Option<Incoming>, peer: SocketAddr) -> Response<Body> {
     node.notice_suspension();
     let arrived = node.now();
     let id = text(&parts.headers, headers::REQUEST_ID).unwrap_or_default().to_owned();
     let Some(configuration) = node.current_configuration() else {
-        return refuse(node, &id, "no-configuration", NO_CONFIGURATION_PAUSE, arrived);
+        return refuse(node, &id, "no-configuration", NO_CONFIGURATION_RETRY_AFTER, arrived);
     };
     let authority = match parts.uri.authority() {
         Some(authority) => authority.as_str().to_owned(),
@@ -93,17 +94,17 @@
         node.log_failure(|| {
             format!("\"event\":\"no-route\",\"id\":{id:?},\"host\":{authority:?},\"version\":{version}")
         });
-        return own_answer(node, &id, StatusCode::NOT_FOUND, "no-route", arrived);
+        return local_response(node, &id, StatusCode::NOT_FOUND, "no-route", arrived);
     };
-    if let Some(status) = malformed(&configuration, &parts, incoming.as_ref()) {
+    if let Some(status) = malformed_status(&configuration, &parts, incoming.as_ref()) {
         node.log_failure(|| format!("\"event\":\"malformed\",\"id\":{id:?},\"status\":{}", status.as_u16()));
-        return own_answer(node, &id, status, "malformed", arrived);
+        return local_response(node, &id, status, "malformed", arrived);
     }
-    let given =
+    let given_time =
         text(&parts.headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
-    let time = given.map_or(route.timeout, |given| given.min(route.timeout));
-    let shown = Shown { peer, given, headers: &parts.headers };
-    let sender = match sender(node, &configuration, &route, shown, arrived) {
+    let timeout = given_time.map_or(route.timeout, |given_time| given_time.min(route.timeout));
+    let evidence = CallerEvidence { peer, given_time, headers: &parts.headers };
+    let sender = match identify_sender(node, &configuration, &route, evidence, arrived) {
         Ok(sender) => sender,
         Err(denial) => return deny(node, denial, &route, &id, arrived),
     };
@@ -111,51 +112,61 @@
         Sender::Tenant(tenant) => Some(tenant.clone()),
         Sender::Anyone | Sender::Target => None,
     };
-    let origin = origin(node, &route, shown, &sender, arrived);
+    let origin = origin_of(node, &route, evidence, &sender, arrived);
     let priority = configuration.importance(&route, tenant.as_deref());
     let mut lineage = lineage_of(node, priority, &origin, &id);
-    let is_inner = origin != Origin::Caller;
-    if !is_inner && node.refuses_callers.get() {
+    let is_nested = origin != Origin::Caller;
+    if !is_nested && node.refuses_callers.get() {
         node.log_failure(|| {
             format!("\"event\":\"refused\",\"id\":{id:?},\"route\":\"{}\",\"why\":\"stopping\"", route.name)
         });
-        return refuse(node, &id, "stopping", STOPPING_PAUSE, arrived);
+        return refuse(node, &id, "stopping", STOPPING_RETRY_AFTER, arrived);
     }
-    if !is_inner && node.has(Mechanism::EntryCut) {
-        if let Some(response) = cut_at_entry(node, &configuration, &route, &mut lineage, &id, arrived) {
+    if !is_nested && node.has(Mechanism::EntryCut) {
+        if let Some(response) = refuse_at_entry(node, &configuration, &route, &mut lineage, &id, arrived) {
             return response;
         }
     }
-    // After the cut, so that only calls which may run count towards the limit: the other way round the worth of two days of a shortage was
-    // 0.702 and 0.689 instead of 0.745 and 0.730.
+    // After the cut at entry, so that only calls that may run count towards the tenant's limit: in the reverse order
+    // the score of two days with a shortage was 0.702 and 0.689 instead of 0.745 and 0.730.
     if let Err(over) = check_limit(node, tenant.as_deref(), arrived) {
         return refuse_over_limit(node, tenant.as_deref(), over, &id, arrived);
     }
     let body = match incoming.filter(|incoming| !incoming.is_end_stream()) {
         None => Body::empty(),
-        Some(incoming) => match read_up_to(incoming, KEPT_REQUEST_BYTES).await {
+        Some(incoming) => match read_up_to(incoming, MAX_BUFFERED_REQUEST_BYTES).await {
             Ok(ReadBody::Complete(bytes)) if bytes.len() as u64 > configuration.limits.body_bytes => {
-                return own_answer(node, &id, StatusCode::PAYLOAD_TOO_LARGE, "too-large", arrived);
+                return local_response(node, &id, StatusCode::PAYLOAD_TOO_LARGE, "too-large", arrived);
             }
             Ok(read) => read.into_body(),
-            Err(_) => return own_answer(node, &id, StatusCode::BAD_REQUEST, "body-broke-off", arrived),
+            Err(_) => return local_response(node, &id, StatusCode::BAD_REQUEST, "body-broke-off", arrived),
         },
     };
     let headers = forwarded_headers(node, parts.headers, tenant.as_deref());
-    let deadline = arrived + time;
-    let call =
-        Call { id, route, method: parts.method, uri: parts.uri, headers, is_inner, lineage, tenant, arrived, deadline };
-    let _root = (!is_inner).then(|| Counted::new(&node.root_calls));
+    let deadline = arrived + timeout;
+    let call = Call {
+        id,
+        route,
+        method: parts.method,
+        uri: parts.uri,
+        headers,
+        is_nested,
+        lineage,
+        tenant,
+        arrived,
+        deadline,
+    };
+    let _root_call = (!is_nested).then(|| CallGauge::new(&node.root_calls));
     let response = run::run(node, call, body).await;
-    if is_inner && response.status().is_server_error() {
+    if is_nested && response.status().is_server_error() {
         node.health.borrow_mut().call_failed(node.now());
     }
     response
 }
 
-/// Refuses a call that enters the graph here if a service that it needs is short of slots; one that is let in takes the share with which
-/// calls like it were let in along.
-fn cut_at_entry(
+/// Refuses a root call if a service that it needs has too few free slots. An admitted call carries the share at which
+/// calls like it were admitted in its lineage.
+fn refuse_at_entry(
     node: &Node,
     configuration: &Configuration,
     route: &Route,
@@ -176,11 +187,11 @@
             "\"event\":\"refused\",\"id\":{id:?},\"route\":\"{name}\",\"share\":{share:.3},\"share_age_ms\":{age},\"position\":{position},\"version\":{version}"
         )
     });
-    Some(refuse(node, id, "shed", come_back(node, route), arrived))
+    Some(refuse(node, id, "shed", retry_delay(node, route), arrived))
 }
 
-/// The headers that go on to the target: without those of one connection, without the caller's key and without those that the nodes set
-/// themselves; with the service at whose machine the call began and the tenant that sends it.
+/// The headers to forward to the target: without hop-by-hop headers, the caller's API key and headers that only nodes
+/// may set, and with the service of this node and the tenant that sends the call.
 fn forwarded_headers(node: &Node, mut forwarded: HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
     remove_connection_headers(&mut forwarded);
     for name in [
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -1,4 +1,4 @@
-//! Sends a call to one target after another until there is an answer or nothing more to try.
+//! Sends a call to one target after another until one responds or no further attempt is allowed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,30 +11,30 @@
 use quillhatch_mesh::targets::{Target, TargetId};
 
 use super::answers::{self, refuse};
-use super::attempt::{attempt, is_worth_leaving, Attempt};
+use super::attempt::{attempt, should_abandon, Attempt};
 use super::Call;
 use crate::body::Body;
 use crate::counters::Counters;
 use crate::node::Node;
 use crate::presence;
 
-/// The least time left with which a call is sent.
-const SHORTEST_TIME: Duration = Duration::from_millis(4);
-/// The gates that may refuse a call before it is given up.
-const MOST_FULL_GATES: usize = 2;
-/// The pause before targets that could not be reached are tried again.
-const UNREACHABLE_PAUSE: Duration = Duration::from_millis(40);
-/// When a caller is told to come back whose route has no service with a share.
-const NO_DESTINATION_PAUSE: Duration = Duration::from_millis(300);
+/// The minimum time until the deadline with which an attempt is started.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(4);
+/// How many full gates may refuse a call before it is given up.
+const MAX_FULL_GATES: usize = 2;
+/// The delay before targets that could not be reached are tried again.
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// The `Retry-After` of a call whose route has no service with a share of its traffic.
+const NO_DESTINATION_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What has become of a call so far.
+/// The attempts of a call so far.
 #[derive(Default)]
 struct Progress {
     /// The targets that were tried.
     tried: Vec<TargetId>,
-    /// The gates that had no room.
+    /// The number of attempts that a full gate refused.
     full: usize,
-    /// The attempts that may have run.
+    /// The number of attempts that may have run.
     runs: u32,
 }
 
@@ -43,37 +43,38 @@
         self.runs > 0
     }
 
-    /// Whether the call may be sent to one more target after an attempt that may have run.
-    fn may_run_again(&self, call: &Call) -> bool {
+    /// Whether the call may be retried after an attempt that may have run.
+    fn may_retry(&self, call: &Call) -> bool {
         call.route.repeatability == Repeatability::Repeatable && self.runs < call.route.maximum_attempts
     }
 }
 
-/// Brings back the answer to a call.
+/// Serves a call and returns the target's response, or the node's own if there is none.
 pub(super) async fn run(node: &Rc<Node>, call: Call, body: Body) -> Response<Body> {
     let service = choose_service(&call.route, &mut *node.random.borrow_mut()).cloned();
     let Some(service) = service else {
-        return refuse(node, &call.id, "no-destination", NO_DESTINATION_PAUSE, call.arrived);
+        return refuse(node, &call.id, "no-destination", NO_DESTINATION_RETRY_AFTER, call.arrived);
     };
     node.count_call(&service, call.lineage.is_repeat);
-    let offer_until = call.arrived + call.route.objective.mul_f64(super::attempt::UNOFFERED_PART);
+    let dispatch_until = call.arrived + call.route.objective.mul_f64(super::attempt::DISPATCH_FRACTION);
     let mut call = call;
     let mut body = Some(body);
     let mut progress = Progress::default();
-    let give_up_for = |call: &Call, progress: &Progress, why, pause| {
-        answers::give_up(node, call, progress.may_have_run(), why, progress.tried.len(), pause)
+    let give_up_with = |call: &Call, progress: &Progress, why, retry_after| {
+        answers::give_up(node, call, progress.may_have_run(), why, progress.tried.len(), retry_after)
+    };
+    let give_up = |call: &Call, progress: &Progress, why| {
+        give_up_with(call, progress, why, answers::retry_delay(node, &call.route))
     };
-    let give_up =
-        |call: &Call, progress: &Progress, why| give_up_for(call, progress, why, answers::come_back(node, &call.route));
     loop {
         let now = node.now();
-        if now.until(call.deadline) < SHORTEST_TIME {
+        if now.until(call.deadline) < MIN_ATTEMPT_TIME {
             let why = if progress.may_have_run() { "late" } else { "late-not-run" };
             return give_up(&call, &progress, why);
         }
         let Some(target) = choose_target(node, &call, &service, &progress.tried) else {
-            if progress.full == 0 && now < offer_until && !progress.may_have_run() {
-                tokio::time::sleep(UNREACHABLE_PAUSE).await;
+            if progress.full == 0 && now < dispatch_until && !progress.may_have_run() {
+                tokio::time::sleep(UNREACHABLE_RETRY_DELAY).await;
                 progress.tried.clear();
                 continue;
             }
@@ -82,65 +83,67 @@
         };
         let runs_once = call.route.repeatability == Repeatability::AtMostOnce;
         if runs_once && !presence::is_there_now(node, &target).await {
-            node.log_failure(|| attempt_line(&call, &target, "silent, not sent"));
+            node.log_failure(|| {
+                failed_attempt_line(&call, &target, "node did not answer the liveness probe; not sent")
+            });
             progress.tried.push(target.id.clone());
             continue;
         }
         let Some(sent) = body.as_ref().and_then(Body::clone_if_buffered).or_else(|| body.take()) else {
             return give_up(&call, &progress, "body-gone");
         };
-        let may_leave = || {
-            let can_be_sent_again = body.is_some() && progress.runs == 0 && call.route.maximum_attempts > 1;
-            can_be_sent_again
+        let may_abandon = || {
+            let can_be_retried = body.is_some() && progress.runs == 0 && call.route.maximum_attempts > 1;
+            can_be_retried
                 && has_other_target(node, &service, &target, &progress.tried)
-                && is_worth_leaving(node, &call)
+                && should_abandon(node, &call)
                 && node.try_repeat(&service)
         };
-        let ended = attempt(node, &call, &target, sent, may_leave).await;
+        let ended = attempt(node, &call, &target, sent, may_abandon).await;
         progress.tried.push(target.id.clone());
         match ended {
-            Attempt::Answer(response) => {
-                note_answer(node, &call, &target, &response, progress.tried.len());
+            Attempt::Response(response) => {
+                record_response(node, &call, &target, &response, progress.tried.len());
                 return *response;
             }
             Attempt::Full => {
                 progress.full += 1;
-                // Where the whole service is short of room, the others have none either.
-                if progress.full >= MOST_FULL_GATES || !has_room(node, &call) {
+                // If the whole service is out of capacity, its other gates are full too.
+                if progress.full >= MAX_FULL_GATES || !has_spare_capacity(node, &call) {
                     return give_up(&call, &progress, "full");
                 }
             }
             Attempt::NotRun(why) => {
-                node.log_failure(|| attempt_line(&call, &target, why));
+                node.log_failure(|| failed_attempt_line(&call, &target, why));
                 node.balance.borrow_mut().refused(&target.id, node.now());
             }
-            Attempt::Followed => {}
+            Attempt::TargetReplaced => {}
             Attempt::Rejected => {
-                node.log_failure(|| attempt_line(&call, &target, "rejected"));
-                // It refuses quickly and would attract calls, each of which costs a repeat.
+                node.log_failure(|| failed_attempt_line(&call, &target, "rejected"));
+                // The target refuses quickly, so it would attract calls, each of which costs a retry.
                 node.balance.borrow_mut().refused(&target.id, node.now());
                 if !node.try_repeat(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
-                note_repeat(node, &mut call);
+                note_retry(node, &mut call);
             }
-            // The other gates of the service know the same.
-            Attempt::Quarantined(left) => return give_up_for(&call, &progress, "quarantined", left),
-            Attempt::Broken(why) => {
-                node.log_failure(|| attempt_line(&call, &target, &why));
+            // The other gates of the service have the same quarantine entries.
+            Attempt::Quarantined(retry_after) => return give_up_with(&call, &progress, "quarantined", retry_after),
+            Attempt::NoResponse(why) => {
+                node.log_failure(|| failed_attempt_line(&call, &target, &why));
                 progress.runs += 1;
-                if !progress.may_run_again(&call) || !node.try_repeat(&service) {
+                if !progress.may_retry(&call) || !node.try_repeat(&service) {
                     return give_up(&call, &progress, "broken");
                 }
-                note_repeat(node, &mut call);
+                note_retry(node, &mut call);
             }
-            Attempt::Left => {
-                // Its repeat was spent when it was left.
-                node.log_failure(|| attempt_line(&call, &target, "slow, left for another"));
+            Attempt::Abandoned => {
+                // The retry was taken from the budget when the attempt was abandoned.
+                node.log_failure(|| failed_attempt_line(&call, &target, "target is slow; trying another one"));
                 progress.runs += 1;
-                note_repeat(node, &mut call);
+                note_retry(node, &mut call);
             }
-            Attempt::Late => {
+            Attempt::DeadlineExceeded => {
                 progress.runs += 1;
                 return give_up(&call, &progress, "late");
             }
@@ -154,30 +157,31 @@
     let mut random = node.random.borrow_mut();
     let balance = node.balance.borrow();
     let now = node.now();
-    let time = call.route.objective.min(now.until(call.deadline));
-    let place = balance.place(&node.settings.zone, &call.route.name, time);
-    balance.choose(members, tried, place, now, &mut *random)
+    let response_time = call.route.objective.min(now.until(call.deadline));
+    let sender_place = balance.place(&node.settings.zone, &call.route.name, response_time);
+    balance.choose(members, tried, sender_place, now, &mut *random)
 }
 
-/// Whether the service has a target besides this one that was not tried yet.
+/// Whether the service has another target that is not draining and was not tried yet.
 fn has_other_target(node: &Node, service: &str, target: &Target, tried: &[TargetId]) -> bool {
     let targets = node.targets.borrow();
-    let open = targets.of_service(service).iter().filter(|other| !other.registration.draining);
-    open.filter(|other| other.id != target.id).any(|other| !tried.contains(&other.id))
+    let not_draining = targets.of_service(service).iter().filter(|other| !other.registration.draining);
+    not_draining.filter(|other| other.id != target.id).any(|other| !tried.contains(&other.id))
 }
 
-/// Whether the services that calls of this route need are not short of room.
-fn has_room(node: &Node, call: &Call) -> bool {
+/// Whether the services that calls of this route need have spare capacity.
+fn has_spare_capacity(node: &Node, call: &Call) -> bool {
     node.cuts.borrow().cut(&call.route.name, node.now()).is_open()
 }
 
-/// The call is sent to a target once more; whatever is called below it is a repeat too.
-fn note_repeat(node: &Node, call: &mut Call) {
+/// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
+fn note_retry(node: &Node, call: &mut Call) {
     call.lineage.is_repeat = true;
     Counters::add(&node.counters.retries);
 }
 
-fn note_answer(node: &Node, call: &Call, target: &Target, response: &Response<Body>, tried: usize) {
+/// Counts and logs a call that a target has answered.
+fn record_response(node: &Node, call: &Call, target: &Target, response: &Response<Body>, tried: usize) {
     let took = node.now().since(call.arrived);
     node.counters.count_edge_call("answered", took);
     let status = response.status().as_u16();
@@ -194,7 +198,8 @@
     }
 }
 
-fn attempt_line(call: &Call, target: &Target, why: &str) -> String {
+/// The log line of an attempt without a response from the target.
+fn failed_attempt_line(call: &Call, target: &Target, why: &str) -> String {
     format!(
         "\"event\":\"attempt-failed\",\"id\":{:?},\"route\":\"{}\",\"target\":\"{}\",\"why\":{why:?}",
         call.id, call.route.name, target.id
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -1,4 +1,4 @@
-//! Who sends a call: a tenant, this node's target, or anyone; and whether it may go on.
+//! Authentication of calls, tenant rate limits, and the origin of a call in the call graph.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,50 +15,51 @@
 use quillhatch_types::Timestamp;
 use rand::Rng;
 
-use super::answers::{own_answer, refuse, refuse_with};
+use super::answers::{local_response, refuse, refuse_with_status};
 use crate::body::Body;
 use crate::node::Node;
 
-/// When a caller is told to come back whose key can't be checked: the store is asked again about so often.
-const STALE_PAUSE: Duration = Duration::from_millis(800);
+/// The `Retry-After` of a call whose API key can't be checked: about the interval at which the store is queried.
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// What a call shows of who makes it.
+/// The properties of a request that show who sends it.
 #[derive(Clone, Copy)]
-pub(super) struct Shown<'a> {
-    /// Where it comes from.
+pub(super) struct CallerEvidence<'a> {
+    /// The address that it comes from.
     pub(super) peer: SocketAddr,
-    /// The time that it is given.
-    pub(super) given: Option<Duration>,
+    /// The time until its deadline, if it names one.
+    pub(super) given_time: Option<Duration>,
     /// Its headers.
     pub(super) headers: &'a HeaderMap,
 }
 
-impl Shown<'_> {
-    /// Whether it comes from this node's machine, where the target is.
+impl CallerEvidence<'_> {
+    /// Whether the call comes from this node's machine, on which its target runs.
     fn is_local(&self, node: &Node) -> bool {
         self.peer.ip() == node.settings.local_target.ip()
     }
 }
 
-/// Who sends a call.
+/// Authenticates the sender of a call: a tenant, this node's target, or anyone.
 ///
 /// # Errors
 ///
-/// Returns why it is not let in.
-pub(super) fn sender(
+/// Returns why the call is denied.
+pub(super) fn identify_sender(
     node: &Node,
     configuration: &Configuration,
     route: &Route,
-    shown: Shown<'_>,
+    evidence: CallerEvidence<'_>,
     now: Timestamp,
 ) -> Result<Sender, Denial> {
-    let mut keys = shown.headers.get_all(headers::API_KEY).iter();
+    let mut keys = evidence.headers.get_all(headers::API_KEY).iter();
     let (key, has_more) = (keys.next(), keys.next().is_some());
-    // Nobody holds two keys at once.
+    // No tenant holds two keys at once: a call with more than one is checked with an empty key, which matches no
+    // tenant.
     let key = key.map(|key| if has_more { b"".as_slice() } else { key.as_bytes() });
     let may_be_target = key.is_none()
-        && shown.is_local(node)
-        && shown.given.is_some_and(|given| node.parents.borrow().may_call(&route.name, given, now));
+        && evidence.is_local(node)
+        && evidence.given_time.is_some_and(|given_time| node.parents.borrow().may_call(&route.name, given_time, now));
     authenticate(
         configuration,
         route,
@@ -67,7 +68,7 @@
     )
 }
 
-/// The answer to a call that is not let in.
+/// The response to a call that was denied.
 pub(super) fn deny(node: &Node, denial: Denial, route: &Route, id: &str, now: Timestamp) -> Response<Body> {
     let (name, why) = (&route.name, denial.name());
     node.log_failure(|| {
@@ -77,26 +78,26 @@
             "\"event\":\"denied\",\"id\":{id:?},\"route\":\"{name}\",\"why\":\"{why}\",\"version\":{version},\"configuration_age_ms\":{age}"
         )
     });
-    // A call without a key on a route of targets may be one whose parent has just ended.
-    let is_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_by_targets(name);
-    if denial == Denial::Stale || is_of_ended_parent {
-        return refuse(node, id, why, STALE_PAUSE, now);
+    // A call without a key on a route that targets call may be a nested call whose parent has just ended.
+    let may_be_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_by_targets(name);
+    if denial == Denial::Stale || may_be_of_ended_parent {
+        return refuse(node, id, why, STALE_RETRY_AFTER, now);
     }
-    own_answer(node, id, StatusCode::UNAUTHORIZED, why, now)
+    local_response(node, id, StatusCode::UNAUTHORIZED, why, now)
 }
 
-/// Counts a call towards its tenant's limit, if it has one.
+/// Counts a call towards the rate limit of its tenant, if it has one.
 ///
 /// # Errors
 ///
-/// Returns when to come back if the call is beyond the limit.
+/// Returns when to retry if the call exceeds the limit.
 pub(super) fn check_limit(node: &Node, tenant: Option<&Tenant>, now: Timestamp) -> Result<(), OverLimit> {
     let Some(tenant) = tenant else { return Ok(()) };
     let draw = node.random.borrow_mut().gen();
     node.tenancy.admit(tenant, draw, now)
 }
 
-/// The answer to a call that is beyond its tenant's limit.
+/// The response to a call that exceeds its tenant's rate limit.
 pub(super) fn refuse_over_limit(
     node: &Node,
     tenant: Option<&Tenant>,
@@ -112,20 +113,26 @@
             "\"event\":\"over-limit\",\"id\":{id:?},\"tenant\":\"{name}\",\"share\":{share:.3},\"come_back_ms\":{come_back}"
         )
     });
-    refuse_with(node, StatusCode::TOO_MANY_REQUESTS, id, "over-limit", come_back, now)
+    refuse_with_status(node, StatusCode::TOO_MANY_REQUESTS, id, "over-limit", come_back, now)
 }
 
-/// Who makes a call; a call of this node's target is noted in the graph of calls.
-pub(super) fn origin(node: &Node, route: &Route, shown: Shown<'_>, sender: &Sender, now: Timestamp) -> Origin {
-    let Some(given) = shown.given.filter(|_| shown.is_local(node)) else { return Origin::Caller };
+/// The origin of a call. A call of this node's target is recorded in the call graph.
+pub(super) fn origin_of(
+    node: &Node,
+    route: &Route,
+    evidence: CallerEvidence<'_>,
+    sender: &Sender,
+    now: Timestamp,
+) -> Origin {
+    let Some(given_time) = evidence.given_time.filter(|_| evidence.is_local(node)) else { return Origin::Caller };
     let origin = {
         let graph = node.graph.borrow();
         let rate = |parent: &Arc<str>| graph.rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
             Sender::Tenant(_) => Origin::Caller,
-            Sender::Target => parents.origin_in_target(&route.name, given, now, rate),
-            Sender::Anyone => parents.origin(&route.name, given, now, rate),
+            Sender::Target => parents.origin_in_target(&route.name, given_time, now, rate),
+            Sender::Anyone => parents.origin(&route.name, given_time, now, rate),
         }
     };
     match &origin {
