--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -145,9 +145,7 @@
         Exchanged::Response(response, lease) => (*response, lease),
     };
     let report = response.headers().get(HOP_HEADER).and_then(|value| value.to_str().ok()).and_then(HopReport::decode);
-    let Some(report) = report else {
-        return Attempt::NoResponse("response without a valid quillhatch-hop header".to_owned());
-    };
+    let Some(report) = report else { return Attempt::NoResponse("no valid quillhatch-hop header".to_owned()) };
     let now = node.now();
     node.balance.borrow_mut().reported(&target.id, report.load, report.health, now);
     if matches!(report.outcome, GateOutcome::Answered | GateOutcome::Full) {
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -54,8 +54,7 @@
 ) -> Result<Sender, Denial> {
     let mut keys = evidence.headers.get_all(headers::API_KEY).iter();
     let (key, has_more) = (keys.next(), keys.next().is_some());
-    // No tenant holds two keys at once: a call with more than one is checked with an empty key, which matches no
-    // tenant.
+    // No tenant holds two keys at once: a call with more than one is checked with an empty key.
     let key = key.map(|key| if has_more { b"".as_slice() } else { key.as_bytes() });
     let may_be_target = key.is_none()
         && evidence.is_local(node)
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -1,6 +1,6 @@
-//! The gate: takes calls of other nodes for this node's target, and hands over what the target can work on.
+//! The gate: accepts calls of other nodes for this node's target, and admits as many as the target has slots for.
 
-mod kept_target;
+mod retained_target;
 mod slots;
 mod suspects;
 mod target_end;
@@ -32,28 +32,29 @@
 use crate::present_target;
 use crate::reach;
 use crate::relay::{relay_response, relay_response_with_slot};
-pub use kept_target::{watch_retained_target, RetainedTargetState};
+pub use retained_target::{watch_retained_target, RetainedTargetState};
 use slots::admit;
 pub use slots::{admit_waiting_calls, evict_waiting_calls, Slot};
 pub use target_end::{target_identified, target_restarted};
 
-/// The largest request that is read whole before it is handed over, in bytes.
-const KEPT_REQUEST_BYTES: usize = 64 * 1024;
-/// How long a target's own answer at the deadline is waited for.
+/// The maximum size of a request body that is buffered before it is forwarded, in bytes.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 64 * 1024;
+/// How long past the deadline the gate waits for a response that the target sends at the deadline.
 const DEADLINE_ALLOWANCE: Duration = Duration::from_millis(20);
-/// The least time left with which a call goes to the target.
-const SHORTEST_TIME: Duration = Duration::from_millis(3);
+/// The minimum time until the deadline with which a call is forwarded to the target.
+const MIN_FORWARD_TIME: Duration = Duration::from_millis(3);
 
-/// A call of another node.
+/// A call from another node.
 struct Call {
     id: Option<HeaderValue>,
+    /// The identity of the target that the call is meant for.
     expected: String,
     route: Option<Arc<str>>,
     arrived: Timestamp,
     deadline: Timestamp,
 }
 
-/// Serves one request of another node.
+/// Serves one request that arrived at the inbound address.
 pub async fn serve(node: Rc<Node>, parts: Parts, body: Option<Incoming>) -> Response<Body> {
     if parts.uri.path() == FEED_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return feed::answer(&node, body).await;
@@ -65,8 +66,8 @@
     let arrived = node.now();
     let headers = &parts.headers;
     let forwarded = text(headers, HOP_HEADER).and_then(HopContext::decode);
-    let time = text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
-    let (Some(forwarded), Some(time)) = (forwarded, time) else {
+    let timeout = text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
+    let (Some(forwarded), Some(timeout)) = (forwarded, timeout) else {
         let mut response = Response::new(Body::empty());
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
@@ -77,17 +78,17 @@
         expected: text(headers, headers::EXPECT_INSTANCE).unwrap_or_default().to_owned(),
         route: route_name(&node, &parts),
         arrived,
-        deadline: arrived + time,
+        deadline: arrived + timeout,
     };
     if let (Some(route), Some(caller)) = (&call.route, text(headers, headers::CALLER_SERVICE)) {
         node.callers.borrow_mut().count(route, caller);
     }
-    let outcome = pass(&node, &call, &forwarded, parts, body).await;
-    note_health(&node, &outcome);
+    let outcome = admit_and_forward(&node, &call, &forwarded, parts, body).await;
+    record_health(&node, &outcome);
     match outcome {
         Ok(mut response) => {
             node.counters.count_gate_call("answered");
-            report(&node, &call, GateOutcome::Answered, &mut response);
+            attach_report(&node, &call, GateOutcome::Answered, &mut response);
             response
         }
         Err(Failure { outcome, why, retry_after }) => {
@@ -95,10 +96,10 @@
             log_failure(&node, &call, outcome, &why, arrived);
             let mut response = Response::new(Body::empty());
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            if let Some(left) = retry_after {
-                response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(left.as_secs().max(1)));
+            if let Some(delay) = retry_after {
+                response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(delay.as_secs().max(1)));
             }
-            report(&node, &call, outcome, &mut response);
+            attach_report(&node, &call, outcome, &mut response);
             response
         }
     }
@@ -117,8 +118,9 @@
     }
 }
 
-/// Counts whether the target gave a good answer. One that is late may be late for the calls that it made.
-fn note_health(node: &Node, outcome: &Result<Response<Body>, Failure>) {
+/// Records whether the target responded well. A target that exceeds the deadline is not counted, since the calls that
+/// it made may be the cause.
+fn record_health(node: &Node, outcome: &Result<Response<Body>, Failure>) {
     let now = node.now();
     let mut health = node.health.borrow_mut();
     match outcome {
@@ -141,7 +143,8 @@
     });
 }
 
-fn report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
+/// Sets the header with the gate's report in a response.
+fn attach_report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
     let cut = call.route.as_ref().map_or(Cut::OPEN, |route| node.own_cut(route).lower(node.called_cut(route, now)));
@@ -163,11 +166,11 @@
     }
 }
 
-/// Why there is no answer of the target.
+/// Why the gate has no response of the target.
 struct Failure {
     outcome: GateOutcome,
     why: String,
-    /// After how long the request may be tried again, if that is known.
+    /// When the request may be retried, if that is known.
     retry_after: Option<Duration>,
 }
 
@@ -183,80 +186,81 @@
     }
 }
 
-/// Reads the request, lets it in, and hands it to the target.
-async fn pass(
+/// Reads the request, waits for its admission, and forwards it to the target.
+async fn admit_and_forward(
     node: &Rc<Node>,
     call: &Call,
     forwarded: &HopContext,
     parts: Parts,
     body: Option<Incoming>,
 ) -> Result<Response<Body>, Failure> {
-    // Before the call takes a slot: whether it may run can depend on what it asks for.
+    // Read before the call takes a slot: the quarantine check needs the signature, which covers the body.
     let body = match body.filter(|body| !body.is_end_stream()) {
         None => Body::empty(),
-        Some(incoming) => match read_up_to(incoming, KEPT_REQUEST_BYTES).await {
+        Some(incoming) => match read_up_to(incoming, MAX_BUFFERED_REQUEST_BYTES).await {
             Ok(read) => read.into_body(),
             Err(error) => return Err(Failure::new(GateOutcome::Closed, error.to_string())),
         },
     };
     let signature = suspects::signature_of(&parts, &body);
-    suspects::check(node, &signature)?;
+    suspects::check_quarantine(node, &signature)?;
     let slot = admit(node, call, forwarded, call.arrived).await?;
-    // While it waited for a slot, targets may have ended under its like.
-    suspects::check(node, &signature)?;
-    run(node, call, parts, body, slot, Passing { lineage: forwarded.lineage.clone(), signature }).await
+    // While the call waited for a slot, requests with its signature may have crashed targets.
+    suspects::check_quarantine(node, &signature)?;
+    forward(node, call, parts, body, slot, RunRecord { lineage: forwarded.lineage.clone(), signature }).await
 }
 
-/// What is noted of a call while it is at the target.
-struct Passing {
+/// What is recorded of a call while it runs at the target.
+struct RunRecord {
     lineage: Lineage,
     signature: RequestSignature,
 }
 
-async fn run(
+/// Forwards an admitted call to the target and passes on its response.
+async fn forward(
     node: &Rc<Node>,
     call: &Call,
     mut parts: Parts,
     body: Body,
     mut slot: Slot,
-    passing: Passing,
+    record: RunRecord,
 ) -> Result<Response<Body>, Failure> {
-    let left = node.now().until(call.deadline);
-    if left < SHORTEST_TIME {
-        return Err(Failure::new(GateOutcome::Full, "no time left"));
+    let remaining = node.now().until(call.deadline);
+    if remaining < MIN_FORWARD_TIME {
+        return Err(Failure::new(GateOutcome::Full, "too little time until the deadline"));
     }
     remove_connection_headers(&mut parts.headers);
     parts.headers.remove(HOP_HEADER);
-    if let Ok(value) = HeaderValue::from_str(&left.as_millis().to_string()) {
+    if let Ok(value) = HeaderValue::from_str(&remaining.as_millis().to_string()) {
         parts.headers.insert(headers::DEADLINE_MS, value);
     }
     let request = Request::from_parts(parts, body);
-    let told = Duration::from_millis(left.as_millis() as u64);
-    let Passing { lineage, signature } = passing;
-    slot.begin(node.now() + told, lineage, signature);
+    let target_timeout = Duration::from_millis(remaining.as_millis() as u64);
+    let RunRecord { lineage, signature } = record;
+    slot.start_run(node.now() + target_timeout, lineage, signature);
     let sent = SentFlag::default();
     let exchange = node.target.exchange_tracking_sent(node.settings.local_target, request, &sent);
     let exchange = node.clock.timeout_at(call.deadline + DEADLINE_ALLOWANCE, exchange).await;
     let (response, lease) = match exchange {
-        // It still waited for a connection, so the target has not seen it.
+        // The call was still waiting for a connection, so the target has not received it.
         Err(_) if !sent.is_set() => {
             present_target::out_of_reach(node);
             return Err(Failure::new(GateOutcome::Closed, "no connection in time"));
         }
-        Err(_) => return Err(Failure::new(GateOutcome::DeadlineExceeded, "no answer in time")),
+        Err(_) => return Err(Failure::new(GateOutcome::DeadlineExceeded, "no response before the deadline")),
         Ok(Err(error @ (ExchangeError::ConnectionRefused | ExchangeError::NotSent(_)))) => {
             present_target::out_of_reach(node);
             return Err(Failure::new(GateOutcome::Closed, error.to_string()));
         }
         Ok(Err(ExchangeError::NoResponse(why))) => {
-            slot.lost();
+            slot.connection_lost();
             return Err(Failure::new(GateOutcome::NoResponse, format!("{why}, signature {}", signature.narrow)));
         }
         Ok(Ok(answered)) => answered,
     };
-    let is_own = response.headers().get(headers::REQUEST_ID) == call.id.as_ref();
-    if !is_own {
-        return Err(Failure::new(GateOutcome::NoResponse, "an answer to another request"));
+    let is_of_this_call = response.headers().get(headers::REQUEST_ID) == call.id.as_ref();
+    if !is_of_this_call {
+        return Err(Failure::new(GateOutcome::NoResponse, "response to another request"));
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST || response.headers().contains_key(headers::REQUEST_NOT_RUN)
     {
@@ -265,17 +269,17 @@
             present_target::learn(node, id);
         }
         let _ = relay_response(response, lease).await;
-        return Err(Failure::new(GateOutcome::Rejected, format!("the target said {status}")));
+        return Err(Failure::new(GateOutcome::Rejected, format!("target refused the call with status {status}")));
     }
     let is_signed = response.headers().contains_key(headers::SERVER_STAMP);
     if response.status().is_success() && (!is_signed || response.headers().contains_key(CONTENT_ENCODING)) {
-        return Err(Failure::new(GateOutcome::NoResponse, "an answer without the target's signature"));
+        return Err(Failure::new(GateOutcome::NoResponse, "response is encoded or has no server stamp"));
     }
     let relayed = node
         .clock
         .timeout_at(call.deadline + DEADLINE_ALLOWANCE, relay_response_with_slot(response, lease, Some(slot)));
     match relayed.await {
         Ok(relayed) => relayed.map_err(|why| Failure::new(GateOutcome::NoResponse, why)),
-        Err(_) => Err(Failure::new(GateOutcome::DeadlineExceeded, "the answer did not end in time")),
+        Err(_) => Err(Failure::new(GateOutcome::DeadlineExceeded, "response did not end before the deadline")),
     }
 }
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of the target: who gets one, who waits, who is refused.
+//! Admission of calls to the slots of the local target: a call gets a slot, waits in the queue, or is refused.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::node::{Admitted, Node};
 use crate::present_target;
 
-/// A slot of the target; given back when dropped.
+/// A slot of the target that a call holds. It is released when dropped.
 pub struct Slot {
     node: Rc<Node>,
     route: Option<Arc<str>>,
     running: Option<RunningCall>,
     run: Option<RunId>,
-    since: Timestamp,
+    acquired_at: Timestamp,
 }
 
 impl Slot {
@@ -30,33 +30,33 @@
         if let Some(route) = &route {
             node.graph.borrow_mut().started(route, node.now());
         }
-        Slot { node: Rc::clone(node), route, running: None, run: None, since: node.now() }
+        Slot { node: Rc::clone(node), route, running: None, run: None, acquired_at: node.now() }
     }
 
-    /// The call goes to the target, which is told to end it at `deadline`.
-    pub(super) fn begin(&mut self, deadline: Timestamp, lineage: Lineage, signature: RequestSignature) {
+    /// Records that the call is sent to the target with `deadline`.
+    pub(super) fn start_run(&mut self, deadline: Timestamp, lineage: Lineage, signature: RequestSignature) {
         self.run = Some(self.node.runs.borrow_mut().begin(signature, self.node.now()));
         if let Some(route) = self.route.clone() {
             self.running = Some(self.node.parents.borrow_mut().started(deadline, route, lineage));
         }
     }
 
-    /// The target has answered the call whole.
-    pub fn completed(mut self) {
+    /// Releases the slot after a complete response of the target.
+    pub fn complete(mut self) {
         if let Some(run) = self.run.take() {
             let signature = self.node.runs.borrow_mut().completed(run);
             if let Some(signature) = signature {
-                target_end::survived(&self.node, &signature);
+                target_end::request_completed(&self.node, &signature);
             }
         }
     }
 
-    /// The target's connection ended before the answer did.
-    pub fn lost(mut self) {
+    /// Releases the slot after the connection to the target ended before its response did.
+    pub fn connection_lost(mut self) {
         if let Some(run) = self.run.take() {
             let target = self.node.present.borrow().clone();
             self.node.runs.borrow_mut().lost(run, target, self.node.now());
-            target_end::probe(&self.node);
+            target_end::probe_target(&self.node);
         }
     }
 }
@@ -67,9 +67,9 @@
             self.node.runs.borrow_mut().abandoned(run);
         }
         if let Some(running) = self.running.take() {
-            let held = self.node.now().since(self.since);
+            let held_for = self.node.now().since(self.acquired_at);
             if let Some(route) = &self.route {
-                self.node.capacity.borrow_mut().held(route, held, self.node.now());
+                self.node.capacity.borrow_mut().held(route, held_for, self.node.now());
             }
             self.node.parents.borrow_mut().ended(running);
         }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Hands free slots to the calls that wait.
+/// Admits waiting calls to the free slots.
 pub fn admit_waiting_calls(node: &Rc<Node>) {
     loop {
         let next = node.gate.borrow_mut().admit_next();
@@ -93,7 +93,7 @@
     }
 }
 
-/// Tells waiting calls that their time to wait is over, or that the gate is closed.
+/// Refuses the waiting calls whose maximum wait has passed, or all of them if the gate is closed.
 pub fn evict_waiting_calls(node: &Rc<Node>) {
     loop {
         let now = node.now();
@@ -108,28 +108,28 @@
 
 fn refuse_waiting(node: &Node, ticket: Ticket) {
     if let Some(waiting) = node.waiting.borrow_mut().remove(&ticket) {
-        // The call may have left.
+        // The caller may have gone away.
         let _ = waiting.send(false);
     }
 }
 
-/// Takes a waiting call out of the queue if its caller leaves.
-struct Waiting<'a> {
+/// A call in the queue. It is removed from the queue if it is dropped because its caller goes away.
+struct WaitingCall<'a> {
     node: &'a Rc<Node>,
     ticket: Ticket,
     receiver: oneshot::Receiver<Admitted>,
 }
 
-impl Waiting<'_> {
+impl WaitingCall<'_> {
     async fn admitted(&mut self) -> Admitted {
         (&mut self.receiver).await.unwrap_or(false)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
         match self.receiver.try_recv() {
-            // It was given a slot that nobody takes.
+            // It was admitted, but nobody will use its slot.
             Ok(true) => {
                 self.node.gate.borrow_mut().finish();
                 admit_waiting_calls(self.node);
@@ -138,27 +138,29 @@
                 self.node.waiting.borrow_mut().remove(&self.ticket);
                 self.node.gate.borrow_mut().leave(self.ticket);
             }
-            // It was refused, or its answer was taken.
+            // It was refused, or has received its result.
             Ok(false) | Err(oneshot::error::TryRecvError::Closed) => {}
         }
     }
 }
 
-/// A call of a target that is refused for want of room fails its parent, so the calls that this one would make later don't come.
-fn note_refusal(node: &Node, forwarded: &HopContext, refusal: Refusal) {
+/// Records a refused nested call. A nested call that is refused because the gate is full fails its parent, so the
+/// parent's later calls do not arrive.
+fn record_refusal(node: &Node, forwarded: &HopContext, refusal: Refusal) {
     if refusal == Refusal::Full && !forwarded.is_root {
         node.capacity.borrow_mut().begun_refused(forwarded.lineage.priority);
     }
 }
 
-/// Waits for a slot.
+/// Waits until a call gets a slot of the target, or is refused.
 pub(super) async fn admit(
     node: &Rc<Node>,
     call: &Call,
     forwarded: &HopContext,
     now: Timestamp,
 ) -> Result<Slot, Refusal> {
-    // The edge takes a call for lost whose gate says nothing until its time is over.
+    // The edge treats a call as possibly run if the gate does not respond by the deadline, so the call is refused by
+    // then.
     if node.clock.timeout_at(call.deadline, present_target::verify(node)).await.is_err() {
         return Err(Refusal::Full);
     }
@@ -174,9 +176,10 @@
             capacity.begun_arrived(priority);
         }
     }
-    // In the order of arrival while all that arrives can be served.
-    let same_roots = node.has(Mechanism::SameRoots) && node.shortage().is_some();
-    let position = if same_roots { position } else { 0 };
+    // Positions order the queue only during a shortage. While the target can serve all calls that arrive, calls of the
+    // same priority are served in order of arrival.
+    let orders_by_root = node.has(Mechanism::SameRoots) && node.shortage().is_some();
+    let position = if orders_by_root { position } else { 0 };
     let priority = if node.has(Mechanism::GateOrder) { priority } else { 0 };
     let rank = Rank { priority, is_root: forwarded.is_root, position };
     let (arrival, displaced) = node.gate.borrow_mut().arrive(rank, forwarded.max_wait, now);
@@ -186,16 +189,16 @@
     match arrival {
         Arrival::Runs => Ok(Slot::new(node, call.route.clone())),
         Arrival::Refused(refusal) => {
-            note_refusal(node, forwarded, refusal);
+            record_refusal(node, forwarded, refusal);
             Err(refusal)
         }
         Arrival::Waits(ticket) => {
             let (sender, receiver) = oneshot::channel();
             node.waiting.borrow_mut().insert(ticket, sender);
             node.gate_changed.notify_one();
-            if !(Waiting { node, ticket, receiver }).admitted().await {
+            if !(WaitingCall { node, ticket, receiver }).admitted().await {
                 let refusal = if node.gate.borrow().is_closed() { Refusal::Closed } else { Refusal::Full };
-                note_refusal(node, forwarded, refusal);
+                record_refusal(node, forwarded, refusal);
                 return Err(refusal);
             }
             let slot = Slot::new(node, call.route.clone());
--- a/crates/sidecar/src/gate/suspects.rs
+++ b/crates/sidecar/src/gate/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets, at the gate.
+//! The quarantine check at the gate, for requests that crash targets.
 
 use hyper::http::request::Parts;
 use quillhatch_mesh::mechanisms::Mechanism;
@@ -11,22 +11,22 @@
 use crate::hop::GateOutcome;
 use crate::node::Node;
 
-/// Refuses a request that crashes targets.
-pub(super) fn check(node: &Node, signature: &RequestSignature) -> Result<(), Failure> {
+/// Refuses a request whose signature is quarantined because requests like it crash targets.
+pub(super) fn check_quarantine(node: &Node, signature: &RequestSignature) -> Result<(), Failure> {
     if !node.has(Mechanism::Quarantine) {
         return Ok(());
     }
     match node.quarantine.borrow().verdict(signature, node.now()) {
         Verdict::Runs => Ok(()),
-        Verdict::Refused(left) => Err(Failure {
+        Verdict::Refused(retry_after) => Err(Failure {
             outcome: GateOutcome::Quarantined,
-            why: format!("signature {}, for {} s", signature.narrow, left.as_secs()),
-            retry_after: Some(left),
+            why: format!("signature {}, for {} s", signature.narrow, retry_after.as_secs()),
+            retry_after: Some(retry_after),
         }),
     }
 }
 
-/// What a request asks for. Of a body that is too long to be held, only the beginning is known, which does not count.
+/// The signature of a request. A body that is too long to be buffered does not count: only its beginning is known.
 pub(super) fn signature_of(parts: &Parts, body: &Body) -> RequestSignature {
     let header = |name| text(&parts.headers, name).unwrap_or_default();
     let body = match body {
--- a/crates/sidecar/src/gate/target_end.rs
+++ b/crates/sidecar/src/gate/target_end.rs
@@ -1,7 +1,8 @@
-//! Whether the target has ended, and under which calls.
+//! Detects that the local target has ended, and which calls were running then.
 //!
-//! A call that breaks off shows nothing by itself: its answer may be lost while the target lives. So once one has broken off, the others are
-//! looked at, and if none is left the target is asked.
+//! A single lost connection does not show that the target has ended: the response may be lost while the target lives.
+//! So after a call has lost its connection the other running calls are checked, and if none of them is left, the target
+//! is asked for its identity.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,19 +15,19 @@
 use crate::node::Node;
 use crate::present_target::{self, Identity};
 
-/// How long the other connections of a target that has ended may take to break off. They do at the same moment; this is some dozens of
-/// round trips on one machine.
-const ALL_BREAK_WITHIN: Duration = Duration::from_millis(15);
+/// The delay after a lost connection before the other running calls are checked. All connections of a target that ends
+/// are lost at the same moment; this is some dozens of round trips on one machine.
+const LOSS_SETTLE_TIME: Duration = Duration::from_millis(15);
 
-/// Finds out whether the target has ended, after a call has broken off.
-pub(super) fn probe(node: &Rc<Node>) {
+/// Checks whether the target has ended, after a call has lost its connection.
+pub(super) fn probe_target(node: &Rc<Node>) {
     if !node.is_probing_target.replace(true) {
-        tokio::task::spawn_local(probe_after_break(Rc::clone(node)));
+        tokio::task::spawn_local(probe_after_loss(Rc::clone(node)));
     }
 }
 
-async fn probe_after_break(node: Rc<Node>) {
-    sleep(ALL_BREAK_WITHIN).await;
+async fn probe_after_loss(node: Rc<Node>) {
+    sleep(LOSS_SETTLE_TIME).await;
     node.is_probing_target.set(false);
     if node.runs.borrow().has_survivors() {
         node.runs.borrow_mut().target_lives();
@@ -40,31 +41,33 @@
             present_target::out_of_reach(&node);
             let end = node.runs.borrow_mut().target_ended();
             if let Some(end) = end {
-                ended(&node, &end);
+                target_ended(&node, &end);
             }
         }
-        // Decided when the target's identity is known next.
+        // Undecided until the target's identity is known again.
         Identity::Unknown => present_target::out_of_reach(&node),
     }
 }
 
-/// The identity of the target beside this node is known.
+/// Handles a response of the local target that shows its identity.
 pub fn target_identified(node: &Rc<Node>, id: &str) {
     let end = node.runs.borrow_mut().identified(id);
     if let Some(end) = end {
-        ended(node, &end);
+        target_ended(node, &end);
     }
 }
 
-/// The target beside this node has started again under its identity `id`: the calls that broke off were running when it ended.
+/// Handles a restart of the local target under the same identity `id`: the calls that lost their connections were
+/// running when it ended.
 pub fn target_restarted(node: &Rc<Node>, id: &TargetId) {
     let end = node.runs.borrow_mut().restarted(id, node.now());
     if let Some(end) = end {
-        ended(node, &end);
+        target_ended(node, &end);
     }
 }
 
-fn ended(node: &Node, end: &TargetEnd) {
+/// Logs the end of a target and makes the calls that were running suspects of the quarantine.
+fn target_ended(node: &Node, end: &TargetEnd) {
     log_end(node, end);
     if node.has(Mechanism::Quarantine) {
         let suspects = node.quarantine.borrow_mut().target_ended(end, node.now());
@@ -72,8 +75,8 @@
     }
 }
 
-/// The target has answered a request of this signature.
-pub(super) fn survived(node: &Node, signature: &RequestSignature) {
+/// Clears requests of this signature in the quarantine, since the target has answered one.
+pub(super) fn request_completed(node: &Node, signature: &RequestSignature) {
     if !node.has(Mechanism::Quarantine) {
         return;
     }
@@ -84,11 +87,11 @@
     node.quarantine_outbox.clear(cleared);
 }
 
-/// The most signatures that one line names.
-const MOST_LOGGED: usize = 20;
+/// The maximum number of signatures in one log line.
+const MAX_LOGGED_SIGNATURES: usize = 20;
 
 fn log_end(node: &Node, end: &TargetEnd) {
-    let named = end.signatures.iter().take(MOST_LOGGED);
+    let named = end.signatures.iter().take(MAX_LOGGED_SIGNATURES);
     let named: Vec<String> = named.map(|signature| format!("\"{}\"", signature.narrow)).collect();
     let (target, count, named) = (&end.target, end.signatures.len(), named.join(","));
     node.log(&format!(
--- a/crates/sidecar/src/relay.rs
+++ b/crates/sidecar/src/relay.rs
@@ -42,7 +42,7 @@
         Ok(read) => read,
         Err(error) => {
             if let Some(slot) = slot {
-                slot.lost();
+                slot.connection_lost();
             }
             return Err(error.to_string());
         }
@@ -56,7 +56,7 @@
             }
             lease.release();
             if let Some(slot) = slot {
-                slot.completed();
+                slot.complete();
             }
             Ok(Response::from_parts(parts, Body::Buffered(bytes)))
         }
@@ -82,7 +82,7 @@
             Poll::Ready(None) => true,
             Poll::Ready(Some(Err(_))) => {
                 if let Some((_, Some(slot))) = self.holding.take() {
-                    slot.lost();
+                    slot.connection_lost();
                 }
                 false
             }
@@ -99,7 +99,7 @@
         if let Some((lease, slot)) = self.holding.take() {
             lease.release();
             if let Some(slot) = slot {
-                slot.completed();
+                slot.complete();
             }
         }
     }
