--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers: empty, whole in memory, or passed on as they arrive.
+//! Bodies of requests and responses, buffered in memory or streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,31 +7,31 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 
-/// Why a body ended before it was whole.
+/// Why a body ended early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 type Stream = Pin<Box<dyn HttpBody<Data = Bytes, Error = BodyError>>>;
 
-/// A body on its way out.
+/// An outgoing body.
 pub enum Body {
-    /// All of it.
+    /// The whole body.
     Buffered(Bytes),
-    /// The rest of it is still to come.
+    /// A body that is sent while it is read.
     Streamed(Stream),
 }
 
 impl Body {
-    /// No bytes at all.
+    /// A body of no bytes.
     pub fn empty() -> Self {
         Body::Buffered(Bytes::new())
     }
 
-    /// Passes on what `stream` brings.
+    /// A body that sends what `stream` yields.
     pub fn streamed(stream: impl HttpBody<Data = Bytes, Error = BodyError> + 'static) -> Self {
         Body::Streamed(Box::pin(stream))
     }
 
-    /// The same body once more, if all of it is in memory.
+    /// A copy of the body, if it is buffered.
     pub fn clone_if_buffered(&self) -> Option<Body> {
         match self {
             Body::Buffered(bytes) => Some(Body::Buffered(bytes.clone())),
@@ -67,9 +67,9 @@
     }
 }
 
-/// Bytes that were read already, and the rest of the body that they began.
+/// A body of which the first bytes were already read.
 pub struct PartialBody {
-    begun: Bytes,
+    start: Bytes,
     rest: Incoming,
     exact: Option<u64>,
 }
@@ -80,14 +80,14 @@
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = self.get_mut();
-        if !this.begun.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.begun)))));
+        if !this.start.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut this.start)))));
         }
         Pin::new(&mut this.rest).poll_frame(context).map_err(Into::into)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.begun.is_empty() && self.rest.is_end_stream()
+        self.start.is_empty() && self.rest.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -98,33 +98,34 @@
     }
 }
 
-/// A body that was read as far as it is kept in memory.
+/// A body that was read up to a limit.
 pub enum ReadBody {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// It is longer than that.
+    /// A body that exceeds the limit.
     Partial(PartialBody),
 }
 
 impl ReadBody {
-    /// The body to send on.
+    /// Converts it to an outgoing body.
     pub fn into_body(self) -> Body {
         match self {
             ReadBody::Complete(bytes) => Body::Buffered(bytes),
-            ReadBody::Partial(continued) => Body::streamed(continued),
+            ReadBody::Partial(partial) => Body::streamed(partial),
         }
     }
 }
 
-/// Reads a body whole if it has at most `limit` bytes, else its beginning.
+/// Reads a body whole if it has at most `limit` bytes. Of a longer one, only its beginning is read, or nothing if its
+/// length is known in advance.
 ///
 /// # Errors
 ///
-/// Returns an error if the body breaks off.
+/// Returns an error if the body ends early.
 pub async fn read_up_to(mut incoming: Incoming, limit: usize) -> Result<ReadBody, BodyError> {
     let exact = incoming.size_hint().exact();
     if exact.is_some_and(|length| length > limit as u64) {
-        return Ok(ReadBody::Partial(PartialBody { begun: Bytes::new(), rest: incoming, exact }));
+        return Ok(ReadBody::Partial(PartialBody { start: Bytes::new(), rest: incoming, exact }));
     }
     let mut first = Bytes::new();
     let mut collected = BytesMut::new();
@@ -137,8 +138,8 @@
             collected.extend_from_slice(&data);
         }
         if first.len() + collected.len() > limit {
-            let begun = if collected.is_empty() { first } else { collected.freeze() };
-            return Ok(ReadBody::Partial(PartialBody { begun, rest: incoming, exact }));
+            let start = if collected.is_empty() { first } else { collected.freeze() };
+            return Ok(ReadBody::Partial(PartialBody { start, rest: incoming, exact }));
         }
     }
     Ok(ReadBody::Complete(if collected.is_empty() { first } else { collected.freeze() }))
--- a/crates/sidecar/src/caller_io.rs
+++ b/crates/sidecar/src/caller_io.rs
@@ -1,7 +1,7 @@
-//! A caller's connection that notices the caller's leaving also while requests wait unread behind the current one.
+//! A server connection that detects that its peer has closed it even while pipelined requests are pending.
 //!
-//! hyper reads nothing while a request is answered and bytes of the next one lie in its buffer, so it would not see the end
-//! of the connection. This reads ahead into a bounded buffer of its own.
+//! While hyper serves a request and has bytes of the next one in its buffer, it does not read, so it would not notice
+//! that the connection was closed. This type reads ahead into a bounded buffer of its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,51 +18,53 @@
 
 use crate::pipeline::{parse_next_request, NextRequest};
 
-/// The most bytes that are read ahead.
-const AHEAD_BYTES: usize = 16 * 1024;
+/// The maximum number of bytes that are read ahead.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// How far the bytes that were read ahead are taken apart.
+/// How far the bytes that were read ahead have been split into requests.
 #[derive(Default)]
-struct Split {
-    /// Whether hyper gets the bytes as they come.
+struct SplitState {
+    /// Whether the bytes are passed to hyper as they arrive, without splitting.
     is_off: bool,
-    /// Whether a request was found whose end is open to doubt.
+    /// Whether a request was found whose length is ambiguous.
     is_ambiguous: bool,
-    /// The bytes at the front that belong to requests that were found, and are not given to hyper yet.
+    /// The number of bytes at the front of the buffer that belong to requests that were found and that hyper has not
+    /// read yet.
     found: usize,
-    /// The lengths of these requests.
+    /// The lengths of those requests that hyper has not started to read.
     lengths: VecDeque<usize>,
-    /// The bytes at the front that hyper may take: the rest of one request.
+    /// The number of bytes at the front that hyper may read: the rest of one request.
     released: usize,
 }
 
 struct Shared {
     stream: RefCell<TcpStream>,
-    split: RefCell<Split>,
+    split: RefCell<SplitState>,
     ahead: RefCell<Vec<u8>>,
-    ended: Cell<bool>,
+    closed: Cell<bool>,
     last_read: Cell<Instant>,
 }
 
-/// One half is given to hyper, the other watches the connection.
+/// A server connection. One clone is passed to hyper, another one reads ahead and watches for the end of the
+/// connection.
 #[derive(Clone)]
 pub struct CallerIo(Rc<Shared>);
 
 impl CallerIo {
-    /// Takes over a connection; with `splits`, hyper gets one request at a time and [`CallerIo::next_request`] tells of
-    /// those that wait.
-    pub fn new(stream: TcpStream, splits: bool) -> Self {
+    /// Wraps a connection. With `splits_requests`, hyper reads one request at a time, and
+    /// [`CallerIo::next_pipelined_request`] returns the pipelined ones.
+    pub fn new(stream: TcpStream, splits_requests: bool) -> Self {
         CallerIo(Rc::new(Shared {
             stream: RefCell::new(stream),
-            split: RefCell::new(Split { is_off: !splits, ..Split::default() }),
+            split: RefCell::new(SplitState { is_off: !splits_requests, ..SplitState::default() }),
             ahead: RefCell::default(),
-            ended: Cell::new(false),
+            closed: Cell::new(false),
             last_read: Cell::new(Instant::now()),
         }))
     }
 
-    /// The next request that was read ahead and not told of before.
-    pub fn next_request(&self) -> Option<Box<Parts>> {
+    /// The next request that was read ahead and has not been returned before.
+    pub fn next_pipelined_request(&self) -> Option<Box<Parts>> {
         let mut split = self.0.split.borrow_mut();
         let ahead = self.0.ahead.borrow();
         let rest = &ahead[split.found..];
@@ -75,7 +77,7 @@
                 split.lengths.push_back(length);
                 Some(parts)
             }
-            NextRequest::Incomplete if rest.len() < AHEAD_BYTES / 2 => None,
+            NextRequest::Incomplete if rest.len() < MAX_READ_AHEAD_BYTES / 2 => None,
             NextRequest::Incomplete | NextRequest::Unsupported => {
                 split.is_off = true;
                 None
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Whether a request was found whose end is open to doubt; nothing behind it can be trusted.
+    /// Whether a request was found whose length is ambiguous. Nothing that follows it can be trusted.
     pub fn is_ambiguous(&self) -> bool {
         self.0.split.borrow().is_ambiguous
     }
 
-    /// How many bytes at the front hyper may take now.
+    /// The number of bytes at the front of the buffer that hyper may read now.
     fn available(&self) -> usize {
         let ahead = self.0.ahead.borrow().len();
         let mut split = self.0.split.borrow_mut();
@@ -106,60 +108,61 @@
         split.released
     }
 
-    fn taken(&self, count: usize) {
+    /// Records that hyper has read `count` bytes.
+    fn consume(&self, count: usize) {
         let mut split = self.0.split.borrow_mut();
         split.released = split.released.saturating_sub(count);
         split.found = split.found.saturating_sub(count);
     }
 
-    /// Whether the beginning of a request lies here that hyper does not get before its head is whole.
-    pub fn has_begun_request(&self) -> bool {
+    /// Whether a request has arrived in part. hyper does not get it before its head is complete.
+    pub fn has_partial_request(&self) -> bool {
         let split = self.0.split.borrow();
         !split.is_off && self.0.ahead.borrow().len() > split.found
     }
 
-    /// Writes bytes if the connection takes them at once; hyper must have nothing to write.
-    pub fn write_late(&self, bytes: &[u8]) {
-        // A caller that takes nothing gets nothing.
+    /// Writes bytes if the connection accepts them without waiting. hyper must have nothing to write.
+    pub fn try_write_response(&self, bytes: &[u8]) {
+        // If the socket buffer is full, the response is dropped.
         let _ = self.0.stream.borrow().try_write(bytes);
     }
 
-    /// When bytes arrived last.
+    /// The time of the last read of any bytes.
     pub fn last_read(&self) -> Instant {
         self.0.last_read.get()
     }
 
-    /// Reads ahead; ready once the caller has ended the connection.
-    pub fn poll_ended(&self, context: &mut Context<'_>) -> Poll<()> {
+    /// Reads ahead. Ready once the caller has closed the connection.
+    pub fn poll_closed(&self, context: &mut Context<'_>) -> Poll<()> {
         let shared = &self.0;
-        let mut space = [0_u8; 4096];
+        let mut storage = [0_u8; 4096];
         loop {
-            if shared.ended.get() {
+            if shared.closed.get() {
                 return Poll::Ready(());
             }
-            if shared.ahead.borrow().len() >= AHEAD_BYTES {
+            if shared.ahead.borrow().len() >= MAX_READ_AHEAD_BYTES {
                 return Poll::Pending;
             }
-            let mut buffer = ReadBuf::new(&mut space);
+            let mut buffer = ReadBuf::new(&mut storage);
             match Pin::new(&mut *shared.stream.borrow_mut()).poll_read(context, &mut buffer) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
                     shared.last_read.set(Instant::now());
                     shared.ahead.borrow_mut().extend_from_slice(buffer.filled());
                 }
-                Poll::Ready(_) => shared.ended.set(true),
+                Poll::Ready(_) => shared.closed.set(true),
             }
         }
     }
 }
 
 impl CallerIo {
-    /// Throws away what still arrives; ready once the caller has ended the connection.
+    /// Discards all bytes that arrive. Ready once the caller has closed the connection.
     pub fn poll_discard(&self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             self.0.ahead.borrow_mut().clear();
             self.0.split.borrow_mut().is_off = true;
-            let polled = self.poll_ended(context);
+            let polled = self.poll_closed(context);
             if polled.is_ready() || self.0.ahead.borrow().is_empty() {
                 return polled;
             }
@@ -175,18 +178,18 @@
     ) -> Poll<io::Result<()>> {
         let mut available = self.available();
         if available == 0 {
-            let polled = self.poll_ended(context);
+            let polled = self.poll_closed(context);
             available = self.available();
             if available == 0 {
                 return polled.map(Ok);
             }
         }
         let mut ahead = self.0.ahead.borrow_mut();
-        let taken = available.min(buffer.remaining());
-        buffer.put_slice(&ahead[..taken]);
-        ahead.drain(..taken);
+        let count = available.min(buffer.remaining());
+        buffer.put_slice(&ahead[..count]);
+        ahead.drain(..count);
         drop(ahead);
-        self.taken(taken);
+        self.consume(count);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a sidecar, as text.
+//! Counters and the latency histogram of a sidecar, in the Prometheus text format.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,11 +22,11 @@
     edge: RefCell<BTreeMap<&'static str, u64>>,
     gate: RefCell<BTreeMap<&'static str, u64>>,
     latency: RefCell<Histogram>,
-    /// Calls that were sent to a second target.
+    /// Retries of calls whose previous attempt a target may have received.
     pub retries: Cell<u64>,
     /// Requests to the platform's store.
     pub store_requests: Cell<u64>,
-    /// Requests to the platform's store without a usable answer.
+    /// Requests to the platform's store without a usable response.
     pub store_failures: Cell<u64>,
 }
 
@@ -53,7 +53,7 @@
         counter.set(counter.get() + 1);
     }
 
-    /// The counters in the Prometheus text format, with `gauges` as they stand now.
+    /// Renders the counters and the current values of `gauges` in the Prometheus text format.
     pub fn render(&self, gauges: &[(&str, f64)], dropped_lines: u64) -> String {
         let mut text = String::new();
         for (name, counts) in [("edge", &self.edge), ("gate", &self.gate)] {
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -1,8 +1,8 @@
-//! Headers that a node takes off, and how values are read.
+//! Removal of hop-by-hop headers, and access to header values.
 
 use hyper::header::{HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH};
 
-/// Headers that speak of one connection only.
+/// Whether a header is a hop-by-hop header, which applies to a single connection.
 fn is_connection_header(name: &HeaderName) -> bool {
     matches!(
         name.as_str(),
@@ -10,7 +10,7 @@
     )
 }
 
-/// Takes off the headers that speak of one connection, and those that `Connection` names.
+/// Removes hop-by-hop headers, the headers that `Connection` names, and `Content-Length`.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
@@ -29,7 +29,7 @@
     headers.remove(CONTENT_LENGTH);
 }
 
-/// A header's value, if it is there and text.
+/// The value of a header, if it is present and valid text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -89,7 +89,7 @@
 pub enum GateOutcome {
     /// The target answered the call; the response is the target's.
     Answered,
-    /// The call has not run: the gate has no free slot, and the queue is full or the maximum wait has passed.
+    /// The call has not run: the gate had no slot for it in time.
     Full,
     /// The call has not run and the target has not received it: the target is draining, was replaced by another one or
     /// can't be reached, or the gate's node is stopping.
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and one task for each connection.
+//! Listening sockets and HTTP/1.1 server connections, each served by a task of its own.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -26,25 +26,26 @@
 use crate::caller_io::CallerIo;
 use crate::pipeline::{PipelinedCalls, MAX_PIPELINED_CALLS};
 
-/// The longest queue of connections that wait to be accepted.
+/// The backlog of a listening socket: the maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// How long to wait after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often a connection looks whether it has rested too long.
-const REST_CHECK: Duration = Duration::from_secs(2);
-/// Room for a head beyond its bound, so that the answer to it is this node's own.
-const HEAD_ROOM: usize = 4;
-/// The answer to a request whose head does not come.
+/// The delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often a connection checks its header and idle timeouts.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// The read buffer is this many times the limit on a request's head, so that the node itself refuses a head over the
+/// limit, not hyper.
+const HEAD_BUFFER_FACTOR: usize = 4;
+/// The response to a request whose head does not arrive within the header timeout.
 const REQUEST_TIMEOUT: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// How long a closed connection waits for its peer to close too.
+/// How long a connection that this node closes waits for its peer to close too.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// A TCP stream as hyper reads and writes it.
+/// Adapts a Tokio TCP stream to hyper's I/O traits.
 pub struct TokioIo(TcpStream);
 
 impl TokioIo {
-    /// Wraps a stream.
+    /// Wraps a TCP stream.
     pub fn new(stream: TcpStream) -> Self {
         TokioIo(stream)
     }
@@ -56,9 +57,9 @@
         context: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut space = [0_u8; 8192];
-        let wanted = cursor.remaining().min(space.len());
-        let mut buffer = ReadBuf::new(&mut space[..wanted]);
+        let mut storage = [0_u8; 8192];
+        let length = cursor.remaining().min(storage.len());
+        let mut buffer = ReadBuf::new(&mut storage[..length]);
         match Pin::new(&mut self.0).poll_read(context, &mut buffer) {
             Poll::Ready(Ok(())) => {
                 cursor.put_slice(buffer.filled());
@@ -95,24 +96,25 @@
     }
 }
 
-/// What a listener needs to know of its connections.
+/// How a listener serves its connections.
 #[derive(Clone)]
 pub struct ConnectionConfig {
-    /// The bounds in force on what a caller sends and how long it takes.
+    /// Returns the size limits and timeouts in force.
     pub limits: Rc<dyn Fn() -> CallerLimits>,
-    /// Turns true when connections are to end after their current request.
+    /// Becomes true when connections must close after their current request.
     pub shutdown: watch::Receiver<bool>,
-    /// The number of open connections.
+    /// The number of open connections of all listeners that share this counter.
     pub open_connections: Rc<Cell<usize>>,
-    /// The number of open connections from which they end after their current answer.
+    /// Above this number of open connections, connections close after their current response.
     pub keep_alive_limit: usize,
-    /// Whether callers are led away: their connections end once nothing waits on them.
+    /// Whether the node is draining its callers: their connections close after a response once no pipelined call is
+    /// pending on them.
     pub draining: Rc<Cell<bool>>,
-    /// Whether requests that wait behind another on their connection are begun early.
+    /// Whether pipelined requests are processed concurrently.
     pub concurrent_pipelining: bool,
 }
 
-/// Listens at an address.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
@@ -124,15 +126,15 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves every connection with `handler` until the process ends.
-pub async fn serve<Handler, Answer>(listener: TcpListener, connections: ConnectionConfig, handler: Handler)
+/// Accepts connections and serves their requests with `handler`. Does not return.
+pub async fn serve<Handler, ResponseFuture>(listener: TcpListener, connections: ConnectionConfig, handler: Handler)
 where
-    Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> Answer + Clone + 'static,
-    Answer: Future<Output = Response<Body>> + 'static,
+    Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> ResponseFuture + Clone + 'static,
+    ResponseFuture: Future<Output = Response<Body>> + 'static,
 {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -147,103 +149,104 @@
     }
 }
 
-async fn serve_connection<Handler, Answer>(
+async fn serve_connection<Handler, ResponseFuture>(
     stream: TcpStream,
     peer: SocketAddr,
     connections: ConnectionConfig,
     handler: Handler,
 ) where
-    Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> Answer + Clone + 'static,
-    Answer: Future<Output = Response<Body>> + 'static,
+    Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> ResponseFuture + Clone + 'static,
+    ResponseFuture: Future<Output = Response<Body>> + 'static,
 {
     let io = CallerIo::new(stream, connections.concurrent_pipelining);
     let watched = io.clone();
     let active = Rc::new(Cell::new(0_usize));
-    let early = Rc::new(PipelinedCalls::default());
+    let pipelined = Rc::new(PipelinedCalls::default());
     let is_closing = Rc::new(Cell::new(false));
-    let leading_away = Rc::clone(&connections.draining);
+    let draining = Rc::clone(&connections.draining);
     let (open, keep_alive_limit) = (Rc::clone(&connections.open_connections), connections.keep_alive_limit);
     let service = {
-        let (handler, active, early) = (handler.clone(), Rc::clone(&active), Rc::clone(&early));
+        let (handler, active, pipelined) = (handler.clone(), Rc::clone(&active), Rc::clone(&pipelined));
         let is_closing = Rc::clone(&is_closing);
         let io = io.clone();
         service_fn(move |request: Request<Incoming>| {
             active.set(active.get() + 1);
             let is_ambiguous = io.is_ambiguous();
-            let done = Countdown(Rc::clone(&active));
-            let (handler, early, leading_away) = (handler.clone(), Rc::clone(&early), Rc::clone(&leading_away));
+            let active_request = ActiveRequest(Rc::clone(&active));
+            let (handler, pipelined, draining) = (handler.clone(), Rc::clone(&pipelined), Rc::clone(&draining));
             let (open, is_closing) = (Rc::clone(&open), Rc::clone(&is_closing));
             async move {
                 let (parts, body) = request.into_parts();
-                let mut response = match early.take(&parts).await {
+                let mut response = match pipelined.take(&parts).await {
                     Some(response) => response,
                     None if is_ambiguous => refuse_ambiguous(),
                     None => handler(parts, Some(body), peer).await,
                 };
-                // Requests that were begun early are answered before the connection ends.
-                let ends = leading_away.get() || open.get() > keep_alive_limit;
-                if ends && early.is_empty() {
+                // Pipelined calls that were started are answered before the connection closes.
+                let closes = draining.get() || open.get() > keep_alive_limit;
+                if closes && pipelined.is_empty() {
                     is_closing.set(true);
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                drop(done);
+                drop(active_request);
                 Ok::<_, Infallible>(response)
             }
         })
     };
     let mut builder = http1::Builder::new();
-    // Without flushes put off for requests that wait behind: with them hyper closes after `Connection: close` without
-    // having written that answer.
+    // Without `pipeline_flush`, which delays flushes while pipelined requests are pending: with it, hyper closes the
+    // connection after a response with `Connection: close` without having written that response.
     builder
         .auto_date_header(false)
         .pipeline_flush(false)
-        .max_buf_size((connections.limits)().header_bytes.max(8192) * HEAD_ROOM);
+        .max_buf_size((connections.limits)().header_bytes.max(8192) * HEAD_BUFFER_FACTOR);
     let mut connection = pin!(builder.serve_connection(io, service));
-    let mut ending = connections.shutdown.clone();
-    let mut is_ending = false;
-    let mut rest_check = pin!(tokio::time::sleep(REST_CHECK));
+    let mut shutdown = connections.shutdown.clone();
+    let mut is_shutting_down = false;
+    let mut timeout_check = pin!(tokio::time::sleep(TIMEOUT_CHECK_INTERVAL));
     loop {
-        let connection_or_end = std::future::poll_fn(|context| {
-            // Before and after hyper, which takes the requests that were found.
-            if watched.poll_ended(context).is_ready() {
+        let connection_ended = std::future::poll_fn(|context| {
+            // Pipelined requests are searched for before each poll of hyper, which consumes the bytes of those found.
+            if watched.poll_closed(context).is_ready() {
                 return Poll::Ready(());
             }
             if !is_closing.get() {
-                begin_early(&watched, &early, active.get(), &connections, &handler, peer);
+                start_pipelined_calls(&watched, &pipelined, active.get(), &connections, &handler, peer);
             }
             connection.as_mut().poll(context).map(|_| ())
         });
         tokio::select! {
             biased;
-            () = connection_or_end => break,
-            _ = ending.changed(), if !is_ending => {
-                is_ending = true;
-                // Calls that were begun early have been passed on and are owed an answer; the last of these answers ends
+            () = connection_ended => break,
+            _ = shutdown.changed(), if !is_shutting_down => {
+                is_shutting_down = true;
+                // Pipelined calls have already been forwarded and must be answered; the last of their responses closes
                 // the connection.
-                if early.is_empty() {
+                if pipelined.is_empty() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
-            () = &mut rest_check => {
+            () = &mut timeout_check => {
                 let limits = (connections.limits)();
-                // On the steady clock: while the machine is suspended nobody reads, and what came meanwhile must be read first.
-                let rested = Instant::now().duration_since(watched.last_read());
-                if active.get() == 0 && watched.has_begun_request() && rested > limits.header_timeout {
-                    watched.write_late(REQUEST_TIMEOUT);
+                // By the monotonic clock, which stops while the machine is suspended: what arrived meanwhile must be
+                // read before a timeout applies.
+                let idle_for = Instant::now().duration_since(watched.last_read());
+                if active.get() == 0 && watched.has_partial_request() && idle_for > limits.header_timeout {
+                    watched.try_write_response(REQUEST_TIMEOUT);
                     break;
                 }
-                if active.get() == 0 && rested > limits.idle_timeout {
+                if active.get() == 0 && idle_for > limits.idle_timeout {
                     connection.as_mut().graceful_shutdown();
                 }
-                rest_check.as_mut().reset(tokio::time::Instant::now() + REST_CHECK);
+                timeout_check.as_mut().reset(tokio::time::Instant::now() + TIMEOUT_CHECK_INTERVAL);
             }
         }
     }
-    // Closing with unread bytes would reset the connection, and the last answer could be lost on its way.
+    // Closing a socket with unread bytes resets the connection, and the last response could be lost.
     let _ = tokio::time::timeout(LINGER, std::future::poll_fn(|context| watched.poll_discard(context))).await;
 }
 
-/// The answer to a request that tells its length in two ways.
+/// The response to a request with both `Content-Length` and `Transfer-Encoding`.
 fn refuse_ambiguous() -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::BAD_REQUEST;
@@ -251,36 +254,38 @@
     response
 }
 
-/// Begins the calls of requests that were read ahead. The first request of an idle connection is left to hyper.
-fn begin_early<Handler, Answer>(
+/// Starts the calls of pipelined requests that were read ahead. The first request of an idle connection is left to
+/// hyper.
+fn start_pipelined_calls<Handler, ResponseFuture>(
     io: &CallerIo,
-    early: &PipelinedCalls,
+    pipelined: &PipelinedCalls,
     active: usize,
     connections: &ConnectionConfig,
     handler: &Handler,
     peer: SocketAddr,
 ) where
-    Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> Answer + Clone + 'static,
-    Answer: Future<Output = Response<Body>> + 'static,
+    Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> ResponseFuture + Clone + 'static,
+    ResponseFuture: Future<Output = Response<Body>> + 'static,
 {
-    let mut waits_for_hyper = active == 0 && early.is_empty();
-    while !connections.draining.get() || waits_for_hyper {
-        if early.len() >= MAX_PIPELINED_CALLS {
+    let mut first_is_for_hyper = active == 0 && pipelined.is_empty();
+    while !connections.draining.get() || first_is_for_hyper {
+        if pipelined.len() >= MAX_PIPELINED_CALLS {
             return;
         }
-        let Some(parts) = io.next_request() else { return };
-        if waits_for_hyper {
-            waits_for_hyper = false;
+        let Some(parts) = io.next_pipelined_request() else { return };
+        if first_is_for_hyper {
+            first_is_for_hyper = false;
             continue;
         }
         let task = tokio::task::spawn_local(handler((*parts).clone(), None, peer));
-        early.push(&parts, task);
+        pipelined.push(&parts, task);
     }
 }
 
-struct Countdown(Rc<Cell<usize>>);
+/// Decrements the number of active requests when it is dropped.
+struct ActiveRequest(Rc<Cell<usize>>);
 
-impl Drop for Countdown {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,8 +1,8 @@
-//! The metrics page of a node.
+//! The metrics endpoint of a node.
 
 use crate::node::Node;
 
-/// The text of the page, in the Prometheus text format.
+/// Renders the metrics of the node in the Prometheus text format.
 pub fn render(node: &Node) -> String {
     let load = node.gate.borrow().load();
     let gauges = [
--- a/crates/sidecar/src/pipeline.rs
+++ b/crates/sidecar/src/pipeline.rs
@@ -1,7 +1,8 @@
-//! Requests that a caller sends behind one that is not answered yet.
+//! Concurrent processing of pipelined requests.
 //!
-//! hyper takes up one request of a connection at a time. Here the heads of requests without a body are found in what was
-//! read ahead, so that their calls can begin at once; hyper still writes the answers in the order of the requests.
+//! hyper processes one request of a connection at a time. This module finds the heads of requests without a body in the
+//! bytes that were read ahead, so that their calls can start at once. hyper still writes the responses in the order of
+//! the requests.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,27 +14,27 @@
 
 use crate::body::Body;
 
-/// The most headers of a request that is begun early.
-const MOST_HEADERS: usize = 64;
-/// The most requests of one connection that are begun early.
+/// The maximum number of headers of a request that is parsed here.
+const MAX_HEADERS: usize = 64;
+/// The maximum number of calls of one connection that are started before hyper has read their requests.
 pub const MAX_PIPELINED_CALLS: usize = 16;
 
-/// What stands at the beginning of the bytes that a caller sent.
+/// The request at the start of the bytes that a caller sent.
 pub enum NextRequest {
-    /// The head of a request is not complete yet.
+    /// The head of the request is not complete yet.
     Incomplete,
-    /// The whole head of a request without a body, of this length in bytes.
+    /// A request without a body, and the length of its head in bytes.
     WithoutBody(usize, Box<Parts>),
-    /// Something that only hyper can take apart.
+    /// A request, or invalid bytes, that is left to hyper to parse.
     Unsupported,
-    /// A request that tells its length in two ways, so that its end is open to doubt.
+    /// A request with both `Content-Length` and `Transfer-Encoding`, whose length is ambiguous.
     Ambiguous,
 }
 
-/// Looks at the beginning of what a caller sent.
+/// Parses the head of the request at the start of the bytes that a caller sent.
 pub fn parse_next_request(bytes: &[u8]) -> NextRequest {
-    let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut head = httparse::Request::new(&mut space);
+    let mut storage = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut storage);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return NextRequest::Incomplete,
@@ -66,40 +67,41 @@
     Some(request.into_parts().0)
 }
 
-struct EarlyCall {
+/// A pipelined call. Its task is aborted when it is dropped.
+struct PipelinedCall {
     uri: Uri,
     headers: HeaderMap,
     task: JoinHandle<Response<Body>>,
 }
 
-impl Drop for EarlyCall {
+impl Drop for PipelinedCall {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// The calls of one connection that were begun early, in the order of their requests.
+/// The pipelined calls of one connection, in the order of their requests.
 #[derive(Default)]
-pub struct PipelinedCalls(RefCell<VecDeque<EarlyCall>>);
+pub struct PipelinedCalls(RefCell<VecDeque<PipelinedCall>>);
 
 impl PipelinedCalls {
-    /// Notes a call that was begun.
+    /// Adds a call that was started.
     pub fn push(&self, parts: &Parts, task: JoinHandle<Response<Body>>) {
-        let call = EarlyCall { uri: parts.uri.clone(), headers: parts.headers.clone(), task };
+        let call = PipelinedCall { uri: parts.uri.clone(), headers: parts.headers.clone(), task };
         self.0.borrow_mut().push_back(call);
     }
 
-    /// The number of calls that hyper has not come to yet.
+    /// The number of calls whose requests hyper has not read yet.
     pub fn len(&self) -> usize {
         self.0.borrow().len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no such calls.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
 
-    /// The answer to the request that hyper has come to, if its call was begun early.
+    /// The response to the request that hyper has just read, if its call was started as a pipelined one.
     pub async fn take(&self, request: &Parts) -> Option<Response<Body>> {
         let mut call = {
             let mut calls = self.0.borrow_mut();
--- a/crates/sidecar/src/relay.rs
+++ b/crates/sidecar/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes answers on: short ones whole, long ones as they arrive.
+//! Relays responses: short ones are buffered whole, long ones are streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,23 +13,24 @@
 use crate::headers::remove_connection_headers;
 use crate::pool::ConnectionLease;
 
-/// The largest answer that is read whole before any of it is passed on, in bytes.
-const KEPT_ANSWER_BYTES: usize = 64 * 1024;
+/// The maximum size of a response body that is buffered whole before any of it is relayed, in bytes.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Passes an answer on: whole if it is short, else as it arrives. The connection is kept after a whole answer.
+/// Relays a response: buffered if it is short, else streamed. The connection is returned to its pool after a complete
+/// response.
 ///
 /// # Errors
 ///
-/// Returns why a short answer broke off.
+/// Returns why a short response ended early.
 pub async fn relay_response(response: Response<Incoming>, lease: ConnectionLease) -> Result<Response<Body>, String> {
     relay_response_with_slot(response, lease, None).await
 }
 
-/// As [`relay_response`], with a slot that is given back when the answer has ended.
+/// As [`relay_response`], with a slot that is released when the response has ended.
 ///
 /// # Errors
 ///
-/// Returns why a short answer broke off.
+/// Returns why a short response ended early.
 pub async fn relay_response_with_slot(
     response: Response<Incoming>,
     lease: ConnectionLease,
@@ -38,7 +39,7 @@
     let (mut parts, incoming) = response.into_parts();
     let length = parts.headers.get(CONTENT_LENGTH).cloned();
     remove_connection_headers(&mut parts.headers);
-    let read = match read_up_to(incoming, KEPT_ANSWER_BYTES).await {
+    let read = match read_up_to(incoming, MAX_BUFFERED_RESPONSE_BYTES).await {
         Ok(read) => read,
         Err(error) => {
             if let Some(slot) = slot {
@@ -62,26 +63,27 @@
         }
         ReadBody::Partial(rest) => {
             let remaining = rest.size_hint().exact();
-            let held = Held { body: Box::pin(rest), remaining, holding: Some((lease, slot)) };
-            Ok(Response::from_parts(parts, Body::streamed(held)))
+            let streamed = StreamedBody { body: Box::pin(rest), remaining, resources: Some((lease, slot)) };
+            Ok(Response::from_parts(parts, Body::streamed(streamed)))
         }
     }
 }
 
-/// A long answer that holds its connection and its slot until it has ended.
-struct Held {
+/// The body of a streamed response, which holds its connection and its slot until it has ended.
+struct StreamedBody {
     body: Pin<Box<PartialBody>>,
     remaining: Option<u64>,
-    holding: Option<(ConnectionLease, Option<Slot>)>,
+    resources: Option<(ConnectionLease, Option<Slot>)>,
 }
 
-impl Held {
-    /// Takes note of what was passed on; an answer of known length ends without a further call.
-    fn note(&mut self, polled: &Poll<Option<Result<Frame<Bytes>, BodyError>>>) {
+impl StreamedBody {
+    /// Records a polled frame, and releases the connection and the slot at the end of the body. A body of known length
+    /// ends with its last byte, without a further poll.
+    fn record_frame(&mut self, polled: &Poll<Option<Result<Frame<Bytes>, BodyError>>>) {
         let is_over = match polled {
             Poll::Ready(None) => true,
             Poll::Ready(Some(Err(_))) => {
-                if let Some((_, Some(slot))) = self.holding.take() {
+                if let Some((_, Some(slot))) = self.resources.take() {
                     slot.connection_lost();
                 }
                 false
@@ -96,7 +98,7 @@
         if !is_over {
             return;
         }
-        if let Some((lease, slot)) = self.holding.take() {
+        if let Some((lease, slot)) = self.resources.take() {
             lease.release();
             if let Some(slot) = slot {
                 slot.complete();
@@ -105,19 +107,19 @@
     }
 }
 
-impl HttpBody for Held {
+impl HttpBody for StreamedBody {
     type Data = Bytes;
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = self.get_mut();
         let polled = this.body.as_mut().poll_frame(context);
-        this.note(&polled);
+        this.record_frame(&polled);
         polled
     }
 
     fn is_end_stream(&self) -> bool {
-        // The end must be polled for, so that the connection is given back.
+        // The end must be polled for, so that the connection is released.
         false
     }
 
