--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -32,7 +32,7 @@
     /// Where the platform's store is.
     pub store: SocketAddr,
     /// The descriptors that the process may hold.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// The bounds in force.
     pub bounds: Bounds,
     /// The mechanisms that are switched on; set on the command line, not in the settings file.
@@ -49,7 +49,7 @@
     /// Within this time after it was written a configuration is in force.
     pub apply: Duration,
     /// After this time with a path to the store, a machine that had none must keep all bounds again.
-    pub contact: Duration,
+    pub recovery: Duration,
     /// Repeats may be at most this share of the calls of a service.
     pub retry_ratio: f64,
     /// The window over which repeats are counted.
@@ -74,19 +74,19 @@
 
 impl Bounds {
     /// The shorter of the times within which a change of the store must have its effect.
-    pub fn least(&self) -> Duration {
+    pub fn shortest(&self) -> Duration {
         self.drain.min(self.apply)
     }
 
     /// For how long changes are gathered after one has come.
-    pub fn gather(&self) -> Duration {
-        self.least().mul_f64(GATHER_PART)
+    pub fn batch_window(&self) -> Duration {
+        self.shortest().mul_f64(GATHER_PART)
     }
 
     /// For how long targets are kept that were gone together with many, without a known outage of the store.
     ///
     /// They may be gone for good, so this ends within the bound on drains, also for nodes that learn of it late.
-    pub fn longest_grace(&self) -> Duration {
-        self.drain.saturating_sub(self.least().mul_f64(SPREAD_PART) + CHANGE_RESERVE)
+    pub fn max_grace(&self) -> Duration {
+        self.drain.saturating_sub(self.shortest().mul_f64(SPREAD_PART) + CHANGE_RESERVE)
     }
 }
--- a/crates/sidecar/src/edge/answers.rs
+++ b/crates/sidecar/src/edge/answers.rs
@@ -48,7 +48,7 @@
 
 /// A random `Retry-After` for a call of `route` that has not run.
 pub(super) fn retry_delay(node: &Node, route: &Route) -> Duration {
-    route.objective.mul_f64(node.random.borrow_mut().gen_range(RETRY_AFTER_FRACTION))
+    route.latency_objective.mul_f64(node.random.borrow_mut().gen_range(RETRY_AFTER_FRACTION))
 }
 
 /// A 503 response: the call has not run and may be retried after `retry_after`.
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use quillhatch_mesh::configuration::Repeatability;
+use quillhatch_mesh::configuration::Retryability;
 use quillhatch_mesh::mechanisms::Mechanism;
 use quillhatch_mesh::targets::{Target, TargetId};
 use quillhatch_platform::headers;
@@ -99,7 +99,7 @@
     } else if call.is_nested {
         remaining.mul_f64(NESTED_QUEUE_FRACTION)
     } else {
-        started.until(call.arrived + call.route.objective.mul_f64(DISPATCH_FRACTION)).min(remaining)
+        started.until(call.arrived + call.route.latency_objective.mul_f64(DISPATCH_FRACTION)).min(remaining)
     };
     let forwarded = HopContext {
         is_root: !call.is_nested,
@@ -158,7 +158,7 @@
     }
     let is_replaced = report.local_target.as_ref().is_some_and(|present| {
         let mut targets = node.targets.borrow_mut();
-        targets.succeed(&target.id, Arc::from(present.id.as_str()), &present.service, now);
+        targets.replace_at_address(&target.id, Arc::from(present.id.as_str()), &present.service, now);
         targets.get(&present.id).is_some()
     });
     match report.outcome {
@@ -254,7 +254,7 @@
     let mut exchange = pin!(exchange);
     let give_up_at = call.deadline + DEADLINE_ALLOWANCE;
     let probe_delay = node.balance.borrow().suspicion_after(&call.route.name);
-    if probe_delay < node.now().until(give_up_at) && call.route.repeatability == Repeatability::Repeatable {
+    if probe_delay < node.now().until(give_up_at) && call.route.retryability == Retryability::Retryable {
         let probe_at = node.now() + probe_delay;
         if let Ok(result) = node.clock.timeout_at(probe_at, &mut exchange).await {
             return result.into();
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -113,7 +113,7 @@
         Sender::Anyone | Sender::Target => None,
     };
     let origin = origin_of(node, &route, evidence, &sender, arrived);
-    let priority = configuration.importance(&route, tenant.as_deref());
+    let priority = configuration.call_priority(&route, tenant.as_deref());
     let mut lineage = lineage_of(node, priority, &origin, &id);
     let is_nested = origin != Origin::Caller;
     if !is_nested && node.refuses_callers.get() {
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -13,7 +13,7 @@
 use quillhatch_mesh::configuration::{Configuration, ConfigurationInForce};
 use quillhatch_mesh::cut::{Cut, RouteCuts};
 use quillhatch_mesh::demand::CallGraph;
-use quillhatch_mesh::feed::LoneReadings;
+use quillhatch_mesh::feed::SoloReads;
 use quillhatch_mesh::gate::Gate;
 use quillhatch_mesh::health::AnswerHealth;
 use quillhatch_mesh::mechanisms::Mechanism;
@@ -112,11 +112,11 @@
     pub tenancy: Tenancy,
     /// Repeats by service.
     pub budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
-    /// Connections to other nodes.
+    /// ConnectionConfig to other nodes.
     pub peers: Rc<Pool>,
-    /// Connections to this node's target.
+    /// ConnectionConfig to this node's target.
     pub target: Rc<Pool>,
-    /// Connections to the platform's store.
+    /// ConnectionConfig to the platform's store.
     pub store: Rc<Pool>,
     /// How far the process is on its way to its end.
     pub stage: Cell<Stage>,
@@ -149,7 +149,7 @@
     /// Whether the store must be asked once, since the own target's registration has ended.
     pub must_probe_store: Cell<bool>,
     /// The readings of the store in which this node has found nobody.
-    pub lone_readings: Cell<LoneReadings>,
+    pub lone_readings: Cell<SoloReads>,
     /// A random number in 0..1, which spreads what nodes do by themselves.
     pub draw: f64,
     /// What is known of the presence of other nodes.
@@ -291,7 +291,7 @@
 
     /// What this node's target can't serve of what arrives, if anything.
     pub fn shortage(&self) -> Option<Shortage> {
-        let priorities = self.current_configuration().map_or(1, |configuration| configuration.priorities());
+        let priorities = self.current_configuration().map_or(1, |configuration| configuration.priority_count());
         let load = self.gate.borrow().load();
         let now = self.now();
         self.capacity.borrow_mut().shortage(load, priorities, |route| self.called_cut(route, now), now)
--- a/crates/sidecar/src/reach.rs
+++ b/crates/sidecar/src/reach.rs
@@ -10,7 +10,7 @@
 pub fn own_reach(node: &Node) -> StoreView {
     let now = node.now();
     let is_turned_away = node.own_access_lost.get();
-    let is_cut_off = is_turned_away || !node.position().is_known() || node.feed.loss.get().is_cut_off(now);
+    let is_cut_off = is_turned_away || !node.position().is_known() || node.feed.loss.get().is_partitioned(now);
     StoreView { position: node.position(), store_unreachable: is_cut_off }
 }
 
@@ -43,7 +43,7 @@
     let own = node.settings.local_target.ip();
     let mut targets = node.targets.borrow_mut();
     let grace_end = targets.next_grace_end();
-    let was_cut_off = targets.is_reported_cut_off(peer, now);
+    let was_cut_off = targets.is_reported_partitioned(peer, now);
     targets.report_store_access(peer, has_lost_the_store(reach), now);
     if was_cut_off != has_lost_the_store(reach) {
         node.log_failure(|| format!("\"event\":\"peer-store-access\",\"peer\":\"{peer}\",\"lost\":{}", !was_cut_off));
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -139,7 +139,7 @@
         limits: Rc::new(move || for_limits.current_configuration().map(|in_force| in_force.limits).unwrap_or_default()),
         shutdown: ending,
         open_connections: Rc::clone(&open),
-        keep_alive_limit: settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
+        keep_alive_limit: settings.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
         draining: Rc::clone(&leading_away),
         concurrent_pipelining: true,
     };
