--- a/crates/mesh/src/limits/choice.rs
+++ b/crates/mesh/src/limits/choice.rs
@@ -1,43 +1,46 @@
-//! Which machine a node reports to: the first one of the candidates that answers.
+//! Selects the coordinator: the machine that a node reports to, which is the first candidate that responds.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
 use quillhatch_types::Timestamp;
 
-/// The reports without an answer after which the next candidate is tried. One is lost now and then, and a node that moves
-/// alone gets the part of one node.
-const MOST_MISSED: u32 = 3;
-/// How often the first candidate is tried again while it does not answer: all nodes should come back to one.
-const FIRST_AGAIN: Duration = Duration::from_secs(2);
+/// The number of reports without a response after which a node switches to the next candidate. Single datagrams are
+/// lost now and then, and a node that switches alone only gets one node's part of each limit from its new coordinator.
+const MAX_UNANSWERED_REPORTS: u32 = 3;
+/// The interval at which the first candidate is retried while another one is selected, so that all nodes return to the
+/// same coordinator.
+const FIRST_CANDIDATE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The choice of one node.
+/// The coordinator that a node has selected.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorChoice {
-    place: usize,
+    /// The index of the selected candidate.
+    current: usize,
+    /// The reports sent since the last response.
     unanswered: u32,
-    moved: Timestamp,
+    last_switch: Timestamp,
 }
 
 impl CoordinatorChoice {
-    /// The one of `candidates` that gets the report which is sent now.
+    /// Returns the candidate to send a report to now, and counts that report as unanswered.
     pub fn next(&mut self, candidates: &[IpAddr], now: Timestamp) -> Option<IpAddr> {
-        if self.unanswered >= MOST_MISSED {
+        if self.unanswered >= MAX_UNANSWERED_REPORTS {
             self.unanswered = 0;
-            self.place += 1;
-            self.moved = now;
-        } else if self.place > 0 && now.since(self.moved) >= FIRST_AGAIN {
-            self.place = 0;
-            self.moved = now;
+            self.current += 1;
+            self.last_switch = now;
+        } else if self.current > 0 && now.since(self.last_switch) >= FIRST_CANDIDATE_RETRY_INTERVAL {
+            self.current = 0;
+            self.last_switch = now;
         }
         self.unanswered += 1;
-        if self.place >= candidates.len() {
-            self.place = 0;
+        if self.current >= candidates.len() {
+            self.current = 0;
         }
-        candidates.get(self.place).copied()
+        candidates.get(self.current).copied()
     }
 
-    /// A report was answered.
+    /// Records a response to a report.
     pub fn answered(&mut self) {
         self.unanswered = 0;
     }
--- a/crates/mesh/src/limits/coordinator.rs
+++ b/crates/mesh/src/limits/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator's side: what all nodes together let in of each tenant, and the share that keeps it within the limit.
+//! The coordinator's side: how many calls of each tenant all nodes together admit, and the share that keeps them within
+//! the limit.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -7,99 +8,104 @@
 
 use quillhatch_types::Timestamp;
 
-use super::rate::FadingRate;
+use super::rate::DecayingRate;
 use super::{LimitBounds, TenantShare, TenantSurge, TenantUsage, SURGE_FACTOR};
 use crate::tenants::RateLimit;
 
-/// For how long nodes must have reported before shares are told, in periods: each of them has reported once by then.
-const SETTLED_AFTER: f64 = 1.2;
-/// For how long a node's report counts, in periods. A node that is not heard for longer falls back to its own part.
-const REPORT_HOLDS: f64 = 4.5;
-/// The part of the window in which a burst is let in: more than the time until a share that was told has its effect on what is reported.
-const BURST_IN: f64 = 0.15;
-/// The periods in which a burst is let in at least: in a large fleet that effect takes longer than a part of the window.
-const BURST_PERIODS: u32 = 2;
-/// The part of the window in which calls are made up for that were let in beyond the limit. A shorter one swings and refuses nearly all
-/// for a second or two.
-const REPAID_IN: f64 = 0.4;
-/// The least share of what the limit allows that is let in while more than that is made up for.
-const LEAST_PART: f64 = 0.2;
+/// How long nodes must have reported before shares are sent, in periods: by then each of them has reported once.
+const SETTLING_PERIODS: f64 = 1.2;
+/// How long a node's report is valid, in periods. A node whose reports are lost for longer falls back to its own part.
+const REPORT_VALIDITY_PERIODS: f64 = 4.5;
+/// The time in which a burst is admitted, as a fraction of the window: longer than a new share takes to show its effect
+/// in the reports.
+const BURST_TIME_FRACTION: f64 = 0.15;
+/// The minimum time in which a burst is admitted, in periods: in a large fleet, that effect takes longer than the
+/// fraction of the window.
+const MIN_BURST_PERIODS: u32 = 2;
+/// The time in which calls admitted beyond the limit are compensated, as a fraction of the window. With a shorter time
+/// the share oscillates, and nearly all calls are refused for a second or two.
+const COMPENSATION_TIME_FRACTION: f64 = 0.4;
+/// The minimum rate that is admitted during the compensation, as a fraction of the limit's rate.
+const MIN_RATE_FRACTION: f64 = 0.2;
 
-/// The time over which surges are measured. A shorter one takes the burst of a single caller for a surge.
-const SURGE_OVER: Duration = Duration::from_millis(200);
-/// The part of the share that nodes know below which a new one is told to all of them at once.
-const STEEP_FALL: f64 = 0.75;
-/// The most updates of shares a second: a tenth of a core, at a few microseconds each.
-const MOST_UPDATES: f64 = 30_000.0;
+/// The time constant of the rate of surges. With a shorter one the burst of a single caller counts as a surge.
+const SURGE_TIME_CONSTANT: Duration = Duration::from_millis(200);
+/// A new share that is below this fraction of the share known to the nodes is sent to all of them at once.
+const STEEP_DROP_FRACTION: f64 = 0.75;
+/// The maximum number of updates of shares sent per second: a tenth of a core, at a few microseconds each.
+const MAX_UPDATES_PER_SECOND: f64 = 30_000.0;
 
 /// The last report of a node.
 #[derive(Clone, Debug, Default)]
 struct NodeReport {
-    at: Timestamp,
+    received: Timestamp,
     usages: Vec<TenantUsage>,
 }
 
 /// The calls of one tenant at all nodes.
 #[derive(Clone, Copy, Debug)]
-struct TenantLevel {
+struct TenantDemand {
+    /// The calls per second that arrive, according to the regular reports.
     arriving: f64,
+    /// The calls per second that are admitted, according to the regular reports.
     admitted: f64,
-    /// Calls that may be let in beyond the rate; negative if too many were.
-    level: f64,
+    /// The calls that may be admitted beyond the rate; negative if too many were admitted.
+    balance: f64,
     updated: Timestamp,
-    /// Calls in reports of surges.
-    surge: FadingRate,
-    /// The share that was told last.
+    /// The rate of calls in reports of surges.
+    surge: DecayingRate,
+    /// The share that was sent last.
     share: f64,
-    /// The greatest share that a node may know, and since when.
-    known: f64,
-    known_at: Timestamp,
+    /// The highest share that any node may know, and since when.
+    max_known_share: f64,
+    max_known_since: Timestamp,
 }
 
-impl TenantLevel {
-    fn new(level: f64, now: Timestamp) -> Self {
-        TenantLevel {
+impl TenantDemand {
+    fn new(balance: f64, now: Timestamp) -> Self {
+        TenantDemand {
             arriving: 0.0,
             admitted: 0.0,
-            level,
+            balance,
             updated: now,
-            surge: FadingRate::new(SURGE_OVER, now),
+            surge: DecayingRate::new(SURGE_TIME_CONSTANT, now),
             share: 1.0,
-            known: 1.0,
-            known_at: now,
+            max_known_share: 1.0,
+            max_known_since: now,
         }
     }
 
-    /// Calls a second by reports of surges, if regular reports show far fewer.
+    /// The calls per second according to reports of surges, if the regular reports contain far fewer.
     fn surge(&self, now: Timestamp) -> Option<f64> {
-        Some(self.surge.at_least(now)).filter(|surge| *surge > self.arriving * SURGE_FACTOR)
+        Some(self.surge.lower_estimate(now)).filter(|surge| *surge > self.arriving * SURGE_FACTOR)
     }
 
     fn advance(&mut self, limit: RateLimit, window: Duration, now: Timestamp) {
         let elapsed = now.since(self.updated).as_secs_f64();
         self.updated = now;
-        let least = -limit.rate * window.as_secs_f64();
+        let min_balance = -limit.rate * window.as_secs_f64();
         let admitted = self.surge(now).map_or(self.admitted, |surge| self.admitted.max(surge * self.share));
-        self.level = (self.level + (limit.rate - admitted) * elapsed).clamp(least, limit.burst);
+        self.balance = (self.balance + (limit.rate - admitted) * elapsed).clamp(min_balance, limit.burst);
     }
 
-    /// The share that holds now. All nodes hear it with their reports, so after a period none knows a greater one.
-    fn tell(&mut self, limit: RateLimit, window: Duration, period: Duration) -> f64 {
+    /// Updates and returns the current share. All nodes receive it in the responses to their reports, so after a period
+    /// none knows a higher one.
+    fn update_share(&mut self, limit: RateLimit, window: Duration, period: Duration) -> f64 {
         let now = self.updated;
         self.share = self.share_at(limit, window, period);
-        if self.share > self.known || now.since(self.known_at) > period {
-            (self.known, self.known_at) = (self.share, now);
+        if self.share > self.max_known_share || now.since(self.max_known_since) > period {
+            (self.max_known_share, self.max_known_since) = (self.share, now);
         }
         self.share
     }
 
     fn share_at(&self, limit: RateLimit, window: Duration, period: Duration) -> f64 {
-        let within = match self.level > 0.0 {
-            true => window.mul_f64(BURST_IN).max(period * BURST_PERIODS),
-            false => window.mul_f64(REPAID_IN),
+        let balancing_time = match self.balance > 0.0 {
+            true => window.mul_f64(BURST_TIME_FRACTION).max(period * MIN_BURST_PERIODS),
+            false => window.mul_f64(COMPENSATION_TIME_FRACTION),
         };
-        let allowed = limit.rate + self.level / within.as_secs_f64();
-        let allowed = allowed.max(limit.rate * LEAST_PART);
+        let allowed = limit.rate + self.balance / balancing_time.as_secs_f64();
+        let allowed = allowed.max(limit.rate * MIN_RATE_FRACTION);
         let arriving = self.surge(self.updated).unwrap_or(self.arriving);
         if arriving <= allowed {
             return 1.0;
@@ -108,35 +114,35 @@
     }
 }
 
-/// What the nodes report to this one.
+/// The state of a coordinator: the reports of the nodes.
 #[derive(Clone, Debug)]
 pub struct LimitCoordinator {
     bounds: LimitBounds,
     nodes: HashMap<IpAddr, NodeReport>,
-    levels: HashMap<Arc<str>, TenantLevel>,
-    /// Since when nodes report to this one. What was let in before is not known.
+    demands: HashMap<Arc<str>, TenantDemand>,
+    /// Since when nodes have reported to this one. How many calls were admitted before is not known.
     since: Option<Timestamp>,
-    /// The part of each limit that falls to the nodes that report here.
+    /// The part of each limit that corresponds to the nodes that report to this one.
     part: f64,
-    /// When all nodes were told the shares at once.
-    told_all: Timestamp,
+    /// When the shares were last sent to all nodes at once.
+    last_urgent_update: Timestamp,
 }
 
 impl LimitCoordinator {
-    /// Nobody has reported yet.
+    /// Creates a coordinator without reports.
     pub fn new(bounds: LimitBounds) -> Self {
         LimitCoordinator {
             bounds,
             nodes: HashMap::new(),
-            levels: HashMap::new(),
+            demands: HashMap::new(),
             since: None,
             part: 0.0,
-            told_all: Timestamp::ZERO,
+            last_urgent_update: Timestamp::ZERO,
         }
     }
 
-    /// Takes a report of one of `machines` nodes that each report once in `period`, and tells the shares of the tenants that are beyond
-    /// their limits.
+    /// Applies the report of one of `machines` nodes that each report once per `period`, and returns the shares of the
+    /// tenants that exceed their limits.
     pub fn apply_report(
         &mut self,
         node: IpAddr,
@@ -146,12 +152,12 @@
         now: Timestamp,
     ) -> Vec<TenantShare> {
         self.expire(period, &limit_of, now);
-        self.replace(node, NodeReport { at: now, usages }, &limit_of, now);
+        self.replace(node, NodeReport { received: now, usages }, &limit_of, now);
         self.part = self.bounds.part_scale() * self.nodes.len() as f64 / machines.max(1) as f64;
         self.shares(limit_of, period, now)
     }
 
-    /// Takes what a node tells before its regular report, and tells the shares of the tenants that are beyond their limits.
+    /// Applies a node's report of surges, and returns the shares of the tenants that exceed their limits.
     pub fn apply_surge_report(
         &mut self,
         surges: &[TenantSurge],
@@ -160,8 +166,8 @@
         now: Timestamp,
     ) -> Vec<TenantShare> {
         for surge in surges {
-            let Some(level) = self.level(&surge.tenant, &limit_of, now) else { continue };
-            level.surge.add(f64::from(surge.calls), now);
+            let Some(demand) = self.current_demand(&surge.tenant, &limit_of, now) else { continue };
+            demand.surge.add(f64::from(surge.calls), now);
         }
         self.shares(limit_of, period, now)
     }
@@ -173,10 +179,10 @@
         now: Timestamp,
     ) -> Vec<TenantShare> {
         let mut shares = Vec::new();
-        for (tenant, level) in &mut self.levels {
+        for (tenant, demand) in &mut self.demands {
             let Some(limit) = limit_of(tenant).map(|limit| self.bounds.handed_out(limit, self.part)) else { continue };
-            level.advance(limit, self.bounds.window, now);
-            let share = level.tell(limit, self.bounds.window, period);
+            demand.advance(limit, self.bounds.window, now);
+            let share = demand.update_share(limit, self.bounds.window, period);
             if share < 1.0 {
                 shares.push(TenantShare { tenant: tenant.clone(), share });
             }
@@ -184,45 +190,50 @@
         shares
     }
 
-    /// The nodes to which the shares that were told last must go at once: a share has fallen so steeply that nodes would let in far more of
-    /// the tenant's calls until their next reports. None mostly.
+    /// The nodes that must receive the current shares at once, since a share has dropped so steeply that nodes would
+    /// admit far more of the tenant's calls until their next reports. Usually there are none.
     pub fn urgent_update_recipients(&mut self, period: Duration, now: Timestamp) -> Vec<IpAddr> {
-        let pause = Duration::from_secs_f64(self.nodes.len() as f64 / MOST_UPDATES);
-        let falls = self.levels.values().any(|level| level.share < level.known * STEEP_FALL);
-        if !falls || !self.is_settled(period, now) || now.since(self.told_all) < pause {
+        let min_interval = Duration::from_secs_f64(self.nodes.len() as f64 / MAX_UPDATES_PER_SECOND);
+        let has_steep_drop =
+            self.demands.values().any(|demand| demand.share < demand.max_known_share * STEEP_DROP_FRACTION);
+        if !has_steep_drop || !self.is_settled(period, now) || now.since(self.last_urgent_update) < min_interval {
             return Vec::new();
         }
-        self.told_all = now;
-        for level in self.levels.values_mut() {
-            (level.known, level.known_at) = (level.share, now);
+        self.last_urgent_update = now;
+        for demand in self.demands.values_mut() {
+            (demand.max_known_share, demand.max_known_since) = (demand.share, now);
         }
         self.nodes.keys().copied().collect()
     }
 
-    /// Whether all nodes have had the time to report. Until then the demand of most is not known, and a tenant beyond its limit seems to be
-    /// below it; each node has its own part meanwhile.
+    /// Whether all nodes have had time to report. Until then the demand at most nodes is unknown, and a tenant that
+    /// exceeds its limit seems to be below it, so each node uses its own part.
     pub fn is_settled(&self, period: Duration, now: Timestamp) -> bool {
-        self.since.is_some_and(|since| now.since(since) >= period.mul_f64(SETTLED_AFTER))
+        self.since.is_some_and(|since| now.since(since) >= period.mul_f64(SETTLING_PERIODS))
     }
 
-    /// The nodes that report to this one.
+    /// The number of nodes that report to this one.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
     fn expire(&mut self, period: Duration, limit_of: &impl Fn(&str) -> Option<RateLimit>, now: Timestamp) {
-        let held = period.mul_f64(REPORT_HOLDS);
-        let gone: Vec<IpAddr> =
-            self.nodes.iter().filter(|(_, report)| now.since(report.at) > held).map(|(node, _)| *node).collect();
-        for node in gone {
+        let validity = period.mul_f64(REPORT_VALIDITY_PERIODS);
+        let expired: Vec<IpAddr> = self
+            .nodes
+            .iter()
+            .filter(|(_, report)| now.since(report.received) > validity)
+            .map(|(node, _)| *node)
+            .collect();
+        for node in expired {
             self.replace(node, NodeReport::default(), limit_of, now);
             self.nodes.remove(&node);
         }
         if self.nodes.is_empty() {
             self.since = Some(now);
         }
-        // A tenant without calls has its whole burst again after some time, as one that is not known has when it comes.
-        self.levels.retain(|_, level| level.arriving > 1e-6 || now.since(level.updated) < self.bounds.window);
+        // A tenant without calls has its whole burst again after some time, just like a tenant that is added anew.
+        self.demands.retain(|_, demand| demand.arriving > 1e-6 || now.since(demand.updated) < self.bounds.window);
     }
 
     fn replace(
@@ -233,8 +244,8 @@
         now: Timestamp,
     ) {
         let added = report.usages.clone();
-        let former = self.nodes.insert(node, report).unwrap_or_default().usages;
-        self.add(&former, -1.0, limit_of, now);
+        let previous = self.nodes.insert(node, report).unwrap_or_default().usages;
+        self.add(&previous, -1.0, limit_of, now);
         self.add(&added, 1.0, limit_of, now);
     }
 
@@ -246,24 +257,24 @@
         now: Timestamp,
     ) {
         for usage in usages {
-            let Some(level) = self.level(&usage.tenant, limit_of, now) else { continue };
-            level.arriving = (level.arriving + sign * usage.arriving).max(0.0);
-            level.admitted = (level.admitted + sign * usage.admitted).max(0.0);
+            let Some(demand) = self.current_demand(&usage.tenant, limit_of, now) else { continue };
+            demand.arriving = (demand.arriving + sign * usage.arriving).max(0.0);
+            demand.admitted = (demand.admitted + sign * usage.admitted).max(0.0);
         }
     }
 
-    /// The level of a tenant as it is now, if it has a limit.
-    fn level(
+    /// The current demand of a tenant, if it has a limit.
+    fn current_demand(
         &mut self,
         tenant: &Arc<str>,
         limit_of: &impl Fn(&str) -> Option<RateLimit>,
         now: Timestamp,
-    ) -> Option<&mut TenantLevel> {
-        let known_for = self.since.map_or(0.0, |since| now.since(since).as_secs_f64());
+    ) -> Option<&mut TenantDemand> {
+        let coordinating_seconds = self.since.map_or(0.0, |since| now.since(since).as_secs_f64());
         let limit = limit_of(tenant).map(|limit| self.bounds.handed_out(limit, self.part))?;
-        let first = limit.burst.min(limit.rate * known_for);
-        let level = self.levels.entry(tenant.clone()).or_insert_with(|| TenantLevel::new(first, now));
-        level.advance(limit, self.bounds.window, now);
-        Some(level)
+        let initial_balance = limit.burst.min(limit.rate * coordinating_seconds);
+        let demand = self.demands.entry(tenant.clone()).or_insert_with(|| TenantDemand::new(initial_balance, now));
+        demand.advance(limit, self.bounds.window, now);
+        Some(demand)
     }
 }
--- a/crates/mesh/src/limits/local.rs
+++ b/crates/mesh/src/limits/local.rs
@@ -1,4 +1,4 @@
-//! One node's side: which calls of a tenant it lets in, and what it reports.
+//! The node's side: which calls of a tenant it admits, and what it reports.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,48 +6,52 @@
 
 use quillhatch_types::Timestamp;
 
-use super::rate::FadingRate;
+use super::rate::DecayingRate;
 use super::{LimitBounds, TenantShare, TenantSurge, TenantUsage, SURGE_FACTOR};
 use crate::tenants::{RateLimit, Tenant};
 
-/// The time over which rates are measured that are reported: about a report's period.
-const MEASURED_OVER: Duration = Duration::from_millis(400);
-/// A rate below which a tenant is no longer reported, in calls a second: one call, two seconds ago.
-const REPORTED_FROM: f64 = 0.02;
-/// For how long an answer of the coordinator is believed, in periods: as long as it is asked, and once more for the next one to answer.
-const BELIEVED_FOR: f64 = 4.5;
-/// The least time between two reports of surges, in periods.
-const SURGE_PAUSE: f64 = 0.1;
-/// The bounds of what a caller that is over its limit is told to wait, in seconds.
-const COME_BACK: (f64, f64) = (0.5, 5.0);
-
-/// A call that is beyond its tenant's limit.
+/// The time constant of the reported rates: about the period of the reports.
+const RATE_TIME_CONSTANT: Duration = Duration::from_millis(400);
+/// The minimum rate at which a tenant is reported, in calls per second: one call, two seconds ago.
+const MIN_REPORTED_RATE: f64 = 0.02;
+/// How long the last response of a coordinator is valid, in periods: until the node switches to the next candidate, and
+/// one more period for that one to respond.
+const RESPONSE_VALIDITY_PERIODS: f64 = 4.5;
+/// The minimum time between two reports of surges, in periods.
+const MIN_SURGE_REPORT_INTERVAL_PERIODS: f64 = 0.1;
+/// The minimum and maximum time after which a throttled caller may retry, in seconds, before it is randomized.
+const RETRY_AFTER_RANGE_SECONDS: (f64, f64) = (0.5, 5.0);
+
+/// The refusal of a call that exceeds its tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverLimit {
-    /// When the limit has room again for what the tenant sends now.
+    /// The time after which the caller should retry; the more the tenant exceeds its limit, the longer.
     pub retry_after: Duration,
-    /// The share of the tenant's calls that is let in.
+    /// The share of the tenant's calls that is admitted.
     pub share: f64,
 }
 
 /// The calls of one tenant at this node.
 #[derive(Clone, Debug)]
 struct LocalUsage {
-    arriving: FadingRate,
-    admitted: FadingRate,
-    /// Calls a second that arrived at the last regular report.
-    reported: f64,
-    /// Calls that have arrived since any report.
-    unreported: u32,
-    /// Shares of calls that were not let in yet; with each whole one a call is.
-    due: f64,
-    /// What is left of this node's own part of the limit, while no coordinator answers.
-    part: TokenBucket,
-    /// What is left of the whole limit if all calls arrive here: then this node knows that they are too many before the coordinator does.
-    whole: TokenBucket,
+    /// The rate of all calls that arrive.
+    arriving: DecayingRate,
+    /// The rate of the admitted calls.
+    admitted: DecayingRate,
+    /// The rate of arriving calls in the last regular report, in calls per second.
+    reported_rate: f64,
+    /// The number of calls that have arrived since the last report of any kind.
+    unreported_calls: u32,
+    /// The sum of the shares of the calls that arrived, less the calls admitted. A call is admitted when it reaches 1.
+    share_credit: f64,
+    /// The tokens of this node's own part of the limit, for the time without a coordinator.
+    own_part: TokenBucket,
+    /// The tokens of the whole limit. If all calls of the tenant arrive at this node, it notices that they exceed the
+    /// limit before the coordinator does.
+    whole_limit: TokenBucket,
 }
 
-/// Calls that may be let in; filled at some rate, never beyond what it holds.
+/// A token bucket: each admitted call takes a token, and tokens are added at the rate of a limit up to its burst.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -73,40 +77,42 @@
 pub struct LocalLimits {
     bounds: LimitBounds,
     usages: HashMap<Arc<str>, LocalUsage>,
-    /// The shares that the coordinator told last, also of tenants whose calls do not arrive here yet: in a large fleet most of a
-    /// small tenant's calls are the first one at their node for a second or more.
+    /// The shares that the coordinator sent last, also those of tenants without calls at this node so far: in a large
+    /// fleet, most calls of a small tenant are the first one at their node for a second or more.
     shares: HashMap<Arc<str>, f64>,
-    answered: Option<Timestamp>,
-    /// Whether calls of some tenant have risen since the last report.
+    /// When the coordinator sent its last shares.
+    shares_received: Option<Timestamp>,
+    /// Whether the calls of some tenant have surged since the last report.
     has_surge: bool,
-    /// When surges were reported last.
-    surges_reported: Timestamp,
+    /// When surges were last reported.
+    last_surge_report: Timestamp,
 }
 
 impl LocalLimits {
-    /// No call has arrived yet, and no coordinator has answered.
+    /// Creates limits without calls and without a coordinator.
     pub fn new(bounds: LimitBounds) -> Self {
         LocalLimits {
             bounds,
             usages: HashMap::new(),
             shares: HashMap::new(),
-            answered: None,
+            shares_received: None,
             has_surge: false,
-            surges_reported: Timestamp::ZERO,
+            last_surge_report: Timestamp::ZERO,
         }
     }
 
-    /// A call of `tenant` arrives, at one of `machines` nodes that each report once in `period`. `draw` in 0..1 is random.
+    /// Decides whether to admit a call of `tenant`, at one of `machines` nodes that each report once per `period`.
+    /// `random` is a random number in 0..1.
     ///
     /// # Errors
     ///
-    /// Returns when to come back if the call is beyond the limit.
+    /// Returns when to retry if the call exceeds the limit.
     pub fn admit(
         &mut self,
         tenant: &Tenant,
         machines: usize,
         period: Duration,
-        draw: f64,
+        random: f64,
         now: Timestamp,
     ) -> Result<(), OverLimit> {
         let Some(limit) = tenant.limit else { return Ok(()) };
@@ -114,107 +120,109 @@
         let share = self.shares.get(&tenant.name).copied().unwrap_or(1.0);
         let whole = self.bounds.handed_out(limit, 1.0);
         let part = self.bounds.part_scale() / machines.max(1) as f64;
-        let usage = self.usages.entry(tenant.name.clone()).or_insert_with(|| LocalUsage::new(whole, draw, now));
+        let usage = self.usages.entry(tenant.name.clone()).or_insert_with(|| LocalUsage::new(whole, random, now));
         usage.arriving.add(1.0, now);
-        usage.unreported += 1;
+        usage.unreported_calls += 1;
         self.has_surge |= usage.is_surging(now);
-        usage.whole.fill(whole, now);
+        usage.whole_limit.fill(whole, now);
         let is_admitted = if has_coordinator {
-            // The node's own part begins when no coordinator answers, and owes nothing for the time before.
-            usage.part.filled = now;
+            // The bucket of the node's own part is only filled while no coordinator responds.
+            usage.own_part.filled = now;
             usage.spend_share(share)
         } else {
-            usage.part.fill(RateLimit { rate: limit.rate * part, burst: limit.burst * part }, now);
-            usage.part.spend()
+            usage.own_part.fill(RateLimit { rate: limit.rate * part, burst: limit.burst * part }, now);
+            usage.own_part.spend()
         };
         if is_admitted {
             usage.admitted.add(1.0, now);
             return Ok(());
         }
         let share = if has_coordinator { share } else { limit.rate * part / usage.arriving.at(now) };
-        let (least, most) = COME_BACK;
-        let seconds = (1.0 / share.max(f64::MIN_POSITIVE)).clamp(least, most) * (0.7 + 0.6 * draw);
+        let (min, max) = RETRY_AFTER_RANGE_SECONDS;
+        let seconds = (1.0 / share.max(f64::MIN_POSITIVE)).clamp(min, max) * (0.7 + 0.6 * random);
         Err(OverLimit { retry_after: Duration::from_secs_f64(seconds), share })
     }
 
-    /// A call that was let in has not run.
+    /// Takes back the admission of a call that did not run.
     pub fn refund(&mut self, tenant: &str, now: Timestamp) {
         if let Some(usage) = self.usages.get_mut(tenant) {
             usage.admitted.add(-1.0, now);
         }
     }
 
-    /// What is reported now. Tenants without calls for some time are forgotten.
+    /// Returns the regular report to send now. Tenants without calls for some time are forgotten.
     pub fn report(&mut self, now: Timestamp) -> Vec<TenantUsage> {
-        self.usages.retain(|_, usage| usage.arriving.at(now) >= REPORTED_FROM);
+        self.usages.retain(|_, usage| usage.arriving.at(now) >= MIN_REPORTED_RATE);
         self.has_surge = false;
         let reported = self.usages.iter_mut().map(|(tenant, usage)| {
-            (usage.reported, usage.unreported) = (usage.arriving.at(now), 0);
-            TenantUsage { tenant: tenant.clone(), arriving: usage.reported, admitted: usage.admitted.at(now) }
+            (usage.reported_rate, usage.unreported_calls) = (usage.arriving.at(now), 0);
+            TenantUsage { tenant: tenant.clone(), arriving: usage.reported_rate, admitted: usage.admitted.at(now) }
         });
         reported.collect()
     }
 
-    /// How long until surges are to be reported, if there are any.
+    /// The time until surges must be reported; `None` if there are none.
     pub fn surge_report_in(&self, period: Duration, now: Timestamp) -> Option<Duration> {
-        self.has_surge.then(|| now.until(self.surges_reported + period.mul_f64(SURGE_PAUSE)))
+        self.has_surge.then(|| now.until(self.last_surge_report + period.mul_f64(MIN_SURGE_REPORT_INTERVAL_PERIODS)))
     }
 
-    /// The surges that are reported now.
+    /// Returns the report of surges to send now.
     pub fn report_surges(&mut self, now: Timestamp) -> Vec<TenantSurge> {
-        (self.has_surge, self.surges_reported) = (false, now);
+        (self.has_surge, self.last_surge_report) = (false, now);
         let surging = self.usages.iter_mut().filter(|(_, usage)| usage.is_surging(now));
         let reported = surging.map(|(tenant, usage)| TenantSurge {
             tenant: tenant.clone(),
-            calls: std::mem::take(&mut usage.unreported),
+            calls: std::mem::take(&mut usage.unreported_calls),
         });
         reported.collect()
     }
 
-    /// The coordinator has answered.
+    /// Applies the shares that the coordinator sent.
     pub fn apply_shares(&mut self, shares: &[TenantShare], now: Timestamp) {
-        self.answered = Some(now);
+        self.shares_received = Some(now);
         self.shares.clear();
-        self.shares.extend(shares.iter().map(|told| (told.tenant.clone(), told.share.clamp(0.0, 1.0))));
+        self.shares.extend(shares.iter().map(|received| (received.tenant.clone(), received.share.clamp(0.0, 1.0))));
     }
 
-    /// Whether a coordinator has answered lately.
+    /// Whether the shares that a coordinator sent last are still valid.
     pub fn has_coordinator(&self, period: Duration, now: Timestamp) -> bool {
-        self.answered.is_some_and(|answered| now.since(answered) < period.mul_f64(BELIEVED_FOR))
+        self.shares_received.is_some_and(|received| now.since(received) < period.mul_f64(RESPONSE_VALIDITY_PERIODS))
     }
 }
 
 impl LocalUsage {
-    fn new(whole: RateLimit, draw: f64, now: Timestamp) -> Self {
-        let rate = FadingRate::new(MEASURED_OVER, now);
+    fn new(whole: RateLimit, random: f64, now: Timestamp) -> Self {
+        let rate = DecayingRate::new(RATE_TIME_CONSTANT, now);
         LocalUsage {
             arriving: rate,
             admitted: rate,
-            reported: 0.0,
-            unreported: 0,
-            // These begin at random, so that all nodes together let in what is due, not each one call at first.
-            due: draw,
-            part: TokenBucket { tokens: draw, filled: now },
-            whole: TokenBucket { tokens: whole.burst.max(1.0), filled: now },
+            reported_rate: 0.0,
+            unreported_calls: 0,
+            // Random initial values, so that the nodes together admit the right number of calls, instead of one first
+            // call each.
+            share_credit: random,
+            own_part: TokenBucket { tokens: random, filled: now },
+            whole_limit: TokenBucket { tokens: whole.burst.max(1.0), filled: now },
         }
     }
 
-    /// Whether its calls arrive so much more often than reported that the coordinator can't wait for the regular report.
+    /// Whether calls arrive at so much higher a rate than reported that the coordinator must know before the next
+    /// regular report.
     fn is_surging(&self, now: Timestamp) -> bool {
-        self.unreported > 0 && self.arriving.at(now) > self.reported * SURGE_FACTOR
+        self.unreported_calls > 0 && self.arriving.at(now) > self.reported_rate * SURGE_FACTOR
     }
 
     fn spend_share(&mut self, share: f64) -> bool {
-        if !self.whole.spend() {
+        if !self.whole_limit.spend() {
             return false;
         }
-        self.due = (self.due + share).min(2.0);
-        let is_due = self.due >= 1.0;
-        if is_due {
-            self.due -= 1.0;
+        self.share_credit = (self.share_credit + share).min(2.0);
+        let is_admitted = self.share_credit >= 1.0;
+        if is_admitted {
+            self.share_credit -= 1.0;
         } else {
-            self.whole.tokens += 1.0;
+            self.whole_limit.tokens += 1.0;
         }
-        is_due
+        is_admitted
     }
 }
