--- a/crates/mesh/src/authentication.rs
+++ b/crates/mesh/src/authentication.rs
@@ -1,27 +1,27 @@
-//! Whose call it is that arrives at the edge, and whether it may go on.
+//! Authenticates the calls that arrive at the edge.
 //!
-//! A call on a route that is not public needs the key of a tenant, unless this node's target makes it: targets have no keys. Keys that
-//! were taken away must not be let in, so keys are only believed while the configuration is known to be recent
-//! ([`crate::freshness`]).
+//! A call on a route that is not public needs the API key of a tenant, unless it comes from this node's target: targets
+//! have no keys. Revoked keys must not be accepted, so keys are only accepted while the configuration is known to be
+//! recent ([`crate::freshness`]).
 
 use std::sync::Arc;
 
 use crate::configuration::{Configuration, Route};
 use crate::tenants::Tenant;
 
-/// What a call shows of its sender.
+/// What identifies the sender of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Credentials<'a> {
-    /// The key that it carries.
+    /// The API key in the call.
     pub key: Option<&'a [u8]>,
-    /// Whether it may be a call of this node's target, which runs a call that has as much time left.
+    /// Whether the call may come from this node's target: the target is running a call that has as much time left.
     pub may_be_target: bool,
 }
 
-/// Who sends a call that may go on.
+/// The sender of an accepted call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sender {
-    /// No key is needed: the route is public, or there are no tenants.
+    /// Anyone: no key is needed, since the route is public or there are no tenants.
     Anyone,
     /// A tenant.
     Tenant(Arc<Tenant>),
@@ -29,14 +29,14 @@
     Target,
 }
 
-/// Why a call does not go on.
+/// Why a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// It has no key, and is no call of this node's target.
+    /// It has no key and doesn't come from this node's target.
     NoKey,
-    /// No tenant holds its key.
+    /// No tenant has this key.
     UnknownKey,
-    /// The configuration may be too old to tell: the key may be new, or taken away.
+    /// The configuration may be too old to decide: the key may be new or revoked.
     StaleConfiguration,
 }
 
@@ -51,11 +51,11 @@
     }
 }
 
-/// Finds out who sends a call of `route`. `is_fresh` tells whether the configuration is known to be recent.
+/// Determines the sender of a call of `route`. `is_fresh` states whether the configuration is known to be recent.
 ///
 /// # Errors
 ///
-/// Returns why the call is not let in.
+/// Returns why the call is refused.
 pub fn authenticate(
     configuration: &Configuration,
     route: &Route,
--- a/crates/mesh/src/configuration.rs
+++ b/crates/mesh/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The routing configuration of a sidecar, and the rule that it never goes back.
+//! The routing configuration of a sidecar, and the rule that it is never replaced by an older one.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,57 +7,57 @@
 
 use crate::tenants::{Tenant, TenantTable};
 
-/// Whether a call may be run again.
+/// Whether a call may be retried after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retryability {
-    /// It may run more than once.
+    /// It may: running it more than once does no harm.
     Retryable,
-    /// It may run at most once.
+    /// It may not: it must run at most once.
     AtMostOnce,
 }
 
-/// One service that a route may send a call to, with its share.
+/// A service to which a route may send calls, with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Destination {
     /// The service's name.
     pub service: Arc<str>,
-    /// Its share relative to the other destinations of the route.
+    /// Its share of the calls, relative to the weights of the route's other destinations.
     pub weight: f64,
 }
 
-/// How calls under one prefix are handled.
+/// How calls under a path prefix are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The route's name, for logs.
     pub name: Arc<str>,
-    /// The beginning of the paths that it takes; ends with a slash.
+    /// The prefix of the paths that it matches; ends with a slash.
     pub prefix: String,
-    /// Whether its calls may be repeated.
+    /// Whether its calls may be retried.
     pub retryability: Retryability,
-    /// The time within which an answer is worth its full value.
+    /// The latency within which a response has its full value.
     pub latency_objective: Duration,
-    /// The longest time that a call may be held.
+    /// The timeout of a call.
     pub timeout: Duration,
-    /// The most targets that one call may be sent to.
+    /// The maximum number of targets to which one call may be sent.
     pub max_attempts: u32,
-    /// The importance; 0 is the greatest.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Whether its calls need no key of a tenant.
+    /// Whether its calls need no API key of a tenant.
     pub is_public: bool,
-    /// The services that serve it; never empty.
+    /// The services to which its calls are sent; never empty.
     pub destinations: Vec<Destination>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the requests and connections of a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerLimits {
-    /// The largest head of a request in bytes.
+    /// The maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request in bytes.
+    /// The maximum size of a request's body in bytes.
     pub body_bytes: u64,
-    /// The longest time for a request's head to arrive.
+    /// The maximum time for a request's head to arrive.
     pub header_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// The maximum time for which a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
@@ -72,36 +72,36 @@
     }
 }
 
-/// What is known of a service besides its targets.
+/// The settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSettings {
-    /// The path that tells a target's health.
+    /// The path at which a target reports its health.
     pub health_path: String,
-    /// The most connections that a target takes from all callers together.
+    /// The maximum number of connections that a target accepts from all callers together.
     pub max_connections: usize,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// The version; a higher number is newer.
+    /// The version; a higher one is newer.
     pub version: u64,
     /// Routes by host.
     pub hosts: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<Arc<str>, ServiceSettings>,
-    /// The tenants; while there are none no call needs a key.
+    /// The tenants; if there are none, no call needs an API key.
     pub tenants: TenantTable,
-    /// Bounds on callers.
+    /// The limits on callers.
     pub limits: CallerLimits,
-    /// The document that it was read from, as other nodes get it.
+    /// The document from which it was read, which is sent to other nodes.
     pub document: Document,
-    /// The least important priority of the routes, worked out when it is first asked for: each call asks, and there may be thousands of
-    /// routes.
+    /// The lowest priority of any route (the highest number). It is computed on first use and cached: each call needs
+    /// it, and there may be thousands of routes.
     pub lowest_route_priority: OnceLock<u8>,
 }
 
-/// The text of a configuration. It holds keys, so it is never printed.
+/// The text of a configuration. It contains API keys, so it is never printed.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Document(pub Arc<[u8]>);
 
@@ -112,33 +112,34 @@
 }
 
 impl Configuration {
-    /// How many importances are in use, counted from the greatest to the least: those of routes for each of tenants.
+    /// The number of call priorities, from the highest to the lowest one in use: the number of route priorities times
+    /// that of tenants.
     pub fn priority_count(&self) -> u32 {
-        u32::from(self.route_priorities()) * u32::from(self.tenants.priority_count())
+        u32::from(self.route_priority_count()) * u32::from(self.tenants.priority_count())
     }
 
-    /// The importance of a call of `route` by `tenant`, or by anyone: the tenant's goes before the route's. Calls without a tenant rank
-    /// with those of the least important one.
+    /// The priority of a call of `route` by `tenant`; 0 is the highest. The tenant's priority takes precedence over the
+    /// route's. Calls without a tenant rank with those of the tenants with the lowest priority.
     pub fn call_priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
-        let last = self.tenants.priority_count() - 1;
-        let by_tenant = tenant.map_or(last, |tenant| tenant.priority.min(last));
-        by_tenant.saturating_mul(self.route_priorities()).saturating_add(route.priority)
+        let lowest = self.tenants.priority_count() - 1;
+        let tenant_priority = tenant.map_or(lowest, |tenant| tenant.priority.min(lowest));
+        tenant_priority.saturating_mul(self.route_priority_count()).saturating_add(route.priority)
     }
 
-    fn route_priorities(&self) -> u8 {
-        let least = || self.hosts.values().flatten().map(|route| route.priority).max().unwrap_or(0);
-        self.lowest_route_priority.get_or_init(least).saturating_add(1)
+    fn route_priority_count(&self) -> u8 {
+        let lowest = || self.hosts.values().flatten().map(|route| route.priority).max().unwrap_or(0);
+        self.lowest_route_priority.get_or_init(lowest).saturating_add(1)
     }
 }
 
-/// The configuration that a node follows. It only ever moves to a newer version.
+/// The configuration that is in force at a node. It is only ever replaced by a newer version.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationInForce {
     current: Option<Arc<Configuration>>,
 }
 
 impl ConfigurationInForce {
-    /// Takes `offered` if it is newer than what is in force, and says whether it was taken.
+    /// Puts `offered` in force if it is newer than the current configuration; returns whether it is.
     pub fn offer(&mut self, offered: impl Into<Arc<Configuration>>) -> bool {
         let offered = offered.into();
         if self.current.as_ref().is_some_and(|current| current.version >= offered.version) {
@@ -148,12 +149,12 @@
         true
     }
 
-    /// The configuration in force, if there is any yet.
+    /// The configuration in force, if there is one yet.
     pub fn current(&self) -> Option<&Arc<Configuration>> {
         self.current.as_ref()
     }
 
-    /// The version in force, zero if there is none yet.
+    /// The version in force; zero if there is none yet.
     pub fn version(&self) -> u64 {
         self.current.as_ref().map_or(0, |current| current.version)
     }
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told when it starts: addresses, its place, and the bounds that it must keep.
+//! The settings with which a sidecar starts: its addresses, its zone and service, and the bounds that it must meet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,82 +11,88 @@
 pub struct SidecarSettings {
     /// The name of the node, for logs.
     pub node: String,
-    /// The zone in which the machine stands.
+    /// The zone of the machine.
     pub zone: String,
-    /// The service of the target beside this node.
+    /// The service of the local target, which runs on the same machine as this node.
     pub service: String,
-    /// Where the target beside this node listens.
+    /// Where the local target listens.
     pub local_target: SocketAddr,
-    /// Where callers on this machine, and the target itself, send their calls.
+    /// Where callers on this machine, including the local target, send their calls.
     pub outbound: SocketAddr,
-    /// Where other nodes send calls for the target beside this node; the port is the same on every machine.
+    /// Where other nodes send calls for the local target; the port is the same on every machine.
     pub inbound: SocketAddr,
-    /// Where the platform asks whether this node takes calls.
+    /// Where the platform checks whether this node is ready for calls.
     pub ready: SocketAddr,
-    /// Where counters are served, if anywhere, and under which path.
+    /// Where metrics are served and under which path; `None` if they are not.
     pub metrics: Option<(SocketAddr, String)>,
-    /// Where nodes report how much of the tenants' limits they use, by UDP; the port is the same on every machine.
+    /// Where nodes exchange usage reports on the limits of tenants, by UDP; the port is the same on every machine.
     pub limits: Option<SocketAddr>,
-    /// Where the gates of a service tell each other of requests that crash targets, by UDP; the port is the same on every machine.
+    /// Where the gates of a service exchange reports on requests that crash targets, by UDP; the port is the same on
+    /// every machine.
     pub quarantine: Option<SocketAddr>,
-    /// Where the platform's store is.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The descriptors that the process may hold.
+    /// The maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The bounds in force.
+    /// The bounds that the operators promise to their users.
     pub bounds: Bounds,
-    /// The mechanisms that are switched on; set on the command line, not in the settings file.
+    /// The enabled mechanisms; set on the command line, not in the settings file.
     pub mechanisms: Mechanisms,
 }
 
-/// Bounds that the operators promise to their users.
+/// The bounds that the operators promise to their users.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The longest time between the request to stop and the end of the process.
+    /// The maximum time from the request to stop to the exit of the process.
     pub stop_grace: Duration,
-    /// Within this time after an registration a leaving target gets no new calls.
+    /// The maximum time after which a target that has registered as draining gets no new calls.
     pub drain: Duration,
-    /// Within this time after it was written a configuration is in force.
+    /// The maximum time from the writing of a configuration until it is in force.
     pub apply: Duration,
-    /// After this time with a path to the store, a machine that had none must keep all bounds again.
+    /// The maximum time after which a machine that was partitioned from the store, and can reach it again, meets all
+    /// bounds.
     pub recovery: Duration,
-    /// Repeats may be at most this share of the calls of a service.
+    /// The maximum number of retries, as a fraction of the calls of a service.
     pub retry_ratio: f64,
-    /// The window over which repeats are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// Repeats that all nodes together may make beyond the share, for each service.
+    /// The number of retries that all nodes together may make in addition to that fraction, for each service.
     pub retry_slack: f64,
-    /// Within this time after a configuration without it was written, a key is believed nowhere. `None` if keys need not be refused by
-    /// nodes that can't read the store.
+    /// The maximum time after which no node accepts a key that a newly written configuration no longer contains. `None`
+    /// if nodes that can't read the store may continue to accept keys.
     pub revocation: Option<Duration>,
-    /// What is allowed beyond the limits of tenants.
+    /// By how much the limits of tenants may be exceeded.
     pub limits: LimitBounds,
-    /// How often a target writes its registration.
+    /// The interval at which a target writes its registration.
     pub heartbeat: Duration,
 }
 
-/// The share of the least bound for which changes are gathered after one has come, before the store is asked again.
-const GATHER_PART: f64 = 0.3;
-/// The share of the bound on drains that is left for a change to reach all nodes, also if a node on the way to them is lost.
-const SPREAD_PART: f64 = 0.45;
-/// What is left of that time for an answer of the store and for the node's own work.
+/// How long changes are batched, as a fraction of the shortest bound: the time from a change to the next call to the
+/// store.
+const BATCH_WINDOW_FRACTION: f64 = 0.3;
+/// The time reserved for a change to reach all nodes, even if a node on its way is lost, as a fraction of the shortest
+/// bound.
+const PROPAGATION_FRACTION: f64 = 0.45;
+/// The time reserved in addition for a response of the store and the node's own work.
 const CHANGE_RESERVE: Duration = Duration::from_millis(500);
 
 impl Bounds {
-    /// The shorter of the times within which a change of the store must have its effect.
+    /// The shortest bound: the shorter one of the times within which a change in the store must take effect.
     pub fn shortest(&self) -> Duration {
         self.drain.min(self.apply)
     }
 
-    /// For how long changes are gathered after one has come.
+    /// How long further changes are batched after a change, before the store is called again.
     pub fn batch_window(&self) -> Duration {
-        self.shortest().mul_f64(GATHER_PART)
+        self.shortest().mul_f64(BATCH_WINDOW_FRACTION)
     }
 
-    /// For how long targets are kept that were gone together with many, without a known outage of the store.
+    /// The grace period of targets whose registrations disappeared together with many others, without a known outage of
+    /// the store.
     ///
-    /// They may be gone for good, so this ends within the bound on drains, also for nodes that learn of it late.
+    /// The targets may really have stopped, so it ends within the bound on drains, even at nodes that learn of the
+    /// change late.
     pub fn max_grace(&self) -> Duration {
-        self.drain.saturating_sub(self.shortest().mul_f64(SPREAD_PART) + CHANGE_RESERVE)
+        self.drain.saturating_sub(self.shortest().mul_f64(PROPAGATION_FRACTION) + CHANGE_RESERVE)
     }
 }
--- a/crates/mesh/src/tenants.rs
+++ b/crates/mesh/src/tenants.rs
@@ -1,7 +1,7 @@
-//! Tenants of the operators, and the keys by which their calls are known.
+//! The tenants of the operators, and the API keys that identify their calls.
 //!
-//! Keys are kept and looked up by their SHA-256 digests. So the time of a look-up tells nothing of how much of a guessed key was
-//! right, and neither a log line nor a dump of the table shows a key.
+//! Keys are stored and looked up by their SHA-256 digests. So the duration of a look-up doesn't reveal how much of a
+//! guessed key is right, and neither log lines nor dumps of the table contain a key.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,23 +9,23 @@
 
 use sha2::{Digest, Sha256};
 
-/// How many calls of a tenant may run, over all nodes together.
+/// The rate limit of a tenant, for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Calls beyond that after a time without any.
+    /// The number of calls allowed beyond the rate after a time without calls.
     pub burst: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, which targets are told.
+    /// Its name, which is sent to targets.
     pub name: Arc<str>,
-    /// Its importance, which goes before that of routes; 0 is the greatest.
+    /// Its priority, which takes precedence over that of routes; 0 is the highest.
     pub priority: u8,
-    /// What it may send; `None` if that is not limited.
+    /// Its rate limit, if it has one.
     pub limit: Option<RateLimit>,
 }
 
@@ -51,17 +51,18 @@
 pub struct TenantTable {
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
     by_name: HashMap<Arc<str>, Arc<Tenant>>,
-    least_priority: u8,
+    /// The lowest priority of any tenant, which is the highest number.
+    lowest_priority: u8,
 }
 
 impl TenantTable {
-    /// Adds a tenant; says whether its name is new.
+    /// Adds a tenant; returns whether its name is new.
     pub fn add(&mut self, tenant: Arc<Tenant>) -> bool {
-        self.least_priority = self.least_priority.max(tenant.priority);
+        self.lowest_priority = self.lowest_priority.max(tenant.priority);
         self.by_name.insert(tenant.name.clone(), tenant).is_none()
     }
 
-    /// Adds a key of `tenant`; says whether no tenant had it yet. A key that another one has stays with that one.
+    /// Adds a key of `tenant`; returns whether the key is new. A key that another tenant has remains with that tenant.
     pub fn add_key(&mut self, tenant: &Arc<Tenant>, key: &[u8]) -> bool {
         let digest = KeyDigest::of(key);
         if self.by_key.contains_key(&digest) {
@@ -71,17 +72,17 @@
         true
     }
 
-    /// The tenant that holds `key`.
+    /// The tenant with this API key.
     pub fn tenant_by_key(&self, key: &[u8]) -> Option<&Arc<Tenant>> {
         self.by_key.get(&KeyDigest::of(key))
     }
 
-    /// The tenant of this name.
+    /// The tenant with this name.
     pub fn get(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
 
-    /// All tenants, in no order.
+    /// All tenants, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.by_name.values()
     }
@@ -96,18 +97,18 @@
         self.by_key.len()
     }
 
-    /// Whether there is no tenant; then no call needs a key.
+    /// Whether there are no tenants; then no call needs a key.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Whether any tenant is limited.
+    /// Whether any tenant has a rate limit.
     pub fn has_limits(&self) -> bool {
         self.iter().any(|tenant| tenant.limit.is_some())
     }
 
-    /// How many priorities tenants have, counted from the greatest to the least important one.
+    /// The number of priorities, from the highest to the lowest one in use.
     pub fn priority_count(&self) -> u8 {
-        self.least_priority.saturating_add(1)
+        self.lowest_priority.saturating_add(1)
     }
 }
