--- a/crates/mesh/tests/feed/exploration.rs
+++ b/crates/mesh/tests/feed/exploration.rs
@@ -1,44 +1,48 @@
-//! All schedules of a small fleet: two readers that fail in any two ways at any of some moments, with or without the third one, an outage
-//! before an era change, and a drain.
+//! Explores all schedules of a small fleet: two readers fail, each in any way and at any of some moments, with or
+//! without a failure of the third one, a restored store after an outage of any of some lengths, and a drain.
 //!
-//! The decisions are those of the product, on a virtual clock with its real times. A wrong rule is caught by some schedule.
+//! The decisions and their timeouts are those of the product, on a virtual clock. Each broken rule is noticed in some
+//! schedule.
 
 use std::time::Duration;
 
 use quillhatch_mesh::replica::{Change, Position};
 use test_case::test_case;
 
-use crate::fleet::{Fleet, WrongRule, BOUNDS};
-use crate::node::{Access, Ailment};
+use crate::fleet::{Fleet, Mutation, BOUNDS};
+use crate::node::{NodeFault, StoreAccess};
 
 const NODES: usize = 8;
 const ZONES: usize = 2;
-/// When the second reader fails after the first one, and when the target leaves, in milliseconds.
-const MOMENTS: [u64; 3] = [0, 350, 1_100];
-/// How long the store is away before an era change, in milliseconds.
-const OUTAGES: [u64; 2] = [0, 2_600];
-/// The changes that the copy lacks from which the store comes back.
+/// The delays in milliseconds from the failure of the first reader to that of the second, and from that to the drain.
+const DELAYS_MS: [u64; 3] = [0, 350, 1_100];
+/// The durations of the outage of the store before an era change, in milliseconds.
+const OUTAGES_MS: [u64; 2] = [0, 2_600];
+/// The number of changes that the copy lacks from which the store is restored.
 const LOST_CHANGES: usize = 1;
-/// How long after its return the targets write again what the copy lacks, in milliseconds.
-const WRITTEN_AGAIN_AFTER: u64 = 600;
+/// How long after the store is restored the target registers again whose registration the copy lacks, in milliseconds.
+const REREGISTRATION_DELAY_MS: u64 = 600;
 
-/// How a reader fails.
-type Failure = (Ailment, Access);
+/// A failure of a reader: its own fault, and how the store responds to it.
+type Failure = (NodeFault, StoreAccess);
 
 const FAILURES: [Failure; 6] = [
-    (Ailment::None, Access::Served),
-    (Ailment::None, Access::Refused),
-    (Ailment::None, Access::Silent),
-    (Ailment::Dead, Access::Served),
-    (Ailment::Silent, Access::Served),
-    (Ailment::Lies, Access::Served),
+    (NodeFault::None, StoreAccess::Available),
+    (NodeFault::None, StoreAccess::Refused),
+    (NodeFault::None, StoreAccess::Unresponsive),
+    (NodeFault::Crashed, StoreAccess::Available),
+    (NodeFault::Unresponsive, StoreAccess::Available),
+    (NodeFault::FalseStatus, StoreAccess::Available),
 ];
 
-/// How the third reader fails, with the first one.
-const THIRD_FAILURES: [Failure; 3] =
-    [(Ailment::None, Access::Served), (Ailment::None, Access::Silent), (Ailment::Dead, Access::Served)];
+/// The failures of the third reader, which fails at the same time as the first one.
+const THIRD_FAILURES: [Failure; 3] = [
+    (NodeFault::None, StoreAccess::Available),
+    (NodeFault::None, StoreAccess::Unresponsive),
+    (NodeFault::Crashed, StoreAccess::Available),
+];
 
-/// Whether the store comes back from an older copy, and when.
+/// Whether the store is restored from an older copy, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EraChange {
     None,
@@ -51,22 +55,29 @@
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     failures: [Failure; 2],
-    third: Failure,
-    /// How long the store is away before it comes back, in milliseconds.
-    outage: u64,
-    second_after: u64,
-    drain_after: u64,
+    third_failure: Failure,
+    /// The duration of the store's outage before the era change, in milliseconds.
+    outage_ms: u64,
+    second_failure_after_ms: u64,
+    drain_after_ms: u64,
     era_change: EraChange,
 }
 
 fn schedules() -> Vec<Schedule> {
     let mut all = Vec::new();
     for (first, second) in pairs(&FAILURES, &FAILURES) {
-        for (third, outage) in pairs(&THIRD_FAILURES, &OUTAGES) {
-            for (second_after, drain_after) in pairs(&MOMENTS, &MOMENTS) {
+        for (third_failure, outage_ms) in pairs(&THIRD_FAILURES, &OUTAGES_MS) {
+            for (second_failure_after_ms, drain_after_ms) in pairs(&DELAYS_MS, &DELAYS_MS) {
                 for era_change in ERA_CHANGES {
                     let failures = [first, second];
-                    all.push(Schedule { failures, third, outage, second_after, drain_after, era_change });
+                    all.push(Schedule {
+                        failures,
+                        third_failure,
+                        outage_ms,
+                        second_failure_after_ms,
+                        drain_after_ms,
+                        era_change,
+                    });
                 }
             }
         }
@@ -78,31 +89,34 @@
     firsts.iter().flat_map(|first| seconds.iter().map(|second| (*first, *second))).collect()
 }
 
-/// What a schedule has shown to be wrong.
-type Wrong = String;
+/// The description of a violated promise.
+type Violation = String;
 
-/// A fleet, and what its nodes must not unlearn.
-struct Watched {
+/// A fleet, and what is known at its nodes and must not be lost there.
+struct ObservedFleet {
     fleet: Fleet,
-    reached: Vec<Position>,
-    drained: Vec<bool>,
-    leaving: usize,
+    /// The position that each node has reached.
+    positions: Vec<Position>,
+    /// Whether each node knows that the target drains.
+    knows_drain: Vec<bool>,
+    /// The node whose target drains.
+    draining_node: usize,
 }
 
-impl Watched {
-    fn new(rule: Option<WrongRule>) -> Self {
+impl ObservedFleet {
+    fn new(mutation: Option<Mutation>) -> Self {
         let mut fleet = Fleet::new(NODES, ZONES, 11);
-        fleet.wrong_rule = rule;
+        fleet.mutation = mutation;
         let readers = fleet.readers();
-        let leaving = (0..NODES).find(|number| !readers.contains(number)).expect("few nodes read");
-        let reached = fleet.nodes.iter().map(|node| node.position()).collect();
-        Watched { fleet, reached, drained: vec![false; NODES], leaving }
+        let draining_node = (0..NODES).find(|number| !readers.contains(number)).expect("few nodes read");
+        let positions = fleet.nodes.iter().map(|node| node.position()).collect();
+        ObservedFleet { fleet, positions, knows_drain: vec![false; NODES], draining_node }
     }
 
-    fn is_drained_at(&self, number: usize) -> bool {
+    fn knows_drain_at(&self, number: usize) -> bool {
         let node = &self.fleet.nodes[number];
         let everything = node.replica.update_since(Position::default(), self.fleet.now);
-        let id = format!("t-{}", self.leaving);
+        let id = format!("t-{}", self.draining_node);
         everything.is_some_and(|update| {
             update.changes.iter().any(|revised| match &revised.change {
                 Change::Target(target, registration) => **target == *id && registration.draining,
@@ -111,127 +125,131 @@
         })
     }
 
-    /// Plays on, and looks whether any node goes back.
-    fn play(&mut self, ms: u64) -> Result<(), Wrong> {
+    /// Runs the fleet, and checks that no node goes back to an earlier position or loses the drain.
+    fn run(&mut self, ms: u64) -> Result<(), Violation> {
         let end = self.fleet.now + Duration::from_millis(ms);
         while self.fleet.now < end {
             self.fleet.tick();
             for number in 0..NODES {
                 let position = self.fleet.nodes[number].position();
-                if position == self.reached[number] {
+                if position == self.positions[number] {
                     continue;
                 }
-                if position < self.reached[number] {
-                    return Err(format!("node {number} goes back from {:?} to {position:?}", self.reached[number]));
+                if position < self.positions[number] {
+                    return Err(format!(
+                        "node {number} goes back from position {:?} to {position:?}",
+                        self.positions[number]
+                    ));
                 }
-                self.reached[number] = position;
-                let is_drained = self.is_drained_at(number);
-                if self.drained[number] && !is_drained {
-                    return Err(format!("node {number} unlearns the drain"));
+                self.positions[number] = position;
+                let knows_drain = self.knows_drain_at(number);
+                if self.knows_drain[number] && !knows_drain {
+                    return Err(format!("node {number} loses the drain"));
                 }
-                self.drained[number] = is_drained;
+                self.knows_drain[number] = knows_drain;
             }
         }
         Ok(())
     }
 
-    fn strike(&mut self, reader: usize, (ailment, access): Failure) {
+    fn inject(&mut self, reader: usize, (fault, access): Failure) {
         let node = &mut self.fleet.nodes[reader];
-        (node.ailment, node.access) = (ailment, access);
+        (node.fault, node.store_access) = (fault, access);
     }
 
-    fn change_era(&mut self, outage: u64, is_drain_lost: bool) -> Result<(), Wrong> {
-        let (leaving, other) = (self.leaving, (self.leaving + 1) % NODES);
+    fn change_era(&mut self, outage_ms: u64, is_drain_lost: bool) -> Result<(), Violation> {
+        let (drained, other) = (self.draining_node, (self.draining_node + 1) % NODES);
         self.fleet.set_down(true);
-        self.play(outage)?;
+        self.run(outage_ms)?;
         self.fleet.set_down(false);
         self.fleet.restore(LOST_CHANGES);
-        self.play(WRITTEN_AGAIN_AFTER)?;
-        let (number, draining) = if is_drain_lost { (leaving, true) } else { (other, false) };
-        self.fleet.drain(number, draining, 9);
+        self.run(REREGISTRATION_DELAY_MS)?;
+        let (number, draining) = if is_drain_lost { (drained, true) } else { (other, false) };
+        self.fleet.set_draining(number, draining, 9);
         Ok(())
     }
 
-    /// All nodes in touch know the drain in time, counted from its last writing.
-    fn all_know_in(&mut self, longest: Duration) -> Result<(), Wrong> {
-        let begun = self.fleet.now;
+    /// Checks that all connected nodes learn of the drain within `bound` from now.
+    fn all_know_drain_within(&mut self, bound: Duration) -> Result<(), Violation> {
+        let start = self.fleet.now;
         loop {
             let behind =
-                (0..NODES).find(|number| self.fleet.nodes[*number].is_in_touch() && !self.is_drained_at(*number));
+                (0..NODES).find(|number| self.fleet.nodes[*number].is_connected() && !self.knows_drain_at(*number));
             let Some(behind) = behind else { return Ok(()) };
-            if self.fleet.now.since(begun) > longest {
-                return Err(format!("node {behind} does not know the drain after {longest:?}"));
+            if self.fleet.now.since(start) > bound {
+                return Err(format!("node {behind} does not know the drain after {bound:?}"));
             }
-            self.play(50)?;
+            self.run(50)?;
         }
     }
 }
 
-fn play(schedule: Schedule, rule: Option<WrongRule>) -> Result<(), Wrong> {
-    let mut watched = Watched::new(rule);
-    let readers = watched.fleet.readers();
-    watched.fleet.drain((watched.leaving + 1) % NODES, false, 8);
-    watched.play(1_500)?;
-    watched.strike(readers[0], schedule.failures[0]);
-    watched.strike(readers[2], schedule.third);
-    watched.play(schedule.second_after)?;
-    watched.strike(readers[1], schedule.failures[1]);
-    watched.play(schedule.drain_after)?;
+/// Runs a schedule, and checks all promises.
+fn run(schedule: Schedule, mutation: Option<Mutation>) -> Result<(), Violation> {
+    let mut observed = ObservedFleet::new(mutation);
+    let readers = observed.fleet.readers();
+    observed.fleet.set_draining((observed.draining_node + 1) % NODES, false, 8);
+    observed.run(1_500)?;
+    observed.inject(readers[0], schedule.failures[0]);
+    observed.inject(readers[2], schedule.third_failure);
+    observed.run(schedule.second_failure_after_ms)?;
+    observed.inject(readers[1], schedule.failures[1]);
+    observed.run(schedule.drain_after_ms)?;
     if schedule.era_change == EraChange::BeforeDrain {
-        watched.change_era(schedule.outage, false)?;
+        observed.change_era(schedule.outage_ms, false)?;
     }
-    watched.fleet.drain(watched.leaving, true, 9);
+    observed.fleet.set_draining(observed.draining_node, true, 9);
     if schedule.era_change == EraChange::AfterDrain {
-        watched.play(200)?;
-        watched.change_era(schedule.outage, true)?;
+        observed.run(200)?;
+        observed.change_era(schedule.outage_ms, true)?;
     }
-    // In another era everything is read anew by whoever reads next.
-    let longest = if schedule.era_change == EraChange::None { BOUNDS.drain } else { BOUNDS.recovery };
-    watched.all_know_in(longest - Duration::from_millis(500))?;
-    // The readers are well again, and soon nobody takes itself or the store for lost.
+    // In a new era, the next node that reads the store must list everything.
+    let bound = if schedule.era_change == EraChange::None { BOUNDS.drain } else { BOUNDS.recovery };
+    observed.all_know_drain_within(bound - Duration::from_millis(500))?;
+    // The readers recover. Soon after that no node reports a loss of access any more.
     for reader in &readers {
-        watched.strike(*reader, FAILURES[0]);
+        observed.inject(*reader, FAILURES[0]);
     }
-    watched.play(BOUNDS.recovery.as_millis() as u64)?;
-    let lost = watched.fleet.nodes.iter().position(|node| node.own_call_failed || node.loss.since().is_some());
+    observed.run(BOUNDS.recovery.as_millis() as u64)?;
+    let lost = observed.fleet.nodes.iter().position(|node| node.own_call_failed || node.loss.since().is_some());
     lost.map_or(Ok(()), |number| Err(format!("node {number} still reports a loss")))
 }
 
 impl Schedule {
-    /// Whether a reader that calls itself well and is not is the only one that answers.
-    fn has_only_a_lying_reader(&self) -> bool {
-        let readers = [self.failures[0], self.failures[1], self.third];
-        let is_well = |reader: &Failure| *reader == FAILURES[0];
-        let lies = |(ailment, _): &Failure| *ailment == Ailment::Lies;
-        readers.iter().any(lies) && !readers.iter().any(is_well)
+    /// Whether no reader works, and at least one of them responds with a false status.
+    fn depends_on_false_status(&self) -> bool {
+        let readers = [self.failures[0], self.failures[1], self.third_failure];
+        let is_working = |reader: &Failure| *reader == FAILURES[0];
+        let has_false_status = |(fault, _): &Failure| *fault == NodeFault::FalseStatus;
+        readers.iter().any(has_false_status) && !readers.iter().any(is_working)
     }
 }
 
-fn play_all(schedules: impl Iterator<Item = Schedule>) {
+fn run_all(schedules: impl Iterator<Item = Schedule>) {
     for schedule in schedules {
-        if let Err(wrong) = play(schedule, None) {
-            panic!("{wrong}: {schedule:?}");
+        if let Err(violation) = run(schedule, None) {
+            panic!("{violation}: {schedule:?}");
         }
     }
 }
 
 #[test]
 fn no_schedule_of_failing_readers_an_era_change_and_a_drain_breaks_a_promise() {
-    play_all(schedules().into_iter().filter(|schedule| !schedule.has_only_a_lying_reader()));
+    run_all(schedules().into_iter().filter(|schedule| !schedule.depends_on_false_status()));
 }
 
 #[test]
-fn a_reader_that_lies_holds_back_no_drain_when_the_other_readers_fail() {
-    play_all(schedules().into_iter().filter(Schedule::has_only_a_lying_reader));
+fn a_reader_with_a_false_status_delays_no_drain_when_the_other_readers_fail() {
+    run_all(schedules().into_iter().filter(Schedule::depends_on_false_status));
 }
 
-#[test_case(WrongRule::ForgetsOnNewEra; "a new era makes a node forget")]
-#[test_case(WrongRule::TakesEarlierEras; "answers of an earlier era are taken")]
-#[test_case(WrongRule::BelievesAnySource; "any source that calls itself well is followed")]
-#[test_case(WrongRule::WaitsForReaders; "readers that hang are waited for")]
-#[test_case(WrongRule::NeverVerifiesAccess; "a failed call is believed for ever")]
-fn some_schedule_catches_a_wrong_rule(rule: WrongRule) {
-    let mut schedules = schedules().into_iter().filter(|schedule| !schedule.has_only_a_lying_reader());
-    let caught = schedules.any(|schedule| play(schedule, Some(rule)).is_err());
-    assert!(caught, "{rule:?} breaks no promise in any schedule");
+#[test_case(Mutation::ForgetsOnNewEra; "a node discards its replica in a new era")]
+#[test_case(Mutation::AppliesEarlierEras; "updates of an earlier era are applied")]
+#[test_case(Mutation::FollowsAnySource; "any source that reports access to the store is followed")]
+#[test_case(Mutation::WaitsForReaders; "nodes wait for readers that hang")]
+#[test_case(Mutation::NeverVerifiesAccess; "a failed call counts forever")]
+fn some_schedule_detects_a_broken_rule(mutation: Mutation) {
+    let mut schedules = schedules().into_iter().filter(|schedule| !schedule.depends_on_false_status());
+    let is_detected = schedules.any(|schedule| run(schedule, Some(mutation)).is_err());
+    assert!(is_detected, "{mutation:?} breaks no promise in any schedule");
 }
--- a/crates/mesh/tests/feed/fleet.rs
+++ b/crates/mesh/tests/feed/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet whose nodes follow the store by the real decisions, on a virtual clock, with a store and links that fail.
+//! A simulated fleet on a virtual clock, with a store and connections that fail. The nodes follow the store by the
+//! decisions of the product.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -18,7 +19,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::node::{Access, Ailment, Asking, Reading, SimNode};
+use crate::node::{NodeFault, PendingQuery, PendingRead, SimNode, StoreAccess};
 use crate::store::{registration, target_id, SimStore};
 
 pub const BOUNDS: Bounds = Bounds {
@@ -43,27 +44,27 @@
     ..BOUNDS
 };
 
-/// The virtual clock's step, which is also what a message takes one way.
+/// The step of the virtual clock, which is also the one-way latency of a message.
 const TICK: Duration = Duration::from_millis(10);
-/// The calls of a node with others in a step: five a second.
-const CALLS_A_TICK: f64 = 0.05;
-/// For how long another node may be ahead before it is asked.
-const HANGING_AFTER: Duration = Duration::from_millis(400);
-/// What a watch may take beyond its wait.
-const WATCH_ALLOWANCE: Duration = Duration::from_millis(600);
+/// The probability that a node exchanges a call with another one in a step: five calls per second.
+const CALLS_PER_TICK: f64 = 0.05;
+/// How long another node may have a later position before it is queried.
+const MAX_LAG: Duration = Duration::from_millis(400);
+/// The time that the response to a watch may take beyond the timeout of the watch.
+const WATCH_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(600);
 
-/// A rule of the decisions that is left out.
+/// A rule of the decisions that is broken on purpose, to show that the tests notice it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WrongRule {
-    /// A node starts from nothing when the store comes back from an older copy.
+pub enum Mutation {
+    /// A node discards its replica when the store was restored from an older copy.
     ForgetsOnNewEra,
-    /// An update of an earlier era is taken as if it were a later one.
-    TakesEarlierEras,
-    /// Whoever calls itself well is followed.
-    BelievesAnySource,
-    /// No other node reads while readers say nothing.
+    /// An update of an earlier era is applied as if it were of a later one.
+    AppliesEarlierEras,
+    /// A source is followed whenever it reports that it has access to the store.
+    FollowsAnySource,
+    /// No other node takes over while the readers do not respond.
     WaitsForReaders,
-    /// A node whose call failed calls no more while it follows others.
+    /// A node whose call to the store failed makes no further call while it follows others.
     NeverVerifiesAccess,
 }
 
@@ -71,19 +72,19 @@
     pub now: Timestamp,
     pub nodes: Vec<SimNode>,
     pub store: SimStore,
-    pub wrong_rule: Option<WrongRule>,
+    pub mutation: Option<Mutation>,
     bounds: Bounds,
     random: Pcg64,
     by_machine: HashMap<IpAddr, usize>,
 }
 
 impl Fleet {
-    /// A fleet of `count` nodes in `zones`, of which all know everything.
+    /// Creates a fleet of `count` nodes in `zones` that all have an up-to-date replica.
     pub fn new(count: usize, zones: usize, seed: u64) -> Self {
         Self::with_bounds(count, zones, seed, BOUNDS)
     }
 
-    /// The same with other bounds.
+    /// Like [`Fleet::new`], with other bounds.
     pub fn with_bounds(count: usize, zones: usize, seed: u64, bounds: Bounds) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut store = SimStore { position: Position::default(), calls: 0, log: Vec::new(), is_down: false };
@@ -97,46 +98,46 @@
                 machine,
                 zone,
                 replica: Replica::default(),
-                place: FeedRole::default(),
-                access: Access::Served,
-                ailment: Ailment::None,
+                role: FeedRole::default(),
+                store_access: StoreAccess::Available,
+                fault: NodeFault::None,
                 loss: StoreAccessLoss::default(),
                 own_call_failed: false,
-                read_at: Some(Timestamp::ZERO),
-                choice: SourceChoice::default(),
-                reader: StoreReader::default(),
-                asking: None,
-                reading: None,
-                ask_after: Timestamp::ZERO,
-                read_after: Timestamp::ZERO,
+                store_read_at: Some(Timestamp::ZERO),
+                source_choice: SourceChoice::default(),
+                store_reader: StoreReader::default(),
+                query: None,
+                read: None,
+                next_query_at: Timestamp::ZERO,
+                next_read_at: Timestamp::ZERO,
                 is_isolated: false,
-                is_unproved: false,
-                is_answered: false,
-                lone_readings: SoloReads::default(),
-                draw: random.gen(),
-                heard: None,
-                answered: 0,
-                changes_told: 0,
+                has_unverified_source: false,
+                has_answer: false,
+                solo_reads: SoloReads::default(),
+                jitter: random.gen(),
+                ahead_peer: None,
+                answered_queries: 0,
+                sent_changes: 0,
             });
         }
         let by_machine = nodes.iter().enumerate().map(|(number, node)| (node.machine, number)).collect();
         let mut fleet =
-            Fleet { now: Timestamp::from_millis(1_000), nodes, store, wrong_rule: None, bounds, random, by_machine };
-        let everything = fleet.store.whole();
+            Fleet { now: Timestamp::from_millis(1_000), nodes, store, mutation: None, bounds, random, by_machine };
+        let update = fleet.store.list();
         for number in 0..count {
-            fleet.nodes[number].replica.apply(everything.clone(), fleet.now).expect("the first update is taken");
+            fleet.nodes[number].replica.apply(update.clone(), fleet.now).expect("the first update applies");
         }
-        fleet.place_all();
-        fleet.play(3_000);
+        fleet.assign_roles();
+        fleet.run(3_000);
         fleet.store.calls = 0;
         fleet
     }
 
-    /// All nodes have the same list here, so the tree is built once.
-    fn place_all(&mut self) {
+    /// Assigns the roles of all nodes. They all have the same list of targets here, so the tree is built once.
+    fn assign_roles(&mut self) {
         let targets: Vec<Arc<Target>> = self
             .store
-            .whole()
+            .list()
             .changes
             .into_iter()
             .filter_map(|revised| match revised.change {
@@ -149,12 +150,12 @@
             .collect();
         let tree = FeedTree::new(targets.iter());
         for node in &mut self.nodes {
-            node.place = tree.role_of(node.machine, &node.zone);
+            node.role = tree.role_of(node.machine, &node.zone);
         }
     }
 
-    /// The target beside a node says that it is leaving, or is back.
-    pub fn drain(&mut self, number: usize, draining: bool, sequence: u64) {
+    /// Registers the target of a node as draining or as serving again.
+    pub fn set_draining(&mut self, number: usize, draining: bool, sequence: u64) {
         let node = &self.nodes[number];
         let registration = registration(node.machine, &node.zone, draining, sequence);
         self.store.write(Change::Target(target_id(number), registration));
@@ -164,47 +165,50 @@
         self.store.is_down = is_down;
     }
 
-    /// The store comes back from a copy that lacks its last `lost` changes.
+    /// Restores the store from a copy that lacks its last `lost` changes.
     pub fn restore(&mut self, lost: usize) {
         self.store.restore(lost);
     }
 
-    /// The numbers of the nodes that read the store.
+    /// The indices of the nodes that read the store.
     pub fn readers(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|number| self.nodes[*number].place.is_reader).collect()
+        (0..self.nodes.len()).filter(|number| self.nodes[*number].role.is_reader).collect()
     }
 
-    /// The numbers of the nodes that `number` asks, in order.
+    /// The indices of the candidates of a node, in order.
     pub fn candidates(&self, number: usize) -> Vec<usize> {
-        self.nodes[number].place.candidates.iter().map(|candidate| self.by_machine[&candidate.machine]).collect()
+        self.nodes[number].role.candidates.iter().map(|candidate| self.by_machine[&candidate.machine]).collect()
     }
 
-    /// Whether all nodes in touch stand where the store stands.
+    /// Whether all connected nodes have reached the store's position.
     pub fn is_up_to_date(&self) -> bool {
-        self.nodes.iter().filter(|node| node.is_in_touch()).all(|node| node.position() == self.store.position)
+        self.nodes.iter().filter(|node| node.is_connected()).all(|node| node.position() == self.store.position)
     }
 
-    /// Plays until all nodes in touch are up to date; returns how long it took.
-    pub fn catch_up(&mut self, longest: Duration) -> Duration {
+    /// Runs until all connected nodes are up to date; returns how long it took.
+    pub fn run_until_up_to_date(&mut self, timeout: Duration) -> Duration {
         let begun = self.now;
         while !self.is_up_to_date() {
             self.tick();
             let took = self.now.since(begun);
-            if took > longest {
+            if took > timeout {
                 let behind: Vec<_> = self
                     .nodes
                     .iter()
-                    .filter(|node| node.is_in_touch() && node.position() != self.store.position)
-                    .map(|node| (node.machine, node.position(), node.place.clone(), node.loss))
+                    .filter(|node| node.is_connected() && node.position() != self.store.position)
+                    .map(|node| (node.machine, node.position(), node.role.clone(), node.loss))
                     .take(3)
                     .collect();
-                panic!("not in {longest:?}: {behind:?}, the store stands at {:?}", self.store.position);
+                panic!(
+                    "nodes are not up to date after {timeout:?}: {behind:?}; the store is at {:?}",
+                    self.store.position
+                );
             }
         }
         self.now.since(begun)
     }
 
-    pub fn play(&mut self, ms: u64) {
+    pub fn run(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.tick();
@@ -214,245 +218,251 @@
     pub fn tick(&mut self) {
         self.now = self.now + TICK;
         for number in 0..self.nodes.len() {
-            if matches!(self.nodes[number].ailment, Ailment::Dead | Ailment::Silent) {
+            if matches!(self.nodes[number].fault, NodeFault::Crashed | NodeFault::Unresponsive) {
                 continue;
             }
             self.step_calls(number);
-            self.step_question(number);
-            self.step_reading(number);
+            self.step_query(number);
+            self.step_read(number);
         }
     }
 
-    /// A call between this node and another one tells how far their views reach; whoever is behind for long asks the other one.
+    /// Calls between nodes carry their positions. A node that has been behind another one for [`MAX_LAG`] queries it.
     fn step_calls(&mut self, number: usize) {
         let now = self.now;
-        if self.random.gen_bool(CALLS_A_TICK) {
+        if self.random.gen_bool(CALLS_PER_TICK) {
             let other = self.random.gen_range(0..self.nodes.len());
-            let is_reached = self.nodes[other].ailment == Ailment::None;
-            if is_reached && self.nodes[other].position() > self.nodes[number].position() {
-                self.nodes[number].heard.get_or_insert((now, other));
+            let is_responding = self.nodes[other].fault == NodeFault::None;
+            if is_responding && self.nodes[other].position() > self.nodes[number].position() {
+                self.nodes[number].ahead_peer.get_or_insert((now, other));
             }
         }
-        let Some((heard, other)) = self.nodes[number].heard else { return };
-        if now.since(heard) < HANGING_AFTER {
+        let Some((noticed, other)) = self.nodes[number].ahead_peer else { return };
+        if now.since(noticed) < MAX_LAG {
             return;
         }
-        self.nodes[number].heard = None;
-        if self.nodes[other].ailment == Ailment::None {
+        self.nodes[number].ahead_peer = None;
+        if self.nodes[other].fault == NodeFault::None {
             let update = self.nodes[other].replica.update_since(self.nodes[number].position(), now);
             let _ = update.map(|update| self.nodes[number].replica.apply(update, now));
         }
     }
 
-    fn step_question(&mut self, number: usize) {
+    fn step_query(&mut self, number: usize) {
         let now = self.now;
-        let Some(asking) = &self.nodes[number].asking else {
-            if now >= self.nodes[number].ask_after {
-                self.ask(number);
+        let Some(query) = &self.nodes[number].query else {
+            if now >= self.nodes[number].next_query_at {
+                self.start_query(number);
             }
             return;
         };
-        if now.since(asking.sent) < TICK * 2 {
+        if now.since(query.sent) < TICK * 2 {
             return;
         }
-        let (peer, from, sent, hold) = (asking.peer, asking.from, asking.sent, asking.hold);
+        let (peer, from, sent, long_poll) = (query.peer, query.from, query.sent, query.long_poll);
         let other = &mut self.nodes[peer];
-        match other.ailment {
-            Ailment::Dead => self.question_failed(number),
-            Ailment::Silent if now.since(sent) >= response_timeout(hold, &self.bounds) => self.question_failed(number),
-            Ailment::Silent => {}
-            Ailment::Lies if now.since(sent) >= hold => self.question_answered(number, None, Some(now), None),
-            Ailment::Lies => {}
-            Ailment::None => {
-                let arrives = now.since(sent) == TICK * 2;
-                let is_lost = other.loss.is_confirmed() || (arrives && other.loss.since().is_some());
+        match other.fault {
+            NodeFault::Crashed => self.query_failed(number),
+            NodeFault::Unresponsive if now.since(sent) >= response_timeout(long_poll, &self.bounds) => {
+                self.query_failed(number)
+            }
+            NodeFault::Unresponsive => {}
+            NodeFault::FalseStatus if now.since(sent) >= long_poll => {
+                self.query_answered(number, None, Some(now), None)
+            }
+            NodeFault::FalseStatus => {}
+            NodeFault::None => {
+                let has_just_arrived = now.since(sent) == TICK * 2;
+                let is_lost = other.loss.is_confirmed() || (has_just_arrived && other.loss.since().is_some());
                 let has_news = other.position() > from || is_lost;
-                if !has_news && now.since(sent) < hold {
+                if !has_news && now.since(sent) < long_poll {
                     return;
                 }
                 let update = other.replica.update_since(from, now);
-                other.answered += 1;
-                other.changes_told += update.as_ref().map_or(0, |update| update.changes.len());
-                let (read_at, lost) = (other.read_at, other.loss.since());
-                self.question_answered(number, update, read_at, lost);
+                other.answered_queries += 1;
+                other.sent_changes += update.as_ref().map_or(0, |update| update.changes.len());
+                let (store_read_at, lost_since) = (other.store_read_at, other.loss.since());
+                self.query_answered(number, update, store_read_at, lost_since);
             }
         }
     }
 
-    fn ask(&mut self, number: usize) {
+    fn start_query(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
-        let Some(candidate) = node.choice.next(&node.place.candidates, now) else { return };
-        let hold = if node.choice.is_searching() {
+        let Some(candidate) = node.source_choice.next(&node.role.candidates, now) else { return };
+        let long_poll = if node.source_choice.is_searching() {
             Duration::ZERO
         } else {
-            long_poll_timeout(node.place.is_head, &self.bounds)
+            long_poll_timeout(node.role.is_head, &self.bounds)
         };
-        let asking = Asking {
+        let query = PendingQuery {
             peer: self.by_machine[&candidate.machine],
-            is_before: candidate.is_upstream,
+            is_upstream: candidate.is_upstream,
             sent: now,
-            hold,
+            long_poll,
             from: node.position(),
         };
-        self.nodes[number].asking = Some(asking);
+        self.nodes[number].query = Some(query);
     }
 
-    /// Takes an update over. What does not fit was overtaken by what others have told.
-    fn take(&mut self, number: usize, update: Update) {
+    /// Applies an update. One that can't be applied was superseded by the updates of other nodes.
+    fn apply(&mut self, number: usize, update: Update) {
         let replica = &mut self.nodes[number].replica;
         let is_new_era = replica.position().era < update.position.era;
         let is_earlier = replica.position().era > update.position.era;
-        match self.wrong_rule {
-            Some(WrongRule::ForgetsOnNewEra) if is_new_era => *replica = Replica::default(),
-            Some(WrongRule::TakesEarlierEras) if is_earlier => *replica = Replica::default(),
+        match self.mutation {
+            Some(Mutation::ForgetsOnNewEra) if is_new_era => *replica = Replica::default(),
+            Some(Mutation::AppliesEarlierEras) if is_earlier => *replica = Replica::default(),
             _ => {}
         }
         let _ = replica.apply(update, self.now);
     }
 
-    fn question_answered(
+    fn query_answered(
         &mut self,
         number: usize,
         update: Option<Update>,
-        read_at: Option<Timestamp>,
-        lost: Option<Timestamp>,
+        store_read_at: Option<Timestamp>,
+        lost_since: Option<Timestamp>,
     ) {
         let now = self.now;
         if let Some(update) = update {
-            self.take(number, update);
+            self.apply(number, update);
         }
         let node = &mut self.nodes[number];
-        let is_before = node.asking.as_ref().is_some_and(|asking| asking.is_before);
-        let supply = SourceStatus { store_read_at: read_at, lost_since: lost };
-        node.read_at = node.read_at.max(read_at);
-        let believes_all = self.wrong_rule == Some(WrongRule::BelievesAnySource);
-        let verdict = match lost {
-            None if believes_all => SourceVerdict::Usable,
-            _ => supply.verdict(is_before, node.loss, &self.bounds, now),
+        let is_upstream = node.query.as_ref().is_some_and(|query| query.is_upstream);
+        let status = SourceStatus { store_read_at, lost_since };
+        node.store_read_at = node.store_read_at.max(store_read_at);
+        let follows_any = self.mutation == Some(Mutation::FollowsAnySource);
+        let verdict = match lost_since {
+            None if follows_any => SourceVerdict::Usable,
+            _ => status.verdict(is_upstream, node.loss, &self.bounds, now),
         };
         if verdict == SourceVerdict::Usable {
             node.is_isolated = false;
-            node.is_answered = false;
-            node.loss.source_available(read_at);
-            node.choice.answered();
-            node.is_unproved = false;
-            node.asking = None;
+            node.has_answer = false;
+            node.loss.source_available(store_read_at);
+            node.source_choice.answered();
+            node.has_unverified_source = false;
+            node.query = None;
             return;
         }
-        node.is_answered = true;
-        node.is_unproved |= verdict == SourceVerdict::Unverified;
-        self.question_failed(number);
+        node.has_answer = true;
+        node.has_unverified_source |= verdict == SourceVerdict::Unverified;
+        self.query_failed(number);
     }
 
-    fn question_failed(&mut self, number: usize) {
+    fn query_failed(&mut self, number: usize) {
         let now = self.now;
         let pause = Duration::from_millis(self.random.gen_range(250..500));
         let node = &mut self.nodes[number];
-        let sent = node.asking.take().map_or(now, |asking| asking.sent);
-        node.choice.failed(now);
-        let is_read_here = node.place.is_reader && node.loss.since().is_none();
-        if !is_read_here {
+        let sent = node.query.take().map_or(now, |query| query.sent);
+        node.source_choice.failed(now);
+        let is_reading = node.role.is_reader && node.loss.since().is_none();
+        if !is_reading {
             node.loss.source_failed(sent);
         }
-        if !node.choice.all_failed(&node.place.candidates) {
+        if !node.source_choice.all_failed(&node.role.candidates) {
             return;
         }
-        node.ask_after = now + pause;
-        node.is_isolated = !node.is_answered;
-        node.is_answered = false;
-        if !is_read_here && !node.is_unproved {
+        node.next_query_at = now + pause;
+        node.is_isolated = !node.has_answer;
+        node.has_answer = false;
+        if !is_reading && !node.has_unverified_source {
             node.loss.all_sources_failed(sent);
         }
-        node.is_unproved = false;
+        node.has_unverified_source = false;
     }
 
-    fn step_reading(&mut self, number: usize) {
+    fn step_read(&mut self, number: usize) {
         let now = self.now;
         let store_is_down = self.store.is_down;
         let store_position = self.store.position;
         let node = &mut self.nodes[number];
-        let Some(reading) = &node.reading else {
-            if now >= node.read_after {
-                self.read(number);
+        let Some(read) = &node.read else {
+            if now >= node.next_read_at {
+                self.start_read(number);
             }
             return;
         };
-        if now.since(reading.sent) < TICK * 2 {
+        if now.since(read.sent) < TICK * 2 {
             return;
         }
-        let access = if store_is_down { Access::Refused } else { node.access };
+        let access = if store_is_down { StoreAccess::Refused } else { node.store_access };
         match access {
-            Access::Refused => self.reading_failed(number),
-            Access::Silent if now.since(reading.sent) >= reading.wait + WATCH_ALLOWANCE => self.reading_failed(number),
-            Access::Silent => {}
-            Access::Served => {
-                let has_news = match reading.read {
+            StoreAccess::Refused => self.store_read_failed(number),
+            StoreAccess::Unresponsive if now.since(read.sent) >= read.timeout + WATCH_RESPONSE_ALLOWANCE => {
+                self.store_read_failed(number)
+            }
+            StoreAccess::Unresponsive => {}
+            StoreAccess::Available => {
+                let has_news = match read.read {
                     NextRead::Watch { after } => {
                         store_position.revision > after || store_position.era != node.position().era
                     }
                     NextRead::StaleList | NextRead::List => true,
                 };
-                if has_news || now.since(reading.sent) >= reading.wait {
-                    self.reading_answered(number);
+                if has_news || now.since(read.sent) >= read.timeout {
+                    self.store_read_answered(number);
                 }
             }
         }
     }
 
-    fn read(&mut self, number: usize) {
+    fn start_read(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
         let inputs = ReadScheduleInputs {
             has_view: true,
             must_probe: false,
-            own_call_failed: node.own_call_failed && self.wrong_rule != Some(WrongRule::NeverVerifiesAccess),
-            role: &node.place,
+            own_call_failed: node.own_call_failed && self.mutation != Some(Mutation::NeverVerifiesAccess),
+            role: &node.role,
             loss: node.loss,
-            store_read_at: node.read_at.filter(|_| self.wrong_rule != Some(WrongRule::WaitsForReaders)),
+            store_read_at: node.store_read_at.filter(|_| self.mutation != Some(Mutation::WaitsForReaders)),
             is_isolated: node.is_isolated,
-            solo_reads: node.lone_readings,
+            solo_reads: node.solo_reads,
             proof_renewal_in: None,
-            jitter: node.draw,
+            jitter: node.jitter,
         };
-        let ReadSchedule::Now(turn) = inputs.schedule(&self.bounds, now) else { return };
-        let is_probing = turn == ReadReason::Once || node.loss.since().is_some();
-        let wait = if is_probing { Duration::from_millis(200) } else { watch_timeout(&self.bounds) };
-        node.reading = Some(Reading { sent: now, wait, read: node.reader.next(node.replica.position()) });
+        let ReadSchedule::Now(reason) = inputs.schedule(&self.bounds, now) else { return };
+        let is_probing = reason == ReadReason::Once || node.loss.since().is_some();
+        let timeout = if is_probing { Duration::from_millis(200) } else { watch_timeout(&self.bounds) };
+        node.read = Some(PendingRead { sent: now, timeout, read: node.store_reader.next(node.replica.position()) });
         self.store.calls += 1;
     }
 
-    fn reading_answered(&mut self, number: usize) {
+    fn store_read_answered(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
-        let Some(reading) = node.reading.take() else { return };
-        let update = match reading.read {
+        let Some(read) = node.read.take() else { return };
+        let update = match read.read {
             NextRead::Watch { .. } if self.store.position.era != node.position().era => {
-                node.reader.history_lost();
+                node.store_reader.history_lost();
                 return;
             }
-            NextRead::Watch { after } => self.store.since(after),
-            NextRead::StaleList | NextRead::List => self.store.whole(),
+            NextRead::Watch { after } => self.store.changes_since(after),
+            NextRead::StaleList | NextRead::List => self.store.list(),
         };
         let has_changes = !update.changes.is_empty();
-        self.take(number, update);
+        self.apply(number, update);
         let node = &mut self.nodes[number];
-        node.reader.read_succeeded();
+        node.store_reader.read_succeeded();
         node.own_call_failed = false;
-        node.read_at = node.read_at.max(Some(reading.sent));
+        node.store_read_at = node.store_read_at.max(Some(read.sent));
         node.loss.store_read();
         if has_changes {
-            node.read_after = now + self.bounds.batch_window();
+            node.next_read_at = now + self.bounds.batch_window();
         }
     }
 
-    fn reading_failed(&mut self, number: usize) {
+    fn store_read_failed(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
-        let Some(reading) = node.reading.take() else { return };
+        let Some(read) = node.read.take() else { return };
         node.own_call_failed = true;
-        node.loss.store_call_failed(reading.sent, node.read_at);
-        let longest = node.reader.read_failed(true, &self.bounds);
-        node.read_after = now + longest.mul_f64(self.random.gen_range(0.5..1.0));
+        node.loss.store_call_failed(read.sent, node.store_read_at);
+        let max_pause = node.store_reader.read_failed(true, &self.bounds);
+        node.next_read_at = now + max_pause.mul_f64(self.random.gen_range(0.5..1.0));
     }
 }
--- a/crates/mesh/tests/feed/main.rs
+++ b/crates/mesh/tests/feed/main.rs
@@ -1,4 +1,5 @@
-//! Changes of the store reach a whole fleet in time whatever fails, and cost no more calls in a large one.
+//! Changes in the store reach the whole fleet in time whatever fails, and need no more calls to the store in a large
+//! fleet than in a small one.
 
 mod exploration;
 mod fleet;
@@ -8,29 +9,29 @@
 use std::time::Duration;
 
 use fleet::{Fleet, BOUNDS, SHORT_BOUNDS};
-use node::{Access, Ailment};
+use node::{NodeFault, StoreAccess};
 use test_case::test_case;
 
-/// What remains of the bound for the node's own work, its calls under way included.
+/// The part of the bound that is reserved for a node's own work, including its running calls.
 const RESERVE: Duration = Duration::from_millis(500);
 
-fn in_time() -> Duration {
+fn time_limit() -> Duration {
     BOUNDS.shortest() - RESERVE
 }
 
-/// `count` changes, one each 200 ms; returns the calls of the store meanwhile.
+/// Makes `count` changes, one every 200 ms; returns the number of calls to the store in that time.
 fn calls_for_changes(nodes: usize, zones: usize, count: u64) -> usize {
     let mut fleet = Fleet::new(nodes, zones, 1);
     for number in 0..count {
-        fleet.drain(number as usize % nodes, number % 2 == 0, number + 2);
-        fleet.play(200);
+        fleet.set_draining(number as usize % nodes, number % 2 == 0, number + 2);
+        fleet.run(200);
     }
-    fleet.catch_up(in_time());
+    fleet.run_until_up_to_date(time_limit());
     fleet.store.calls
 }
 
 #[test]
-fn a_hundred_changes_cost_a_large_fleet_no_more_calls_than_a_small_one() {
+fn a_large_fleet_needs_no_more_store_calls_for_changes_than_a_small_one() {
     let small = calls_for_changes(30, 5, 100);
     let large = calls_for_changes(300, 5, 100);
     assert!(large as f64 <= 1.5 * small as f64, "{small} calls of 30 nodes, {large} of 300");
@@ -41,192 +42,192 @@
 #[test_case(100, 5)]
 #[test_case(1000, 5)]
 #[test_case(1000, 1; "one zone")]
-fn a_change_reaches_all_within_half_of_its_bound(nodes: usize, zones: usize) {
+fn a_change_reaches_all_nodes_within_half_of_the_bound(nodes: usize, zones: usize) {
     let mut fleet = Fleet::new(nodes, zones, 2);
     for number in 0..5 {
-        fleet.drain(number, true, 2);
-        let took = fleet.catch_up(in_time());
+        fleet.set_draining(number, true, 2);
+        let took = fleet.run_until_up_to_date(time_limit());
         assert!(took <= BOUNDS.shortest() / 2, "{took:?}");
-        fleet.play(333);
+        fleet.run(333);
     }
 }
 
 #[test]
-fn no_node_tells_more_than_its_few_neighbours_ask() {
+fn no_node_answers_more_queries_than_those_of_its_few_children() {
     let mut fleet = Fleet::new(1000, 5, 3);
     for node in &mut fleet.nodes {
-        (node.answered, node.changes_told) = (0, 0);
+        (node.answered_queries, node.sent_changes) = (0, 0);
     }
     for number in 0..10 {
-        fleet.drain(number, true, 2);
-        fleet.play(1_000);
+        fleet.set_draining(number, true, 2);
+        fleet.run(1_000);
     }
-    let busiest = fleet.nodes.iter().map(|node| node.answered).max().expect("nodes");
-    let most_told = fleet.nodes.iter().map(|node| node.changes_told).max().expect("nodes");
+    let busiest = fleet.nodes.iter().map(|node| node.answered_queries).max().expect("nodes");
+    let max_sent = fleet.nodes.iter().map(|node| node.sent_changes).max().expect("nodes");
     assert!(busiest < 10 * 20 * 3, "{busiest} answers in 10 s");
-    assert!(most_told <= 10 * 20 * 2, "{most_told} changes told for 10");
+    assert!(max_sent <= 10 * 20 * 2, "{max_sent} changes sent for 10");
 }
 
-/// Strikes the first readers, or the parents of others.
-fn strike(fleet: &mut Fleet, struck: &[usize], ailment: Ailment, access: Access) {
-    for number in struck {
-        fleet.nodes[*number].ailment = ailment;
-        fleet.nodes[*number].access = access;
+/// Injects a fault into some nodes.
+fn inject(fleet: &mut Fleet, nodes: &[usize], fault: NodeFault, access: StoreAccess) {
+    for number in nodes {
+        fleet.nodes[*number].fault = fault;
+        fleet.nodes[*number].store_access = access;
     }
 }
 
-#[test_case(Ailment::Dead, Access::Served, 1; "killed")]
-#[test_case(Ailment::Dead, Access::Served, 2; "two killed")]
-#[test_case(Ailment::Dead, Access::Served, 3; "all killed")]
-#[test_case(Ailment::Silent, Access::Served, 1; "frozen")]
-#[test_case(Ailment::Silent, Access::Served, 2; "two frozen")]
-#[test_case(Ailment::Lies, Access::Served, 1; "one that says that it is well and is not")]
-#[test_case(Ailment::None, Access::Refused, 2; "turned away")]
-#[test_case(Ailment::None, Access::Refused, 3; "all turned away")]
-#[test_case(Ailment::None, Access::Silent, 2; "watches that hang")]
-#[test_case(Ailment::None, Access::Silent, 3; "all watches that hang")]
-fn a_change_reaches_all_in_time_though_readers_fail(ailment: Ailment, access: Access, count: usize) {
+#[test_case(NodeFault::Crashed, StoreAccess::Available, 1; "killed")]
+#[test_case(NodeFault::Crashed, StoreAccess::Available, 2; "two killed")]
+#[test_case(NodeFault::Crashed, StoreAccess::Available, 3; "all killed")]
+#[test_case(NodeFault::Unresponsive, StoreAccess::Available, 1; "frozen")]
+#[test_case(NodeFault::Unresponsive, StoreAccess::Available, 2; "two frozen")]
+#[test_case(NodeFault::FalseStatus, StoreAccess::Available, 1; "one with a false status")]
+#[test_case(NodeFault::None, StoreAccess::Refused, 2; "refused by the store")]
+#[test_case(NodeFault::None, StoreAccess::Refused, 3; "all refused by the store")]
+#[test_case(NodeFault::None, StoreAccess::Unresponsive, 2; "watches that hang")]
+#[test_case(NodeFault::None, StoreAccess::Unresponsive, 3; "all watches that hang")]
+fn a_change_reaches_all_nodes_in_time_when_readers_fail(fault: NodeFault, access: StoreAccess, count: usize) {
     for (nodes, zones) in [(10, 3), (100, 5), (1000, 5), (60, 1)] {
         for phase in [0, 170, 450, 900, 1_700] {
             let mut fleet = Fleet::new(nodes, zones, 4);
-            fleet.play(phase);
+            fleet.run(phase);
             let readers = fleet.readers();
-            strike(&mut fleet, &readers[..count], ailment, access);
-            let leaving = (0..nodes).find(|number| !readers.contains(number)).expect("another node");
-            fleet.drain(leaving, true, 2);
-            let took = fleet.catch_up(in_time());
-            assert!(took <= in_time(), "{nodes} nodes, {phase}: {took:?}");
+            inject(&mut fleet, &readers[..count], fault, access);
+            let draining_node = (0..nodes).find(|number| !readers.contains(number)).expect("another node");
+            fleet.set_draining(draining_node, true, 2);
+            let took = fleet.run_until_up_to_date(time_limit());
+            assert!(took <= time_limit(), "{nodes} nodes, {phase}: {took:?}");
         }
     }
 }
 
-#[test_case(Ailment::None, Access::Silent; "watches that hang")]
-#[test_case(Ailment::None, Access::Refused; "turned away")]
-#[test_case(Ailment::Dead, Access::Served; "killed")]
-#[test_case(Ailment::Silent, Access::Served; "frozen")]
-fn a_change_reaches_all_within_a_short_bound_though_all_readers_fail(ailment: Ailment, access: Access) {
+#[test_case(NodeFault::None, StoreAccess::Unresponsive; "watches that hang")]
+#[test_case(NodeFault::None, StoreAccess::Refused; "refused by the store")]
+#[test_case(NodeFault::Crashed, StoreAccess::Available; "killed")]
+#[test_case(NodeFault::Unresponsive, StoreAccess::Available; "frozen")]
+fn a_change_reaches_all_nodes_within_a_short_bound_when_all_readers_fail(fault: NodeFault, access: StoreAccess) {
     let bound = SHORT_BOUNDS.shortest();
     for (nodes, zones) in [(12, 3), (15, 3), (100, 5)] {
         for phase in (0..2_000).step_by(100) {
             let mut fleet = Fleet::with_bounds(nodes, zones, 12, SHORT_BOUNDS);
-            fleet.drain(0, false, 2);
-            fleet.play(phase);
+            fleet.set_draining(0, false, 2);
+            fleet.run(phase);
             let readers = fleet.readers();
-            strike(&mut fleet, &readers, ailment, access);
-            let leaving = (0..nodes).find(|number| !readers.contains(number)).expect("another node");
-            fleet.drain(leaving, true, 3);
-            let took = fleet.catch_up(bound * 2);
+            inject(&mut fleet, &readers, fault, access);
+            let draining_node = (0..nodes).find(|number| !readers.contains(number)).expect("another node");
+            fleet.set_draining(draining_node, true, 3);
+            let took = fleet.run_until_up_to_date(bound * 2);
             assert!(took <= bound, "{took:?} of {bound:?}: {nodes} nodes, {phase} ms after another change");
         }
     }
 }
 
-#[test_case(Ailment::Dead; "killed")]
-#[test_case(Ailment::Silent; "frozen")]
-#[test_case(Ailment::Lies; "saying that they are well")]
-fn a_change_reaches_all_in_time_though_parents_fail(ailment: Ailment) {
+#[test_case(NodeFault::Crashed; "killed")]
+#[test_case(NodeFault::Unresponsive; "frozen")]
+#[test_case(NodeFault::FalseStatus; "false status")]
+fn a_change_reaches_all_nodes_in_time_when_parents_fail(fault: NodeFault) {
     for phase in [0, 300, 700, 950] {
         let mut fleet = Fleet::new(1000, 5, 5);
-        fleet.play(phase);
+        fleet.run(phase);
         let readers = fleet.readers();
         let mut parents: Vec<usize> = (0..1000).map(|number| fleet.candidates(number)[0]).collect();
         parents.sort_unstable();
         parents.dedup();
         parents.retain(|parent| !readers.contains(parent));
-        let struck: Vec<usize> = parents.iter().step_by(3).copied().collect();
-        strike(&mut fleet, &struck, ailment, Access::Served);
-        fleet.drain(readers[0], true, 2);
-        fleet.catch_up(in_time());
+        let failing: Vec<usize> = parents.iter().step_by(3).copied().collect();
+        inject(&mut fleet, &failing, fault, StoreAccess::Available);
+        fleet.set_draining(readers[0], true, 2);
+        fleet.run_until_up_to_date(time_limit());
     }
 }
 
-#[test_case(Ailment::Dead; "killed")]
-#[test_case(Ailment::Silent; "silent")]
-fn a_node_that_nobody_answers_reads_the_store_itself(ailment: Ailment) {
+#[test_case(NodeFault::Crashed; "killed")]
+#[test_case(NodeFault::Unresponsive; "frozen")]
+fn an_isolated_node_reads_the_store_itself(fault: NodeFault) {
     let mut fleet = Fleet::new(300, 5, 8);
-    let alone = (0..300).max_by_key(|number| fleet.nodes[*number].place.nodes_ahead).expect("nodes");
-    let candidates = fleet.candidates(alone);
-    strike(&mut fleet, &candidates, ailment, Access::Served);
-    fleet.play(4_000);
-    fleet.drain(alone, true, 2);
-    fleet.catch_up(in_time());
+    let isolated = (0..300).max_by_key(|number| fleet.nodes[*number].role.nodes_ahead).expect("nodes");
+    let candidates = fleet.candidates(isolated);
+    inject(&mut fleet, &candidates, fault, StoreAccess::Available);
+    fleet.run(4_000);
+    fleet.set_draining(isolated, true, 2);
+    fleet.run_until_up_to_date(time_limit());
 }
 
 #[test_case(12, 3)]
 #[test_case(100, 5)]
 #[test_case(1000, 5)]
-fn an_outage_costs_few_calls_and_ends_soon(nodes: usize, zones: usize) {
+fn an_outage_causes_few_calls_and_all_nodes_recover_soon(nodes: usize, zones: usize) {
     let mut fleet = Fleet::new(nodes, zones, 6);
     fleet.set_down(true);
-    fleet.play(8_000);
+    fleet.run(8_000);
     let calls = fleet.store.calls;
     assert!(calls <= 3 * 8 + 60 * zones, "{calls} calls of {nodes} nodes in 8 s");
-    assert!(fleet.nodes.iter().all(|node| node.loss.is_partitioned(fleet.now)), "all know that the store is away");
-    fleet.drain(0, true, 2);
+    assert!(fleet.nodes.iter().all(|node| node.loss.is_partitioned(fleet.now)), "all nodes know of the outage");
+    fleet.set_draining(0, true, 2);
     fleet.set_down(false);
-    let took = fleet.catch_up(BOUNDS.recovery);
+    let took = fleet.run_until_up_to_date(BOUNDS.recovery);
     assert!(took <= BOUNDS.recovery, "{took:?}");
-    fleet.play(3_000);
-    assert!(fleet.nodes.iter().all(|node| node.loss.since().is_none()), "all know that it is back");
+    fleet.run(3_000);
+    assert!(fleet.nodes.iter().all(|node| node.loss.since().is_none()), "all nodes know that it is over");
 }
 
 #[test_case(12, 3)]
 #[test_case(100, 5)]
 #[test_case(1000, 5)]
-fn after_an_outage_no_node_takes_its_own_access_for_lost(nodes: usize, zones: usize) {
+fn after_an_outage_no_node_still_counts_a_failed_call_of_its_own(nodes: usize, zones: usize) {
     for outage in [900, 2_300, 4_100, 8_000] {
         let mut fleet = Fleet::new(nodes, zones, 9);
         fleet.set_down(true);
-        fleet.play(outage);
+        fleet.run(outage);
         let failed = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
         let calls = fleet.store.calls;
         fleet.set_down(false);
-        fleet.play(BOUNDS.recovery.as_millis() as u64);
-        let still = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
-        assert_eq!(still, 0, "of {failed} after {outage} ms");
-        let verified = fleet.store.calls - calls;
-        let watched = 3 * 6 + 10;
-        assert!(verified <= failed + watched, "{verified} calls to verify {failed} failed ones");
+        fleet.run(BOUNDS.recovery.as_millis() as u64);
+        let still_failed = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
+        assert_eq!(still_failed, 0, "of {failed} after {outage} ms");
+        let new_calls = fleet.store.calls - calls;
+        let watch_calls = 3 * 6 + 10;
+        assert!(new_calls <= failed + watch_calls, "{new_calls} calls to verify {failed} failed ones");
     }
 }
 
 #[test]
-fn machines_that_are_turned_away_for_long_call_the_store_seldom() {
+fn machines_that_the_store_refuses_for_long_rarely_call_it() {
     let mut fleet = Fleet::new(300, 5, 10);
     let readers = fleet.readers();
-    strike(&mut fleet, &readers, Ailment::None, Access::Refused);
-    fleet.play(4_000);
-    let turned_away: Vec<usize> = (0..300).filter(|number| fleet.nodes[*number].own_call_failed).collect();
-    let (before, longest_pause) = (fleet.store.calls, BOUNDS.recovery / 2);
-    fleet.play(20_000);
+    inject(&mut fleet, &readers, NodeFault::None, StoreAccess::Refused);
+    fleet.run(4_000);
+    let refused: Vec<usize> = (0..300).filter(|number| fleet.nodes[*number].own_call_failed).collect();
+    let (before, max_pause) = (fleet.store.calls, BOUNDS.recovery / 2);
+    fleet.run(20_000);
     let calls = fleet.store.calls - before;
-    let often = Duration::from_secs(20).div_duration_f64(longest_pause / 2) as usize;
-    let watched = 3 * 20;
-    assert!(calls <= often * turned_away.len() + watched, "{calls} calls of {} turned away", turned_away.len());
+    let max_calls_each = Duration::from_secs(20).div_duration_f64(max_pause / 2) as usize;
+    let watch_calls = 3 * 20;
+    assert!(calls <= max_calls_each * refused.len() + watch_calls, "{calls} calls of {} refused nodes", refused.len());
 }
 
 #[test]
-fn all_follow_a_store_that_came_back_from_an_older_copy_and_none_goes_back() {
+fn all_nodes_follow_a_store_that_is_restored_from_an_older_copy_and_none_loses_a_drain() {
     let mut fleet = Fleet::new(100, 5, 7);
     for number in 0..5 {
-        fleet.drain(number, true, 2);
+        fleet.set_draining(number, true, 2);
     }
-    fleet.catch_up(in_time());
+    fleet.run_until_up_to_date(time_limit());
     fleet.set_down(true);
-    fleet.play(1_500);
+    fleet.run(1_500);
     fleet.restore(5);
     fleet.set_down(false);
-    fleet.catch_up(BOUNDS.recovery);
+    fleet.run_until_up_to_date(BOUNDS.recovery);
     assert!(fleet.nodes.iter().all(|node| node.position().era == 1));
-    // Revisions are given out again.
-    fleet.drain(50, true, 2);
-    fleet.catch_up(in_time());
+    // The restored store assigns the same revisions again.
+    fleet.set_draining(50, true, 2);
+    fleet.run_until_up_to_date(time_limit());
     for node in &fleet.nodes {
-        let update = node.replica.update_since(Default::default(), fleet.now).expect("everything");
+        let update = node.replica.update_since(Default::default(), fleet.now).expect("a full update");
         let draining = update.changes.iter().filter(|revised| match &revised.change {
             quillhatch_mesh::replica::Change::Target(_, registration) => registration.draining,
             _ => false,
         });
-        assert_eq!(draining.count(), 6, "what drained before the copy drains on");
+        assert_eq!(draining.count(), 6, "targets that were draining before the store was restored still drain");
     }
 }
--- a/crates/mesh/tests/feed/node.rs
+++ b/crates/mesh/tests/feed/node.rs
@@ -1,4 +1,4 @@
-//! A node of the fleet: its decisions, what is wrong with it, and what it waits for.
+//! A simulated node: its decisions, its faults, and the requests that it waits for.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -8,72 +8,79 @@
 use quillhatch_mesh::store_reader::{NextRead, StoreReader};
 use quillhatch_types::Timestamp;
 
-/// How the store treats a node.
+/// How the store responds to a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Access {
+pub enum StoreAccess {
     #[default]
-    Served,
+    Available,
+    /// Calls to the store fail at once.
     Refused,
-    Silent,
+    /// Calls to the store hang.
+    Unresponsive,
 }
 
-/// What is wrong with a node.
+/// A fault of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Ailment {
+pub enum NodeFault {
     #[default]
     None,
     /// Its connections are refused.
-    Dead,
-    /// It stands still, or all its links are cut: connections to it hang.
-    Silent,
-    /// It answers that it is well and that there is nothing new.
-    Lies,
+    Crashed,
+    /// It is frozen or unreachable: connections to it hang.
+    Unresponsive,
+    /// It always reports that it has access to the store and no changes, whatever its state.
+    FalseStatus,
 }
 
-/// A question to another node.
-pub(super) struct Asking {
+/// A query to another node that has not been answered yet.
+pub(super) struct PendingQuery {
     pub(super) peer: usize,
-    pub(super) is_before: bool,
+    pub(super) is_upstream: bool,
     pub(super) sent: Timestamp,
-    pub(super) hold: Duration,
+    pub(super) long_poll: Duration,
     pub(super) from: Position,
 }
 
-/// A call of the store.
-pub(super) struct Reading {
+/// A call to the store that has not been answered yet.
+pub(super) struct PendingRead {
     pub(super) sent: Timestamp,
-    pub(super) wait: Duration,
+    pub(super) timeout: Duration,
     pub(super) read: NextRead,
 }
 
-/// A node.
+/// A simulated node.
 pub struct SimNode {
     pub machine: IpAddr,
     pub zone: String,
     pub replica: Replica,
-    pub place: FeedRole,
-    pub access: Access,
-    pub ailment: Ailment,
+    pub role: FeedRole,
+    pub store_access: StoreAccess,
+    pub fault: NodeFault,
     pub loss: StoreAccessLoss,
-    /// Whether its own last call of the store has failed.
+    /// Whether its last call to the store failed.
     pub own_call_failed: bool,
-    pub read_at: Option<Timestamp>,
-    pub(super) choice: SourceChoice,
-    pub(super) reader: StoreReader,
-    pub(super) asking: Option<Asking>,
-    pub(super) reading: Option<Reading>,
-    pub(super) ask_after: Timestamp,
-    pub(super) read_after: Timestamp,
+    pub store_read_at: Option<Timestamp>,
+    pub(super) source_choice: SourceChoice,
+    pub(super) store_reader: StoreReader,
+    pub(super) query: Option<PendingQuery>,
+    pub(super) read: Option<PendingRead>,
+    pub(super) next_query_at: Timestamp,
+    pub(super) next_read_at: Timestamp,
     pub(super) is_isolated: bool,
-    pub(super) is_unproved: bool,
-    pub(super) is_answered: bool,
-    pub(super) lone_readings: SoloReads,
-    pub(super) draw: f64,
-    /// When another node was heard of that is ahead, and which.
-    pub(super) heard: Option<(Timestamp, usize)>,
-    /// Questions that it has answered, and the changes in the answers.
-    pub answered: usize,
-    pub changes_told: usize,
+    /// Whether a source in the current round of failures was [`SourceVerdict::Unverified`].
+    ///
+    /// [`SourceVerdict::Unverified`]: quillhatch_mesh::feed::SourceVerdict::Unverified
+    pub(super) has_unverified_source: bool,
+    /// Whether any source in the current round of failures has answered.
+    pub(super) has_answer: bool,
+    pub(super) solo_reads: SoloReads,
+    pub(super) jitter: f64,
+    /// When this node learned that another node has a later position, and which node.
+    pub(super) ahead_peer: Option<(Timestamp, usize)>,
+    /// The number of queries that it has answered.
+    pub answered_queries: usize,
+    /// The number of changes in those answers.
+    pub sent_changes: usize,
 }
 
 impl SimNode {
@@ -81,7 +88,7 @@
         self.replica.position()
     }
 
-    pub fn is_in_touch(&self) -> bool {
-        self.ailment == Ailment::None && self.access == Access::Served
+    pub fn is_connected(&self) -> bool {
+        self.fault == NodeFault::None && self.store_access == StoreAccess::Available
     }
 }
--- a/crates/mesh/tests/feed/store.rs
+++ b/crates/mesh/tests/feed/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: a log of targets' registrations.
+//! A simulated store: a log of the registrations of targets.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -8,7 +8,7 @@
 use quillhatch_mesh::replica::{Change, Position, RevisedChange, Update, UpdateScope};
 use quillhatch_mesh::targets::Registration;
 
-/// The store.
+/// A simulated store.
 pub struct SimStore {
     pub position: Position,
     pub calls: usize,
@@ -22,14 +22,14 @@
         self.log.push(RevisedChange { revision: self.position.revision, change });
     }
 
-    /// Comes back from a copy that was made `lost` changes ago.
+    /// Restores the store from a copy that was made `lost` changes ago.
     pub(super) fn restore(&mut self, lost: usize) {
         self.log.truncate(self.log.len() - lost);
         self.position.revision = self.log.last().map_or(1, |revised| revised.revision);
         self.position.era += 1;
     }
 
-    pub(super) fn whole(&self) -> Update {
+    pub(super) fn list(&self) -> Update {
         let mut last: HashMap<Arc<str>, RevisedChange> = HashMap::new();
         for revised in &self.log {
             let (Change::Target(id, _) | Change::TargetRemoved(id)) = &revised.change else { continue };
@@ -41,14 +41,14 @@
         Update { scope: UpdateScope::Full, position: self.position, changes }
     }
 
-    pub(super) fn since(&self, after: u64) -> Update {
+    pub(super) fn changes_since(&self, after: u64) -> Update {
         let changes = self.log.iter().filter(|revised| revised.revision > after).cloned().collect();
         let from = Position { era: self.position.era, revision: after };
         Update { scope: UpdateScope::After(from), position: self.position, changes }
     }
 }
 
-/// What the target beside the node at `machine` registers.
+/// The registration of the target on `machine`.
 pub(super) fn registration(machine: IpAddr, zone: &str, draining: bool, sequence: u64) -> Registration {
     Registration {
         service: Arc::from("alpha"),
@@ -62,7 +62,7 @@
     }
 }
 
-/// The identity of the target beside a node.
+/// The identity of the target on the machine of a node.
 pub(super) fn target_id(number: usize) -> Arc<str> {
     Arc::from(format!("t-{number}"))
 }
