--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -215,7 +215,7 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         // A machine that takes connections and says nothing stands for one that is frozen.
-        let frozen = support::machine();
+        let frozen = support::unused_address();
         let silent = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
         let taken = tokio::task::spawn_local(async move {
             let mut kept = Vec::new();
--- a/crates/sidecar/tests/changes.rs
+++ b/crates/sidecar/tests/changes.rs
@@ -8,7 +8,7 @@
 use support::shop::{document, read, two_machines};
 use support::store::{Mode, StandInStore};
 use support::target::Habit;
-use support::{eventually, machine, run, start_sidecar, Machine, BOUNDS, OUTBOUND};
+use support::{eventually, run, start_sidecar, unused_address, Machine, BOUNDS, OUTBOUND};
 use tokio::time::sleep;
 
 #[test]
@@ -34,7 +34,7 @@
 fn without_a_configuration_calls_are_refused_and_the_node_is_not_ready() {
     run(async {
         let store = StandInStore::start().await;
-        let address = machine();
+        let address = unused_address();
         let target = support::target::StandInTarget::start(address, "alpha", 4).await;
         let sidecar = start_sidecar(address, "alpha", target.address, store.address);
         sleep(Duration::from_millis(200)).await;
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -140,7 +140,7 @@
         let store = StandInStore::start().await;
         store.configure(&document(1));
         let alpha = Machine::start(&store, "alpha", 4).await;
-        let address = support::machine();
+        let address = support::unused_address();
         let settings = SidecarSettings {
             descriptors: 204,
             ..support::settings(address, "beta", (address, 1).into(), store.address)
@@ -169,7 +169,7 @@
 fn a_call_whose_node_takes_no_connection_in_time_has_not_run() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        let unreached = FullListener::start((support::machine(), alpha.inbound().port()).into()).await;
+        let unreached = FullListener::start((support::unused_address(), alpha.inbound().port()).into()).await;
         store.unlist(&alpha.target.id());
         let entry = format!(
             r#"{{"service":"alpha","address":"{}:9","zone":"zone-a","version":"v1","slots":4,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -277,7 +277,7 @@
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
         // Its address is that of a machine which does not answer.
-        let nowhere = support::machine();
+        let nowhere = support::unused_address();
         for number in 0..20 {
             let entry = format!(
                 r#"{{"service":"nobody","address":"{nowhere}:{}","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -53,7 +53,7 @@
 }
 
 /// An address of this machine's loopback range that no other test of this process uses.
-pub fn machine() -> Ipv4Addr {
+pub fn unused_address() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id() % 200;
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -123,7 +123,7 @@
         slots: u32,
         change: impl Fn(SidecarSettings) -> SidecarSettings,
     ) -> Self {
-        let address = machine();
+        let address = unused_address();
         let target = StandInTarget::start(address, service, slots).await;
         store.list(&target, "ready");
         let settings = change(settings(address, service, target.address, store.address));
--- a/crates/sidecar/tests/support/tenancy.rs
+++ b/crates/sidecar/tests/support/tenancy.rs
@@ -52,7 +52,7 @@
 }
 
 /// Keeps the bound on revocation.
-pub fn strictly(settings: SidecarSettings) -> SidecarSettings {
+pub fn with_strict_revocation(settings: SidecarSettings) -> SidecarSettings {
     SidecarSettings { bounds: Bounds { revocation: Some(REVOCATION), ..BOUNDS }, ..settings }
 }
 
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -10,7 +10,7 @@
 use support::shop;
 use support::store::{Mode, StandInStore};
 use support::target::Habit;
-use support::tenancy::{self, strictly, FREE_KEY, REVOCATION};
+use support::tenancy::{self, with_strict_revocation, FREE_KEY, REVOCATION};
 use support::{eventually, run, Machine};
 use tokio::time::{sleep, Instant};
 
@@ -19,7 +19,7 @@
     run(async {
         let store = StandInStore::start().await;
         let of_beta = store.another_address().await;
-        let (_alpha, beta) = tenancy::two_machines(strictly, &store, &of_beta).await;
+        let (_alpha, beta) = tenancy::two_machines(with_strict_revocation, &store, &of_beta).await;
         assert_eq!(tenancy::read(&beta, "before", FREE_KEY).await.status, 200);
         of_beta.set_mode(Mode::Silent);
         store.configure(&tenancy::document(6, &["another-key"]));
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -12,8 +12,8 @@
 use support::store::{Mode, StandInStore};
 use support::target::ChainedCall;
 use support::tenancy::{
-    document, get, read, strictly, two_machines, with_key, FREE_KEY, HOST, LIMITED_BURST, LIMITED_KEY, LIMITED_RATE,
-    REVOCATION,
+    document, get, read, two_machines, with_key, with_strict_revocation, FREE_KEY, HOST, LIMITED_BURST, LIMITED_KEY,
+    LIMITED_RATE, REVOCATION,
 };
 use support::{eventually, run, Machine};
 use test_case::test_case;
@@ -201,7 +201,7 @@
 fn with_a_silent_store_keys_are_believed_for_a_part_of_the_bound_only() {
     run(async {
         let store = StandInStore::start().await;
-        let (alpha, beta) = two_machines(strictly, &store, &store).await;
+        let (alpha, beta) = two_machines(with_strict_revocation, &store, &store).await;
         assert_eq!(read(&beta, "one", FREE_KEY).await.status, 200);
         store.set_mode(Mode::Silent);
         let silent = Instant::now();
@@ -225,7 +225,7 @@
     run(async {
         let store = StandInStore::start().await;
         let store_of_beta = store.another_address().await;
-        let (alpha, beta) = two_machines(strictly, &store, &store_of_beta).await;
+        let (alpha, beta) = two_machines(with_strict_revocation, &store, &store_of_beta).await;
         store_of_beta.set_mode(Mode::Silent);
         let begun = Instant::now();
         while begun.elapsed() < REVOCATION * 2 {
