--- a/crates/sidecar/src/liveness.rs
+++ b/crates/sidecar/src/liveness.rs
@@ -1,8 +1,8 @@
-//! Whether a node that gives no answer is there at all.
+//! Liveness probes of nodes that don't respond.
 //!
-//! A machine that is frozen or cut off takes connections or swallows bytes and says nothing, and a call to it would wait
-//! until its deadline. So a node of which nothing is heard for longer than its calls take is asked on a connection of its
-//! own; the question is put once, whoever waits for its answer.
+//! A machine that is frozen or partitioned accepts connections or packets and never responds, so a call to it would
+//! wait until its deadline. A node from which nothing was received for longer than its calls take is therefore probed
+//! on a separate connection. Concurrent callers share one probe.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -17,42 +17,43 @@
 use crate::body::Body;
 use crate::node::Node;
 
-/// The path at which a node says that it is there.
+/// The path at which a node responds to liveness probes.
 pub const LIVENESS_PATH: &str = "/quillhatch/presence";
-/// How long the answer may take.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-/// For how long the absence of an answer is believed.
-const BELIEVED_FOR: Duration = Duration::from_millis(300);
+/// The timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long the result of a failed probe is reused.
+const FAILURE_CACHE_TIME: Duration = Duration::from_millis(300);
 
-/// How long ago a node must have been heard of to be taken as there.
-const HEARD_LATELY: Duration = Duration::from_millis(60);
+/// A node from which something was received within this time is live without a probe.
+const RECENT_CONTACT: Duration = Duration::from_millis(60);
 
-/// What is known of a node's presence.
+/// The result of the last probe of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeResult {
-    asked: Timestamp,
+    finished_at: Timestamp,
     is_live: bool,
 }
 
-/// Whether the node beside `target`, of which nothing was heard since `since`, is there.
+/// Whether the node beside `target`, from which nothing was received since `since`, is live. Probes it unless a recent
+/// probe failed.
 pub async fn is_live(node: &Rc<Node>, target: &Target, since: Timestamp) -> bool {
     if !node.has(Mechanism::PresenceProbes) {
         return true;
     }
     let peer = target.registration.address.ip();
-    let _asking = node.probe_locks.lock(peer).await;
+    let _guard = node.probe_locks.lock(peer).await;
     if node.balance.borrow().heard(&target.id) > since {
         return true;
     }
-    let known = node.probe_results.borrow().get(&peer).copied();
-    if known.is_some_and(|known| !known.is_live && node.now().since(known.asked) < BELIEVED_FOR) {
+    let last = node.probe_results.borrow().get(&peer).copied();
+    if last.is_some_and(|last| !last.is_live && node.now().since(last.finished_at) < FAILURE_CACHE_TIME) {
         return false;
     }
-    let is_live = tokio::time::timeout(ANSWER_TIMEOUT, ask(node, peer)).await.unwrap_or(false);
-    let presence = ProbeResult { asked: node.now(), is_live };
-    node.probe_results.borrow_mut().insert(peer, presence);
+    let is_live = tokio::time::timeout(PROBE_TIMEOUT, probe(node, peer)).await.unwrap_or(false);
+    let result = ProbeResult { finished_at: node.now(), is_live };
+    node.probe_results.borrow_mut().insert(peer, result);
     if is_live {
-        node.balance.borrow_mut().answered_presence(&target.id, presence.asked);
+        node.balance.borrow_mut().answered_presence(&target.id, result.finished_at);
     } else {
         node.log(&format!("\"event\":\"node-silent\",\"peer\":\"{peer}\",\"target\":\"{}\"", target.id));
         node.balance.borrow_mut().silent(&target.id, node.now());
@@ -60,16 +61,18 @@
     is_live
 }
 
-/// Whether the node beside `target` was heard of a moment ago, or says now that it is there.
+/// Whether something was received from the node beside `target` within [`RECENT_CONTACT`], or it responds to a probe
+/// now.
 ///
-/// A call that may run only once can't leave a node that turns out to be silent, so this comes before it is sent.
+/// A call that may run only once can't be retried elsewhere after it was sent to a node that doesn't respond, so this
+/// check precedes it.
 pub async fn is_live_now(node: &Rc<Node>, target: &Target) -> bool {
-    let heard = node.balance.borrow().heard(&target.id);
+    let last_contact = node.balance.borrow().heard(&target.id);
     let now = node.now();
-    now.since(heard) < HEARD_LATELY || is_live(node, target, now).await
+    now.since(last_contact) < RECENT_CONTACT || is_live(node, target, now).await
 }
 
-async fn ask(node: &Rc<Node>, peer: IpAddr) -> bool {
+async fn probe(node: &Rc<Node>, peer: IpAddr) -> bool {
     let request = Request::get(LIVENESS_PATH).header("host", peer.to_string()).body(Body::empty());
     let Ok(request) = request else { return false };
     let address = SocketAddr::new(peer, node.settings.inbound.port());
--- a/crates/sidecar/src/local_target.rs
+++ b/crates/sidecar/src/local_target.rs
@@ -1,7 +1,8 @@
-//! Who the target beside this node is.
+//! The identity of the local target: the target that runs on this node's machine.
 //!
-//! The platform's list lags, and a target that starts again is another one at the same address. So the target itself is
-//! asked when the process starts and after the target was out of reach, and what it says goes before the list.
+//! The platform's list of targets lags, and a target that restarts may have a new identity at the same address. So the
+//! node queries the target itself when the process starts and after the target was unreachable. The target's own
+//! response overrides the list.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,10 +21,10 @@
 use crate::node::Node;
 use crate::pool::ExchangeError;
 
-/// How long the target may take to tell its identity.
-const VERIFY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The timeout of an identity query to the target.
+const IDENTITY_QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The target beside this node, if it is known and takes calls.
+/// The local target, if its identity is known and it accepts calls.
 pub fn available_target(node: &Node) -> Option<PresentTarget> {
     let id = node.local_target_id.borrow().clone()?;
     let is_draining = node.targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
@@ -31,7 +32,7 @@
         .then(|| PresentTarget { id: id.to_string(), service: node.settings.service.clone() })
 }
 
-/// Whether calls for the target with this identity are taken.
+/// Whether the gate accepts calls addressed to the target with the identity `expected`.
 pub fn accepts_calls_for(node: &Node, expected: &str) -> bool {
     let targets = node.targets.borrow();
     let listed = targets.get(expected);
@@ -49,13 +50,13 @@
     })
 }
 
-/// Asks the target who it is, unless it has told since it was last out of reach. Calls that arrive meanwhile wait for the
-/// one question.
+/// Queries the target's identity, unless it was verified since the target was last unreachable. Concurrent calls wait
+/// for the same query.
 pub async fn verify_identity(node: &Rc<Node>) {
     if node.identity_verified.get() {
         return;
     }
-    let _asking = node.identity_query_lock.lock().await;
+    let _guard = node.identity_query_lock.lock().await;
     if node.identity_verified.get() {
         return;
     }
@@ -64,49 +65,50 @@
     }
 }
 
-/// What the target's machine answers when it is asked for the target's identity.
+/// The result of an identity query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// A target with this identity is there.
+    /// The target responded with this identity.
     Known(String),
-    /// No target listens.
+    /// The connection was refused: no target listens at the address.
     Refused,
-    /// Nothing is known: no answer in time, or one that names no identity.
+    /// The query failed in another way, timed out, or the response names no identity.
     Unknown,
 }
 
-/// What the target's health check tells.
+/// The target's response to a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthResponse {
-    /// Who the target is.
+    /// The target's identity.
     pub identity: Identity,
-    /// Whether it is leaving, or takes itself for unhealthy. A target that is only full does not tell.
+    /// Whether the target is draining or reports itself unhealthy. A target that only refuses the request because it is
+    /// out of capacity is neither.
     pub is_draining: bool,
 }
 
 impl HealthResponse {
-    fn without_answer(identity: Identity) -> Self {
+    fn no_response(identity: Identity) -> Self {
         HealthResponse { identity, is_draining: false }
     }
 }
 
-/// Asks the target for its identity.
+/// Queries the target's identity.
 pub async fn query_identity(node: &Rc<Node>) -> Identity {
     query_health(node).await.identity
 }
 
-/// Asks the target for its identity and whether it is leaving.
+/// Queries the target's health check for its identity and whether it is draining.
 pub async fn query_health(node: &Rc<Node>) -> HealthResponse {
-    let unknown = HealthResponse::without_answer(Identity::Unknown);
+    let unknown = HealthResponse::no_response(Identity::Unknown);
     let Some(path) = health_path(node) else { return unknown };
     let address = node.settings.local_target;
     let request = Request::get(path).header(HOST, address.to_string()).body(Body::empty());
     let Ok(request) = request else { return unknown };
     let exchange = async {
         let (response, lease) = match node.target.exchange(address, request).await {
-            Ok(answered) => answered,
-            Err(ExchangeError::Refused) => return HealthResponse::without_answer(Identity::Refused),
-            Err(_) => return HealthResponse::without_answer(Identity::Unknown),
+            Ok(exchanged) => exchanged,
+            Err(ExchangeError::Refused) => return HealthResponse::no_response(Identity::Refused),
+            Err(_) => return HealthResponse::no_response(Identity::Unknown),
         };
         let id = text(response.headers(), headers::INSTANCE_ID).map(str::to_owned);
         let is_full = response.headers().contains_key(headers::REQUEST_NOT_RUN);
@@ -116,7 +118,7 @@
         }
         HealthResponse { identity: id.map_or(Identity::Unknown, Identity::Known), is_draining }
     };
-    tokio::time::timeout(VERIFY_TIMEOUT, exchange).await.unwrap_or(unknown)
+    tokio::time::timeout(IDENTITY_QUERY_TIMEOUT, exchange).await.unwrap_or(unknown)
 }
 
 fn health_path(node: &Node) -> Option<String> {
@@ -125,7 +127,7 @@
     (!service.health_path.is_empty()).then(|| service.health_path.clone())
 }
 
-/// Takes note of who the target says that it is.
+/// Records the identity that the target reported, and updates the target list and the gate if it changed.
 pub fn record_identity(node: &Rc<Node>, id: &str) {
     node.identity_verified.set(true);
     node.identity_received_at.set(node.now());
@@ -142,49 +144,52 @@
     update_gate(node);
 }
 
-/// The target is out of reach; whoever answers next may be another one.
+/// Marks the target's identity as unverified: the target was unreachable, and another one may respond next.
 pub fn mark_unverified(node: &Node) {
     node.identity_verified.set(false);
 }
 
-/// The list shows that the target has started again under its identity: whatever it worked on has broken off.
+/// Handles a restart of the target under the same identity, which the list shows: the calls that it was running were
+/// aborted.
 pub fn handle_restart(node: &Rc<Node>, id: &TargetId) {
     gate::target_restarted(node, id);
     mark_unverified(node);
 }
 
-/// Whether the list has brought a target at this machine's address since the target told its identity, and after the one that
-/// the gate stands before, if that is still listed. Both may change in one answer of the store; compared only with a listed one, the new
-/// target was refused for 23 s in a soak.
+/// Whether another target of this service was listed at the local target's address after the current target last
+/// reported its identity and, if the current one is still listed, after that one was listed.
+///
+/// One response of the store may remove the current target and add its successor. When only listed targets were
+/// compared, the gate refused the successor's calls for 23 s in a soak test.
 fn has_successor(node: &Node, targets: &TargetTable) -> bool {
-    let present = node.local_target_id.borrow();
-    let Some(present) = present.as_ref() else { return false };
-    let told = node.identity_received_at.get();
-    let since = targets.get(present).map_or(told, |known| known.listed_at.max(told));
-    let mut others = targets.at_address(node.settings.local_target).filter(|other| other.id != *present);
+    let current = node.local_target_id.borrow();
+    let Some(current) = current.as_ref() else { return false };
+    let reported_at = node.identity_received_at.get();
+    let since = targets.get(current).map_or(reported_at, |known| known.listed_at.max(reported_at));
+    let mut others = targets.at_address(node.settings.local_target).filter(|other| other.id != *current);
     others.any(|other| other.listed_at > since && *other.registration.service == *node.settings.service)
 }
 
-/// The target beside this node, if it is kept though it has no registration.
+/// The local target, if the list retains it without a registration.
 pub fn retained_target(node: &Node) -> Option<TargetId> {
-    let present = node.local_target_id.borrow();
-    present.as_ref().filter(|id| node.targets.borrow().grace(id).is_some()).cloned()
+    let current = node.local_target_id.borrow();
+    current.as_ref().filter(|id| node.targets.borrow().grace(id).is_some()).cloned()
 }
 
-/// Whether the target beside this node has no registration and has told that it is leaving.
+/// Whether the target `id` is the local one, is retained without a registration, and has reported that it is draining.
 pub fn is_retained_and_draining(node: &Node, id: &TargetId) -> bool {
     node.retained_target.leaving.borrow().as_ref() == Some(id) && node.targets.borrow().grace(id).is_some()
 }
 
-/// Lets the gate follow the list of targets.
+/// Updates the local target, the gate's slots and whether the gate is open from the list of targets.
 pub fn update_gate(node: &Rc<Node>) {
     let targets = node.targets.borrow();
     if has_successor(node, &targets) {
-        // The target started again, and its connections have not shown it yet. It is asked with the next call.
+        // The target restarted, and its connections don't show it yet. The next call queries its identity.
         mark_unverified(node);
     }
-    let told = node.local_target_id.borrow().clone().filter(|_| node.identity_verified.get());
-    let listed = match &told {
+    let verified = node.local_target_id.borrow().clone().filter(|_| node.identity_verified.get());
+    let listed = match &verified {
         Some(id) => targets.get(id).cloned(),
         None => targets
             .at_address(node.settings.local_target)
@@ -196,12 +201,12 @@
     if let Some(target) = &listed {
         node.gate.borrow_mut().set_slots(target.registration.slots);
     }
-    let is_leaving = listed
+    let is_draining = listed
         .as_ref()
         .is_some_and(|target| target.registration.draining || is_retained_and_draining(node, &target.id));
-    // A target that is not listed yet may be told of before; one that was listed and is not has left.
-    let has_left =
-        listed.is_none() && told.as_ref().is_none_or(|id| node.last_listed_target.borrow().as_ref() == Some(id));
+    // A verified target may not be listed yet. One that was listed before and no longer is was removed.
+    let is_removed =
+        listed.is_none() && verified.as_ref().is_none_or(|id| node.last_listed_target.borrow().as_ref() == Some(id));
     if let Some(target) = &listed {
         *node.last_listed_target.borrow_mut() = Some(target.id.clone());
         *node.local_target_id.borrow_mut() = Some(target.id.clone());
@@ -209,7 +214,7 @@
     if retained_target(node).is_some() {
         node.retained_target.registration_ended.notify_one();
     }
-    if is_leaving || has_left || node.is_stopping() {
+    if is_draining || is_removed || node.is_stopping() {
         node.gate.borrow_mut().close();
     } else {
         node.gate.borrow_mut().open();
--- a/crates/sidecar/src/store_view.rs
+++ b/crates/sidecar/src/store_view.rs
@@ -1,4 +1,5 @@
-//! How far a node's view of the platform's store reaches, and whether it can get at the store: told with each call and each answer.
+//! A node's view of the platform's store: up to which position it knows the store's data, and whether it can read the
+//! store. Nodes exchange their views with each call and each response.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -6,49 +7,52 @@
 use crate::hop::Reach;
 use crate::node::Node;
 
-/// How far this node's view reaches.
+/// This node's view of the store.
 pub fn own_store_view(node: &Node) -> Reach {
     let now = node.now();
-    let is_turned_away = node.store_access_lost.get();
-    let is_cut_off = is_turned_away || !node.position().is_known() || node.feed.store_loss.get().is_cut_off(now);
+    let own_reads_fail = node.store_access_lost.get();
+    let is_cut_off = own_reads_fail || !node.position().is_known() || node.feed.store_loss.get().is_cut_off(now);
     Reach { position: node.position(), is_cut_off }
 }
 
-/// Takes how far the view of the node at `peer` reaches.
+/// Records the view that the node at `peer` reported.
 ///
-/// If it reaches further than this node's own, the own source may hang, and the feed is told. A node that is cut off and not listed may stand
-/// beside a target whose registration has run out; it is asked.
-pub fn record_peer_view(node: &Rc<Node>, peer: IpAddr, reach: Reach) {
-    note_cuts(node, peer, reach);
-    if has_lost_the_store(reach) && !node.targets.borrow().has_machine(peer) {
+/// If the peer's position is later than this node's, this node's source may hang, so the feed is notified. A peer that
+/// is partitioned from the store and not listed may run beside a target whose registration has expired, so the feed
+/// queries it.
+pub fn record_peer_view(node: &Rc<Node>, peer: IpAddr, view: Reach) {
+    record_store_access(node, peer, view);
+    if has_lost_store(view) && !node.targets.borrow().has_machine(peer) {
         node.feed.unlisted_peer.set(Some(peer));
         node.feed.unlisted_peer_reported.notify_one();
     }
-    let known = node.feed.latest_peer_position.get().map_or(node.position(), |(heard, _)| heard.max(node.position()));
-    if reach.position > known {
-        node.feed.latest_peer_position.set(Some((reach.position, peer)));
+    let known = node.feed.latest_peer_position.get().map_or(node.position(), |(latest, _)| latest.max(node.position()));
+    if view.position > known {
+        node.feed.latest_peer_position.set(Some((view.position, peer)));
         node.feed.later_position_reported.notify_one();
     }
 }
 
-/// Whether a node is cut off from the store that it has read before. One that has just started says that it is cut off too,
-/// which tells nothing of its machine.
-fn has_lost_the_store(reach: Reach) -> bool {
-    reach.is_cut_off && reach.position.is_known()
+/// Whether a node has lost access to a store that it read before. A node that has just started also reports that it is
+/// partitioned, which says nothing about its machine.
+fn has_lost_store(view: Reach) -> bool {
+    view.is_cut_off && view.position.is_known()
 }
 
-/// Lets the list of targets know which machines can't read the store, this one too.
-fn note_cuts(node: &Rc<Node>, peer: IpAddr, reach: Reach) {
+/// Records in the list of targets whether the machine of `peer` and this machine can read the store.
+fn record_store_access(node: &Rc<Node>, peer: IpAddr, view: Reach) {
     let now = node.now();
     let own = node.settings.local_target.ip();
     let mut targets = node.targets.borrow_mut();
     let grace_end = targets.next_grace_end();
-    let was_cut_off = targets.is_reported_cut_off(peer, now);
-    targets.report_store_access(peer, has_lost_the_store(reach), now);
-    if was_cut_off != has_lost_the_store(reach) {
-        node.log_failure(|| format!("\"event\":\"peer-store-access\",\"peer\":\"{peer}\",\"lost\":{}", !was_cut_off));
+    let had_lost_store = targets.is_reported_cut_off(peer, now);
+    targets.report_store_access(peer, has_lost_store(view), now);
+    if had_lost_store != has_lost_store(view) {
+        node.log_failure(|| {
+            format!("\"event\":\"peer-store-access\",\"peer\":\"{peer}\",\"lost\":{}", !had_lost_store)
+        });
     }
-    targets.report_store_access(own, has_lost_the_store(own_store_view(node)), now);
+    targets.report_store_access(own, has_lost_store(own_store_view(node)), now);
     if grace_end != targets.next_grace_end() {
         node.grace_changed.notify_one();
     }
