--- a/crates/sidecar/src/feed/answer.rs
+++ b/crates/sidecar/src/feed/answer.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other nodes for what has changed in the platform's store.
+//! Answers queries of other nodes for changes of the platform's store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use quillhatch_types::Timestamp;
 use tokio::time::timeout;
 
-use super::codec::{decode_position, encode_kept, encode_update};
+use super::codec::{decode_position, encode_retained, encode_update};
 use crate::body::{read_up_to, Body, Read};
 use crate::local_target;
 use crate::node::Node;
 use crate::store_view::own_store_view;
 
-/// The largest question in bytes.
-const LARGEST_QUESTION: usize = 1024;
+/// The maximum size of a query, in bytes.
+const MAX_QUERY_BYTES: usize = 1024;
 
-/// The last update that was encoded: the nodes that ask one parent mostly stand at one position.
+/// The update that was encoded last. It is cached because most nodes that query one parent are at the same position.
 #[derive(Default)]
 pub struct EncodedUpdate {
     from: Position,
@@ -31,80 +31,81 @@
     message: wire::ReplicaUpdate,
 }
 
-/// Answers a question as soon as there is something new, or after the time for which it may be held.
+/// Answers a query as soon as there are changes, or after its hold time.
 pub async fn answer(node: &Rc<Node>, body: Option<Incoming>) -> Response<Body> {
     let arrived = node.now();
-    let Some(question) = read_question(body).await else { return refusal(StatusCode::BAD_REQUEST) };
-    let from = question.position.as_ref().map(decode_position).unwrap_or_default();
-    let hold = Duration::from_millis(u64::from(question.hold_ms)).min(hold_time(false, &node.settings.bounds));
+    let Some(query) = read_query(body).await else { return empty_response(StatusCode::BAD_REQUEST) };
+    let from = query.position.as_ref().map(decode_position).unwrap_or_default();
+    let hold = Duration::from_millis(u64::from(query.hold_ms)).min(hold_time(false, &node.settings.bounds));
     if node.position().is_known() && !node.is_stopping() {
-        // Over its time there is nothing new, which is the answer.
-        let _ = timeout(hold, reach_beyond(node, from)).await;
+        // If the hold time ends first there are no changes, and the answer says so.
+        let _ = timeout(hold, advance_beyond(node, from)).await;
     }
     if !node.position().is_known() || node.is_stopping() {
-        return refusal(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let kept = if question.wants_kept { unregistered(node) } else { Vec::new() };
-    Response::new(Body::Whole(render(node, from, arrived, kept)))
+    let retained = if query.wants_kept { unregistered(node) } else { Vec::new() };
+    Response::new(Body::Whole(encode_answer(node, from, arrived, retained)))
 }
 
-async fn read_question(body: Option<Incoming>) -> Option<wire::ReplicaQuestion> {
-    let Ok(Read::Whole(bytes)) = read_up_to(body?, LARGEST_QUESTION).await else { return None };
+async fn read_query(body: Option<Incoming>) -> Option<wire::ReplicaQuestion> {
+    let Ok(Read::Whole(bytes)) = read_up_to(body?, MAX_QUERY_BYTES).await else { return None };
     decode(&bytes).ok()
 }
 
-fn refusal(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
 }
 
-/// Ends once this node's replica reaches beyond `from`, or has no way to the store. A question that came before is held while the node looks
-/// for another way: it mostly finds one at once.
-async fn reach_beyond(node: &Node, from: Position) {
+/// Waits until this node's replica is beyond `from`, or the node is known to have no path to the store. A query that
+/// arrived before the loss is held while the node searches another path, since it mostly finds one at once.
+async fn advance_beyond(node: &Node, from: Position) {
     if node.feed.store_loss.get().since().is_some() {
         return;
     }
     loop {
-        let advanced = node.feed.view_changed.notified();
+        let view_changed = node.feed.view_changed.notified();
         if node.position() > from || node.feed.store_loss.get().is_confirmed() || node.is_stopping() {
             return;
         }
-        advanced.await;
+        view_changed.await;
     }
 }
 
-fn render(node: &Node, from: Position, arrived: Timestamp, kept: Vec<wire::KeptTarget>) -> Bytes {
+fn encode_answer(node: &Node, from: Position, arrived: Timestamp, retained: Vec<wire::KeptTarget>) -> Bytes {
     let now = node.now();
-    let lost = node.feed.store_loss.get().since().map_or(0, |since| now.since(since).as_millis().max(1) as u64);
-    let read = node.feed.store_read_at.get().unwrap_or_default();
+    let lost_ms = node.feed.store_loss.get().since().map_or(0, |since| now.since(since).as_millis().max(1) as u64);
+    let read_at = node.feed.store_read_at.get().unwrap_or_default();
     let proof = node.tenancy.replica_proof(&node.configuration.borrow(), arrived);
     let answer = wire::ReplicaAnswer {
         update: encoded_update(node, from),
-        lost_ms: lost,
-        read_ms: age_at(arrived, read),
-        kept,
+        lost_ms,
+        read_ms: age_at(arrived, read_at),
+        kept: retained,
         proof: proof
             .map(|proof| wire::ReplicaProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms }),
     };
     encode(&answer).into()
 }
 
-/// The targets that serve without a registration: those that are kept, and the own one of a node that is cut off.
+/// The targets that run without a registration: those that the list retains, and the local target if this node is
+/// partitioned from the store. Draining ones are left out.
 fn unregistered(node: &Node) -> Vec<wire::KeptTarget> {
     let now = node.now();
     let targets = node.targets.borrow();
-    let present = node.local_target_id.borrow();
-    let own = present.as_ref().filter(|_| own_store_view(node).is_cut_off).and_then(|present| targets.get(present));
-    let own = own.map(|target| (target, now + KEPT_AFTER_CUT));
-    let all = own
+    let local_id = node.local_target_id.borrow();
+    let local = local_id.as_ref().filter(|_| own_store_view(node).is_cut_off).and_then(|id| targets.get(id));
+    let local = local.map(|target| (target, now + KEPT_AFTER_CUT));
+    let all = local
         .into_iter()
         .chain(targets.kept())
         .filter(|(target, _)| !local_target::is_retained_and_draining(node, &target.id));
-    all.map(|(target, until)| encode_kept(target, now.until(until))).collect()
+    all.map(|(target, until)| encode_retained(target, now.until(until))).collect()
 }
 
-/// How long before `arrived` the moment `at` was, in milliseconds and rounded up; negative if it was after it.
+/// How long before `arrived` the time `at` was, in milliseconds and rounded up; negative if it was after `arrived`.
 fn age_at(arrived: Timestamp, at: Timestamp) -> i64 {
     let before = arrived.since(at).as_millis() as i64;
     let after = at.since(arrived).as_millis() as i64;
--- a/crates/sidecar/src/feed/codec.rs
+++ b/crates/sidecar/src/feed/codec.rs
@@ -1,4 +1,4 @@
-//! The messages between replicas, from and to what they mean.
+//! Encodes and decodes the messages between replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use quillhatch_messages::generated::replica as wire;
 use quillhatch_platform::configuration::read_configuration;
 
-/// An update of another node that can't be read.
+/// Why an update from another node can't be decoded.
 #[derive(Debug, Display)]
 pub(super) enum MalformedUpdate {
-    /// It does not tell its position.
+    /// It has no position.
     #[display("no position")]
     NoPosition,
-    /// A target's address is none.
-    #[display("target {_0}: {_1:?} is no IP address with a port")]
+    /// A target's address can't be parsed.
+    #[display("target {_0}: {_1:?} is not an IP address with a port")]
     Address(String, String),
-    /// The configuration can't be read.
+    /// The configuration is invalid.
     #[display("configuration: {_0}")]
     Configuration(String),
 }
@@ -49,16 +49,16 @@
             }
             Change::Target(id, registration) => message.targets.push(encode_target(revision, id, registration)),
             Change::TargetGone(id) => message.gone.push(wire::GoneTarget { id: id.to_string(), revision }),
-            // A replica holds only what can be used.
+            // A replica never contains unusable entries.
             Change::UnusableConfiguration(_) | Change::UnusableTarget(..) => {}
         }
     }
     message
 }
 
-/// A target without a registration that is kept for `left`.
-pub(super) fn encode_kept(target: &Target, left: Duration) -> wire::KeptTarget {
-    let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
+/// Encodes a target without a registration that is retained for another `remaining`.
+pub(super) fn encode_retained(target: &Target, remaining: Duration) -> wire::KeptTarget {
+    let left_ms = u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX);
     wire::KeptTarget { target: Some(encode_target(0, &target.id, &target.registration)), left_ms }
 }
 
@@ -77,11 +77,11 @@
     }
 }
 
-/// Reads an update.
+/// Decodes an update.
 ///
 /// # Errors
 ///
-/// Returns the first thing that can't be read; nothing of such an update should be used.
+/// Returns the first malformed part. No part of such an update should be used.
 pub(super) fn decode_update(message: &wire::ReplicaUpdate) -> Result<Update, MalformedUpdate> {
     let position = message.position.as_ref().map(decode_position).ok_or(MalformedUpdate::NoPosition)?;
     let extent = message.after.as_ref().map_or(Extent::Whole, |after| Extent::After(decode_position(after)));
--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -1,12 +1,12 @@
-//! Gets what changes in the platform's store from other nodes, and passes it on to those that ask.
+//! Replicates changes of the platform's store between nodes: receives them from another node and serves them to others.
 //!
-//! Who asks whom is decided by [`quillhatch_mesh::feed`]; what is told, by [`quillhatch_mesh::replica`]. A node asks one other node at a
-//! time and is answered when something has changed, so a change travels down the tree in some round trips, and a node that is asked
-//! knows nothing of those that ask it.
+//! [`quillhatch_mesh::feed`] decides which node queries which, [`quillhatch_mesh::replica`] what an update contains. A
+//! node queries one other node at a time with a long poll, which is answered when something has changed. So a change
+//! travels down the tree in a few round trips, and a queried node keeps no state about the nodes that query it.
 
 mod answer;
 mod codec;
-mod question;
+mod query;
 
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -26,55 +26,56 @@
 use crate::node::Node;
 use crate::store;
 use answer::EncodedUpdate;
-use question::{ask, Asked};
+use query::{query, Requested};
 
 pub use answer::answer;
 
-/// The path at which a node is asked for what is new.
+/// The path at which a node answers queries for changes.
 pub const FEED_PATH: &str = "/quillhatch/replica";
-/// For how long the view of another node may reach further before the own source is taken to hang: a change is on its way for some round
-/// trips, and for 0.3 s more where the store is slow.
-const HANGING_AFTER: Duration = Duration::from_millis(400);
-/// The least time between two questions for targets without a registration.
-const UNREGISTERED_PAUSE: Duration = Duration::from_millis(50);
-/// The pause after all candidates have failed, as a part of the time for which a question is held.
-const ROUND_PAUSE_PART: f64 = 0.5;
-
-/// What a node knows of its way to the store.
+/// How long this node may lag behind a position that a peer reported before it queries that peer, because its own
+/// source may hang. A change takes a few round trips to propagate, and 0.3 s more where the store is slow.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(400);
+/// The minimum time between two queries for targets without a registration.
+const UNREGISTERED_QUERY_INTERVAL: Duration = Duration::from_millis(50);
+/// The maximum pause after all candidates have failed, as a fraction of the hold time of a query.
+const ROUND_PAUSE_FRACTION: f64 = 0.5;
+
+/// A node's state in the feed and its path to the store, which is direct or over other nodes.
 #[derive(Default)]
 pub struct FeedState {
-    /// Whom it asks, and whether it reads the store.
+    /// Its place in the feed tree: the nodes that it may query, and whether it reads the store.
     pub place: RefCell<FeedPlace>,
-    /// Wakes whoever waits for another place.
+    /// Notified when the place changes or the store must be probed.
     pub place_changed: Notify,
-    /// Since when it is without a way to the store.
+    /// Since when it has no path to the store.
     pub store_loss: Cell<FeedLoss>,
-    /// Whether all other nodes that it could ask have failed to answer at all.
+    /// Whether none of the other nodes that it may query has responded at all.
     pub is_isolated: Cell<bool>,
-    /// When the store was read last, by this node or on the way to it.
+    /// When the store was last read, by this node or by a node upstream of it.
     pub store_read_at: Cell<Option<Timestamp>>,
-    /// Wakes the questions that are held, and those that wait for the store's turn.
+    /// Notified when the position advances or the path to the store is lost or regained. Wakes the held queries of
+    /// other nodes and the task that waits for its turn to read the store.
     pub view_changed: Notify,
-    /// The furthest position that another node has told, and the node.
+    /// The latest position that another node has reported beyond this node's, and the node's address.
     pub latest_peer_position: Cell<Option<(Position, IpAddr)>>,
-    /// Wakes the feed when another node has told of a later position.
+    /// Notified when another node reports a later position.
     pub later_position_reported: Notify,
-    /// A node that is cut off from the store, and on whose machine no target is listed.
+    /// A node that is partitioned from the store, and on whose machine no target is listed.
     pub unlisted_peer: Cell<Option<IpAddr>>,
-    /// Wakes whoever asks such nodes.
+    /// Notified when such a node sends its view.
     pub unlisted_peer_reported: Notify,
-    /// The last update that was encoded.
+    /// The update that was encoded last.
     pub encoded_update: RefCell<EncodedUpdate>,
 }
 
 impl FeedState {
-    /// The store was read at `at`, here or on the way here.
+    /// Records that the store was read at `at`, by this node or by a node upstream of it.
     pub fn record_store_read(&self, at: Timestamp) {
         self.store_read_at.set(self.store_read_at.get().max(Some(at)));
     }
 }
 
-/// Works the node's place out anew from `targets`.
+/// Recomputes the node's place in the feed tree from `targets`.
 pub fn update_place<'a>(node: &Node, targets: impl Iterator<Item = &'a Arc<Target>>) {
     let own = node.settings.local_target.ip();
     let place = match node.has(Mechanism::SharedReads) {
@@ -87,16 +88,16 @@
     }
 }
 
-/// What has come of the questions since another node was well.
+/// The results of the queries since the last one that found a usable source.
 #[derive(Clone, Copy, Debug, Default)]
 struct Round {
-    /// Whether any node has answered.
-    is_answered: bool,
-    /// Whether one was well by its own word, which could not be relied on.
-    is_unproved: bool,
+    /// Whether any node has responded.
+    has_response: bool,
+    /// Whether a node reported recent reads of the store that may originate from this node.
+    has_unproved: bool,
 }
 
-/// Follows other nodes until the process ends.
+/// Queries other nodes for changes until the process ends.
 pub async fn follow(node: Rc<Node>) {
     let mut choice = SourceChoice::default();
     let mut round = Round::default();
@@ -113,20 +114,20 @@
         let can_wait = !choice.is_searching() && node.position().is_known();
         let hold =
             if can_wait { hold_time(node.feed.place.borrow().is_head, &node.settings.bounds) } else { Duration::ZERO };
-        let asked = tokio::select! {
-            asked = ask(&node, peer, Asked::News { hold }) => asked,
+        let result = tokio::select! {
+            result = query(&node, peer, Requested::Changes { hold }) => result,
             () = node.clock.resumed() => continue,
             () = place_changed => continue,
         };
-        match asked.map(|supply| take_supply(&node, supply, candidate.is_before)) {
+        match result.map(|supply| record_supply(&node, supply, candidate.is_before)) {
             Ok(SupplyVerdict::Well) => {
                 choice.answered();
                 round = Round::default();
                 continue;
             }
             Ok(verdict) => {
-                round.is_answered = true;
-                round.is_unproved |= verdict == SupplyVerdict::Unproved;
+                round.has_response = true;
+                round.has_unproved |= verdict == SupplyVerdict::Unproved;
             }
             Err(error) => {
                 let why = error.to_string();
@@ -134,7 +135,7 @@
             }
         }
         choice.failed(node.now());
-        note_failure(&node, now);
+        record_source_failure(&node, now);
         if choice.all_failed(&candidates) {
             end_round(&node, std::mem::take(&mut round), now);
             pause(&node).await;
@@ -142,8 +143,8 @@
     }
 }
 
-/// Takes note of how well another node is supplied; says whether it may be followed.
-fn take_supply(node: &Rc<Node>, supply: Supply, is_before: bool) -> SupplyVerdict {
+/// Records how recently another node's data was read from the store, and returns whether this node may follow it.
+fn record_supply(node: &Rc<Node>, supply: Supply, is_before: bool) -> SupplyVerdict {
     if let Some(read) = supply.read_at {
         node.feed.record_store_read(read);
     }
@@ -163,19 +164,20 @@
     verdict
 }
 
-/// The node that was asked at `asked` is of no use; unless this node reads the store, it has no way there until it finds another one.
-fn note_failure(node: &Node, asked: Timestamp) {
-    if !is_read_here(node) {
+/// Records that the node queried at `queried_at` is unusable. Unless this node reads the store itself, it has no path
+/// to the store until it finds another source.
+fn record_source_failure(node: &Node, queried_at: Timestamp) {
+    if !reads_store(node) {
         let mut loss = node.feed.store_loss.get();
-        loss.source_failed(asked);
+        loss.source_failed(queried_at);
         node.feed.store_loss.set(loss);
     }
 }
 
-/// All candidates have failed, the last one asked at `since`.
+/// Records that all candidates have failed; the last one was queried at `since`.
 fn end_round(node: &Node, round: Round, since: Timestamp) {
-    node.feed.is_isolated.set(!round.is_answered);
-    if round.is_unproved || is_read_here(node) {
+    node.feed.is_isolated.set(!round.has_response);
+    if round.has_unproved || reads_store(node) {
         return;
     }
     let mut loss = node.feed.store_loss.get();
@@ -187,39 +189,40 @@
     node.feed.view_changed.notify_waiters();
 }
 
-/// Waits before the candidates are asked once more.
+/// Waits before the next round of queries to the candidates.
 async fn pause(node: &Rc<Node>) {
-    let pause = hold_time(false, &node.settings.bounds).mul_f64(ROUND_PAUSE_PART);
+    let pause = hold_time(false, &node.settings.bounds).mul_f64(ROUND_PAUSE_FRACTION);
     let pause = node.random.borrow_mut().gen_range(pause / 2..pause);
     sleep(pause).await;
 }
 
-/// Whether this node reads the store, and nothing fails.
-fn is_read_here(node: &Node) -> bool {
+/// Whether this node reads the store itself, without failures.
+fn reads_store(node: &Node) -> bool {
     node.feed.place.borrow().reads && node.position().is_known() && node.feed.store_loss.get().since().is_none()
 }
 
-/// Asks other nodes that have told of a later position for longer than changes are on their way, until the process ends.
+/// Queries nodes whose reported position this node has not reached after [`MAX_PROPAGATION_DELAY`], until the process
+/// ends.
 pub async fn catch_up(node: Rc<Node>) {
     loop {
         node.feed.later_position_reported.notified().await;
         if node.position().is_known() {
-            sleep(HANGING_AFTER).await;
+            sleep(MAX_PROPAGATION_DELAY).await;
         }
-        // What is told from now on counts anew.
-        let Some((heard, peer)) = node.feed.latest_peer_position.take() else { continue };
-        if heard <= node.position() {
+        // Positions that are reported from now on start a new delay.
+        let Some((reported, peer)) = node.feed.latest_peer_position.take() else { continue };
+        if reported <= node.position() {
             continue;
         }
-        let outcome = match ask(&node, peer, Asked::News { hold: Duration::ZERO }).await {
+        let outcome = match query(&node, peer, Requested::Changes { hold: Duration::ZERO }).await {
             Ok(supply) => {
-                take_supply(&node, supply, false);
+                record_supply(&node, supply, false);
                 "taken".to_owned()
             }
             Err(error) => error.to_string(),
         };
         node.log_failure(|| {
-            let (Position { era, revision }, reached) = (heard, node.position().revision);
+            let (Position { era, revision }, reached) = (reported, node.position().revision);
             format!(
                 "\"event\":\"caught-up\",\"peer\":\"{peer}\",\"heard\":\"{era}.{revision}\",\"revision\":{reached},\"outcome\":{outcome:?}"
             )
@@ -227,15 +230,16 @@
     }
 }
 
-/// Asks nodes that are cut off for the targets that serve beside them without a registration, until the process ends. A node that started
-/// after the registrations ran out has never seen them.
+/// Queries nodes that are partitioned from the store for targets that run beside them without a registration, until the
+/// process ends. A node that started after those registrations expired has never received them.
 pub async fn find_unregistered(node: Rc<Node>) {
     loop {
         node.feed.unlisted_peer_reported.notified().await;
         let Some(peer) = node.feed.unlisted_peer.take() else { continue };
-        let outcome =
-            ask(&node, peer, Asked::Unregistered).await.map_or_else(|error| error.to_string(), |_| "taken".to_owned());
+        let outcome = query(&node, peer, Requested::Unregistered)
+            .await
+            .map_or_else(|error| error.to_string(), |_| "taken".to_owned());
         node.log_failure(|| format!("\"event\":\"unregistered-asked\",\"peer\":\"{peer}\",\"outcome\":{outcome:?}"));
-        sleep(UNREGISTERED_PAUSE).await;
+        sleep(UNREGISTERED_QUERY_INTERVAL).await;
     }
 }
--- a/crates/sidecar/src/feed/question.rs
+++ b/crates/sidecar/src/feed/query.rs
@@ -1,4 +1,4 @@
-//! Asks another node for what has changed in the platform's store, and takes its answer over.
+//! Queries another node for changes of the platform's store, and applies its answer.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -23,56 +23,56 @@
 use crate::pool::ExchangeError;
 use crate::store::{apply_update, on_targets_changed};
 
-/// Why another node's answer is of no use.
+/// Why a query to another node has failed.
 #[derive(Debug, Display)]
-pub(super) enum QuestionError {
-    /// There was no answer in time.
+pub(super) enum QueryError {
+    /// The query timed out.
     #[display("no answer in time")]
     TimedOut,
-    /// There was no whole answer.
+    /// The request failed, or the response ended early.
     #[display("{_0}")]
     Exchange(ExchangeError),
-    /// It knows nothing, or stops.
+    /// The other node has no data or is stopping.
     #[display("status {_0}")]
     Status(StatusCode),
-    /// The answer can't be understood.
-    #[display("the answer can't be read")]
-    Unreadable,
-    /// The update in the answer can't be understood.
+    /// The answer can't be decoded.
+    #[display("the answer can't be decoded")]
+    Undecodable,
+    /// The update in the answer is malformed.
     #[display("{_0}")]
     Malformed(MalformedUpdate),
-    /// The update does not fit this node's replica.
-    #[display("the update does not fit: {_0:?}")]
+    /// The update can't be applied to this node's replica.
+    #[display("the update can't be applied: {_0:?}")]
     Update(UpdateError),
 }
 
-/// What another node is asked for.
+/// What a query requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asked {
-    /// What is new; the question may be held if there is nothing.
-    News {
-        /// For how long.
+pub(super) enum Requested {
+    /// Changes; the other node holds the query while there are none.
+    Changes {
+        /// The maximum hold time.
         hold: Duration,
     },
-    /// Besides, the targets that serve without a registration.
+    /// Changes at once, and also the targets that run without a registration.
     Unregistered,
 }
 
-/// Asks the node at `peer` and takes over what it tells.
-pub(super) async fn ask(node: &Rc<Node>, peer: IpAddr, asked: Asked) -> Result<Supply, QuestionError> {
+/// Queries the node at `peer` and applies its answer.
+pub(super) async fn query(node: &Rc<Node>, peer: IpAddr, requested: Requested) -> Result<Supply, QueryError> {
     let sent = node.now();
-    let answer = exchange(node, peer, asked).await?;
+    let answer = exchange(node, peer, requested).await?;
     if let Some(update) = &answer.update {
-        let update = decode_update(update).map_err(QuestionError::Malformed)?;
-        // What this node has read itself may be from a copy that lags; the other one has had the time to catch up.
+        let update = decode_update(update).map_err(QueryError::Malformed)?;
+        // This node may have read a lagging replica of the store itself; the other node has had the time to catch up.
         node.targets_known.set(true);
         match apply_update(node, update) {
-            // Others may have told more meanwhile.
+            // A later update may have arrived meanwhile.
             Ok(()) | Err(UpdateError::Outdated) => {}
-            Err(error) => return Err(QuestionError::Update(error)),
+            Err(error) => return Err(QueryError::Update(error)),
         }
     }
-    keep_unregistered(node, &answer.kept);
+    retain_unregistered(node, &answer.kept);
     if let Some(proof) = &answer.proof {
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
         node.tenancy.record_replica_proof(proof, &node.configuration.borrow(), sent);
@@ -83,16 +83,16 @@
     Ok(Supply { read_at: read_at(sent, answer.read_ms), lost_since })
 }
 
-/// When the store was read that was read `age_ms` before this node's question, sent at `sent`, has arrived. What was read before this
-/// process's clock begins counts as read then.
+/// Converts the age of a store read, `age_ms` before this node's query arrived at the other node, to this node's clock.
+/// The query was sent at `sent`. A read from before the start of this process's clock counts as made at the start.
 fn read_at(sent: Timestamp, age_ms: i64) -> Option<Timestamp> {
     let sent_ms = i64::try_from(sent.since(Timestamp::ZERO).as_millis()).ok()?;
     let read_ms = sent_ms.saturating_sub(age_ms).max(0);
     Some(Timestamp::ZERO + Duration::from_millis(u64::try_from(read_ms).ok()?))
 }
 
-/// Lists targets that serve without a registration. One that can't be read is left out.
-fn keep_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
+/// Adds targets that run without a registration to the list of targets. Malformed ones are skipped.
+fn retain_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
     if kept.is_empty() {
         return;
     }
@@ -107,31 +107,31 @@
     on_targets_changed(node);
 }
 
-async fn exchange(node: &Rc<Node>, peer: IpAddr, asked: Asked) -> Result<wire::ReplicaAnswer, QuestionError> {
+async fn exchange(node: &Rc<Node>, peer: IpAddr, requested: Requested) -> Result<wire::ReplicaAnswer, QueryError> {
     let position = node.position();
-    let hold = match asked {
-        Asked::News { hold } => hold,
-        Asked::Unregistered => Duration::ZERO,
+    let hold = match requested {
+        Requested::Changes { hold } => hold,
+        Requested::Unregistered => Duration::ZERO,
     };
     let question = wire::ReplicaQuestion {
         position: position.is_known().then(|| encode_position(position)),
         hold_ms: hold.as_millis() as u32,
-        wants_kept: asked == Asked::Unregistered,
+        wants_kept: requested == Requested::Unregistered,
     };
     let request = Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Whole(encode(&question).into()));
-    let request = request.expect("the path and the host are made of plain characters");
+    let request = request.expect("the path and the host are valid in a request");
     let address = SocketAddr::new(peer, node.settings.inbound.port());
     let exchange = async {
-        let (response, lease) = node.peers.exchange(address, request).await.map_err(QuestionError::Exchange)?;
+        let (response, lease) = node.peers.exchange(address, request).await.map_err(QueryError::Exchange)?;
         let status = response.status();
         let body = response.into_body().collect().await;
-        let bytes = body.map_err(|_| QuestionError::Unreadable)?.to_bytes();
+        let bytes = body.map_err(|_| QueryError::Undecodable)?.to_bytes();
         lease.keep();
         if status != StatusCode::OK {
-            return Err(QuestionError::Status(status));
+            return Err(QueryError::Status(status));
         }
-        decode(&bytes).map_err(|_| QuestionError::Unreadable)
+        decode(&bytes).map_err(|_| QueryError::Undecodable)
     };
-    let longest = answer_timeout(hold, &node.settings.bounds);
-    timeout(longest, exchange).await.unwrap_or(Err(QuestionError::TimedOut))
+    let limit = answer_timeout(hold, &node.settings.bounds);
+    timeout(limit, exchange).await.unwrap_or(Err(QueryError::TimedOut))
 }
