--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -201,7 +201,7 @@
     node.feed.place.borrow().reads && node.position().is_known() && node.feed.store_loss.get().since().is_none()
 }
 
-/// Queries nodes whose reported position this node has not reached after [`MAX_PROPAGATION_DELAY`], until the process
+/// Queries nodes whose reported position this node has not reached after `MAX_PROPAGATION_DELAY`, until the process
 /// ends.
 pub async fn catch_up(node: Rc<Node>) {
     loop {
--- a/crates/sidecar/src/liveness.rs
+++ b/crates/sidecar/src/liveness.rs
@@ -61,8 +61,7 @@
     is_live
 }
 
-/// Whether something was received from the node beside `target` within [`RECENT_CONTACT`], or it responds to a probe
-/// now.
+/// Whether something was received from the node beside `target` within `RECENT_CONTACT`, or it responds to a probe now.
 ///
 /// A call that may run only once can't be retried elsewhere after it was sent to a node that doesn't respond, so this
 /// check precedes it.
--- a/crates/sidecar/src/store/access.rs
+++ b/crates/sidecar/src/store/access.rs
@@ -1,8 +1,9 @@
-//! Whether this machine can get at the platform's store, found out without a call.
+//! Detects without a call whether this machine can reach the platform's store.
 //!
-//! A target on a machine that is cut off from the store can't renew its registration. The other nodes keep it for as long as its own node tells
-//! that it is cut off, so that node must know before the registration runs out. A node that follows others makes no calls that would show it;
-//! it holds a connection open instead, and probes it.
+//! A target on a machine that is partitioned from the store can't renew its registration. Other nodes retain the target
+//! as long as its node reports the partition, so the node must detect it before the registration expires. A node that
+//! receives changes from other nodes makes no calls to the store that would fail. Instead it holds a connection to the
+//! store open, with TCP keepalive probes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,15 +16,17 @@
 
 use crate::node::Node;
 
-/// How long a new connection may take.
+/// The timeout of a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often an open connection is probed; it is given up after [`PROBES`] without an answer, before three heartbeats are over.
-const PROBED_EACH: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
-/// The pause before a connection that has ended is made again.
-const PAUSE: Duration = Duration::from_secs(1);
+/// The interval of keepalive probes on the open connection. It is closed after `MAX_UNANSWERED_PROBES` probes without
+/// an answer, which is before three heartbeats have passed.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_UNANSWERED_PROBES: u32 = 2;
+/// The pause before a reconnect.
+const RECONNECT_PAUSE: Duration = Duration::from_secs(1);
 
-/// Watches over the way to the store until the process ends. The store is asked once whenever the way is lost or found again.
+/// Monitors the connection to the store until the process ends. Requests one read of the store whenever the connection
+/// is lost or opened again.
 pub async fn watch_access(node: Rc<Node>) {
     let mut is_open = true;
     loop {
@@ -31,35 +34,36 @@
             Ok(Ok(stream)) => {
                 if !is_open {
                     is_open = true;
-                    must_probe(&node, "a connection is open again");
+                    request_probe(&node, "the connection is open again");
                 }
-                if let Err(error) = ended(&stream).await {
-                    must_probe(&node, &error.to_string());
+                if let Err(error) = wait_for_close(&stream).await {
+                    request_probe(&node, &error.to_string());
                 }
             }
             Ok(Err(error)) if is_open => {
                 is_open = false;
-                must_probe(&node, &error.to_string());
+                request_probe(&node, &error.to_string());
             }
             Err(_) if is_open => {
                 is_open = false;
-                must_probe(&node, "no connection in time");
+                request_probe(&node, "connecting timed out");
             }
             Ok(Err(_)) | Err(_) => {}
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
 async fn open(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    let probe = TcpKeepalive::new().with_time(PROBED_EACH).with_interval(PROBED_EACH).with_retries(PROBES);
+    let probe =
+        TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL).with_retries(MAX_UNANSWERED_PROBES);
     SockRef::from(&stream).set_tcp_keepalive(&probe)?;
     Ok(stream)
 }
 
-/// Waits for the end of a connection on which nothing is said. That the store closes it shows nothing.
-async fn ended(stream: &TcpStream) -> io::Result<()> {
+/// Waits until the idle connection is closed. A regular close by the store does not mean that the store is unreachable.
+async fn wait_for_close(stream: &TcpStream) -> io::Result<()> {
     loop {
         stream.readable().await?;
         match stream.try_read(&mut [0; 64]) {
@@ -71,7 +75,8 @@
     }
 }
 
-fn must_probe(node: &Node, why: &str) {
+/// Makes this node read the store once, at once.
+fn request_probe(node: &Node, why: &str) {
     node.log(&format!("\"event\":\"store-probed\",\"why\":{why:?}"));
     node.must_probe_store.set(true);
     node.feed.place_changed.notify_waiters();
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -1,4 +1,4 @@
-//! Takes what was learnt of the store over into the node's view.
+//! Applies updates from the store, or from other nodes, to the node's state.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -15,34 +15,34 @@
 use crate::local_target;
 use crate::node::Node;
 
-/// Takes over what the store, or another node, has told.
+/// Applies an update from the store or from another node.
 ///
 /// # Errors
 ///
-/// Returns why nothing of it was taken.
+/// Returns why the update was rejected as a whole.
 pub fn apply_update(node: &Rc<Node>, update: Update) -> Result<(), UpdateError> {
     let now = node.now();
-    // Whoever has told this could get at the store again before this node.
-    note_outage(node, node.feed.store_loss.get().outage_since());
+    // The sender of this update may have reached the store again before this node did.
+    extend_reregistration_deadline(node, node.feed.store_loss.get().outage_since());
     let extent = update.extent;
     let former = node.position();
-    let learnt = node.replica.borrow_mut().take(update, now)?;
+    let result = node.replica.borrow_mut().take(update, now)?;
     let position = node.position();
     if position == former {
         return Ok(());
     }
-    if learnt.is_new_era {
+    if result.is_new_era {
         let until = now + written_again_within(&node.settings.bounds);
         node.reregistration_deadline.set(node.reregistration_deadline.get().max(until));
         node.rewrite_deadline.set(until);
         node.log(&format!("\"event\":\"store-era\",\"era\":{},\"before\":{}", position.era, former.era));
     }
-    let has_changes = !learnt.changes.is_empty();
+    let has_changes = !result.changes.is_empty();
     if has_changes {
-        apply_changes(node, learnt.changes, now);
+        apply_changes(node, result.changes, now);
     }
     if extent == Extent::Whole {
-        drop_unregistered(node);
+        remove_unregistered(node);
     }
     if has_changes || extent == Extent::Whole {
         on_targets_changed(node);
@@ -51,17 +51,18 @@
     Ok(())
 }
 
-/// This node has a way to the store again, after it had none since `lost_since`, and the store was in an outage since `outage_since`, if it
-/// was. Registrations may have run out meanwhile.
+/// Records that this node has a path to the store again, after it had none since `lost_since`. If the store was in an
+/// outage since `outage_since`, registrations may have expired meanwhile.
 pub fn on_path_regained(node: &Node, lost_since: Option<Timestamp>, outage_since: Option<Timestamp>) {
-    note_outage(node, outage_since);
+    extend_reregistration_deadline(node, outage_since);
     let Some(since) = lost_since else { return };
     let revision = node.position().revision;
     let lost_ms = node.now().since(since).as_millis();
     node.log(&format!("\"event\":\"store-reached\",\"revision\":{revision},\"lost_ms\":{lost_ms}"));
 }
 
-fn note_outage(node: &Node, outage_since: Option<Timestamp>) {
+/// Gives targets time to register again if their registrations may have expired in the outage.
+fn extend_reregistration_deadline(node: &Node, outage_since: Option<Timestamp>) {
     let now = node.now();
     if outage_since.is_some_and(|since| may_have_lapsed(now.since(since))) {
         let until = now + REGISTERED_AGAIN_WITHIN;
@@ -69,23 +70,23 @@
     }
 }
 
-/// Takes over changes in the order in which they were made. What is learnt together is listed at one moment, `now`.
+/// Applies changes in the order in which they were made. All targets of one update get the same listing time, `now`.
 fn apply_changes(node: &Rc<Node>, changes: Vec<Change>, now: Timestamp) {
     let mut gone: Vec<TargetId> = Vec::new();
     for change in changes {
         match change {
             Change::Configuration(offered) => {
                 let version = offered.version;
-                let taken = node.configuration.borrow_mut().offer(offered);
+                let is_accepted = node.configuration.borrow_mut().offer(offered);
                 node.tenancy.newer_is_unusable.set(false);
-                node.log(&format!("\"event\":\"configuration\",\"version\":{version},\"taken\":{taken}"));
+                node.log(&format!("\"event\":\"configuration\",\"version\":{version},\"taken\":{is_accepted}"));
             }
             Change::UnusableConfiguration(findings) => {
                 node.tenancy.newer_is_unusable.set(true);
                 node.log(&format!("\"event\":\"configuration-unusable\",\"why\":{:?}", findings.join("; ")));
             }
             Change::Target(id, registration) => {
-                // One answer may tell of a target's end and of its return.
+                // One response may contain the removal of a target and its return.
                 gone.retain(|former| *former != id);
                 node.log(&format!(
                     "\"event\":\"target\",\"target\":\"{id}\",\"service\":\"{}\",\"address\":\"{}\",\"draining\":{}",
@@ -93,7 +94,7 @@
                 ));
                 let has_restarted = node.targets.borrow_mut().update(id.clone(), registration, now);
                 if has_restarted {
-                    restarted(node, &id);
+                    handle_restart(node, &id);
                 }
             }
             Change::UnusableTarget(id, why) => {
@@ -103,25 +104,25 @@
             Change::TargetGone(id) => gone.push(id),
         }
     }
-    note_own_end(node, &gone);
+    probe_if_local_target_gone(node, &gone);
     remove_gone(node, &gone);
     for id in &gone {
         log_gone(node, id, now);
     }
 }
 
-/// Writes whether a target whose registration is gone is kept, why and for how long.
+/// Logs whether a target without a registration is retained, why and for how long.
 fn log_gone(node: &Node, id: &TargetId, now: Timestamp) {
     let targets = node.targets.borrow();
-    let is_kept = targets.get(id).is_some();
+    let is_retained = targets.get(id).is_some();
     let grace = targets.grace(id).map_or_else(String::new, |Grace { until, reason }| {
         format!(",\"why\":\"{reason}\",\"kept_ms\":{}", now.until(until).as_millis())
     });
-    node.log(&format!("\"event\":\"target-gone\",\"target\":{id:?},\"kept_for_now\":{is_kept}{grace}"));
+    node.log(&format!("\"event\":\"target-gone\",\"target\":{id:?},\"kept_for_now\":{is_retained}{grace}"));
 }
 
-/// A target has started again under its identity: nothing that was learnt of it before holds.
-fn restarted(node: &Rc<Node>, id: &TargetId) {
+/// Handles a restart of a target under the same identity: everything measured before is discarded.
+fn handle_restart(node: &Rc<Node>, id: &TargetId) {
     node.log(&format!("\"event\":\"target-restarted\",\"target\":\"{id}\""));
     node.balance.borrow_mut().forget(id);
     if node.local_target_id.borrow().as_ref() == Some(id) {
@@ -129,19 +130,20 @@
     }
 }
 
-/// A target whose registration ends without a drain may run on at a machine that can't get at the store; its node finds out.
-fn note_own_end(node: &Node, gone: &[TargetId]) {
-    let present = node.local_target_id.borrow();
-    let Some(present) = present.as_ref().filter(|present| gone.contains(present)) else { return };
-    let is_draining = node.targets.borrow().get(present).is_some_and(|target| target.registration.draining);
+/// Makes this node probe the store if the local target's registration ended without a drain. The target may still run,
+/// on a machine that can't reach the store.
+fn probe_if_local_target_gone(node: &Node, gone: &[TargetId]) {
+    let local_id = node.local_target_id.borrow();
+    let Some(local_id) = local_id.as_ref().filter(|id| gone.contains(id)) else { return };
+    let is_draining = node.targets.borrow().get(local_id).is_some_and(|target| target.registration.draining);
     if !is_draining {
         node.must_probe_store.set(true);
         node.feed.place_changed.notify_waiters();
     }
 }
 
-/// Takes targets off the list whose registrations are gone. Those that may have lapsed while the store was away are waited
-/// for.
+/// Removes targets whose registrations are gone from the list. Those whose registrations may have expired during an
+/// outage of the store are retained until they may have registered again.
 fn remove_gone(node: &Node, gone: &[TargetId]) {
     let (now, until) = (node.now(), node.reregistration_deadline.get());
     let mut targets = node.targets.borrow_mut();
@@ -156,8 +158,9 @@
     node.grace_changed.notify_one();
 }
 
-/// Everything was told: listed targets that have no registration, since other nodes told of them, are gone too.
-fn drop_unregistered(node: &Node) {
+/// Removes listed targets that a complete update does not contain: they were listed because of other nodes and have no
+/// registration.
+fn remove_unregistered(node: &Node) {
     let registered: HashSet<TargetId> = node.replica.borrow().ids().cloned().collect();
     let missing = node.targets.borrow().missing_from(&registered);
     remove_gone(node, &missing);
@@ -171,7 +174,7 @@
     ));
 }
 
-/// Removes targets when their grace periods are over.
+/// Removes targets when their grace periods end.
 pub async fn drop_expired_targets(node: Rc<Node>) {
     loop {
         let next = node.targets.borrow().next_grace_end();
@@ -186,8 +189,8 @@
             }
         }
         let now = node.now();
-        let over = node.targets.borrow().expired(now);
-        for id in &over {
+        let expired = node.targets.borrow().expired(now);
+        for id in &expired {
             node.log(&format!("\"event\":\"target-dropped\",\"target\":{id:?}"));
         }
         if node.targets.borrow_mut().drop_expired(now) {
@@ -196,12 +199,12 @@
     }
 }
 
-/// Lets the gate, the balance and the node's place among the others follow the list of targets.
+/// Updates the gate, the load balancer and the node's place in the feed tree after the list of targets has changed.
 pub fn on_targets_changed(node: &Rc<Node>) {
     let targets = node.targets.borrow();
     node.balance.borrow_mut().retain(|id| targets.get(id).is_some());
     let configuration = node.current_configuration();
-    // An entry that names an unknown service may have come from anyone.
+    // An entry that names an unknown service may have been written by anyone.
     let is_known = |service: &str| configuration.as_ref().is_none_or(|current| current.services.contains_key(service));
     feed::update_place(node, targets.iter().filter(|target| is_known(&target.registration.service)));
     drop(targets);
--- a/crates/sidecar/src/store/client.rs
+++ b/crates/sidecar/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Single calls of the platform's store.
+//! Single calls to the platform's store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,28 +17,29 @@
 use crate::node::Node;
 use crate::pool::ExchangeError;
 
-/// Why the store could not be read.
+/// Why a call to the store has failed.
 #[derive(Debug, Display)]
 pub(super) enum StoreError {
-    /// There was no whole answer.
+    /// The request failed, or the response ended early.
     #[display("{_0}")]
     Exchange(ExchangeError),
-    /// There was no answer in time.
+    /// The call timed out.
     #[display("no answer in time")]
     TimedOut,
-    /// The store refused the call.
+    /// The store responded with an error status.
     #[display("status {_0}")]
     Status(StatusCode),
-    /// The answer can't be understood.
+    /// The response can't be parsed.
     #[display("{_0}")]
     Answer(AnswerError),
-    /// The store has come back from an older copy, or the answer is from before it did.
-    #[display("the answer is of another era")]
+    /// The store was restored from a backup, or the response is from before the restore.
+    #[display("the response is from another era of the store")]
     OtherEra,
 }
 
 impl StoreError {
-    /// Whether the same call may succeed later. Else the changes asked for are not to be had, and everything is read anew.
+    /// Whether the same call may succeed later. Otherwise the requested changes are unavailable, and everything must be
+    /// listed again.
     pub(super) fn is_outage(&self) -> bool {
         match self {
             StoreError::Exchange(_) | StoreError::TimedOut => true,
@@ -48,25 +49,25 @@
     }
 }
 
-/// An answer of the store.
+/// A response of the store.
 pub(super) struct StoreAnswer {
-    /// The era in which it was given; zero if it is not told.
+    /// The era of the store in which it was sent; zero if the response names none.
     pub era: u64,
-    /// What it holds.
+    /// Its content.
     pub page: Page,
 }
 
-/// Asks the store for `path` and reads its answer with `read`.
+/// Requests `path` from the store and parses the response with `read`.
 pub(super) async fn get(
     node: &Rc<Node>,
     path: &str,
-    longest: Duration,
+    limit: Duration,
     read: impl Fn(&[u8]) -> Result<Page, AnswerError>,
 ) -> Result<StoreAnswer, StoreError> {
     Counters::add(&node.counters.store_requests);
     let address = node.settings.store;
     let request = Request::get(path).header(HOST, address.to_string()).body(Body::empty());
-    let request = request.expect("the path and the host are made of plain characters");
+    let request = request.expect("the path and the host are valid in a request");
     let exchange = async {
         let (response, lease) = node.store.exchange(address, request).await.map_err(StoreError::Exchange)?;
         let status = response.status();
@@ -80,5 +81,5 @@
         let page = read(&bytes).map_err(StoreError::Answer)?;
         Ok(StoreAnswer { era, page })
     };
-    timeout(longest, exchange).await.unwrap_or(Err(StoreError::TimedOut))
+    timeout(limit, exchange).await.unwrap_or(Err(StoreError::TimedOut))
 }
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -1,7 +1,8 @@
-//! Reads the platform's store where it is this node's part to do so: everything once, then the changes, and on where it stood after an
-//! outage.
+//! Reads the platform's store when it is this node's turn: lists everything once, then watches for changes, and resumes
+//! at the last position after an outage.
 //!
-//! What is read when is decided by [`StoreReader`](quillhatch_mesh::store_reader::StoreReader), who reads by [`quillhatch_mesh::feed`].
+//! [`StoreReader`](quillhatch_mesh::store_reader::StoreReader) decides what is read next, [`quillhatch_mesh::feed`]
+//! which nodes read.
 
 mod access;
 mod apply;
@@ -32,17 +33,16 @@
 use client::{get, StoreAnswer, StoreError};
 use turn::{is_due, wait_for_turn};
 
-/// How long a plain read may take.
-const READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// What an answer may take beyond the time that the store was asked to wait: many times what it takes, also where links are
-/// slow.
-const WATCH_ALLOWANCE: Duration = Duration::from_millis(600);
-/// How long the store is asked to wait by a watch that is to show soon whether the store can be read: after an outage, and by a node that
-/// reads only now and then.
-const PROBING_WAIT: Duration = Duration::from_millis(200);
-/// How long the first watch may take to bring what a lagging copy lacked. If it says nothing for so long there is nothing: the
-/// store answers in some milliseconds.
-const CAUGHT_UP_AFTER: Duration = Duration::from_millis(150);
+/// The timeout of one page of a listing.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The timeout of a watch beyond its wait time: a large multiple of what the response takes, also on slow links.
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
+/// The wait time of a watch that is to show soon whether the store can be read: after an outage, and at a node that
+/// reads only occasionally.
+const PROBING_WATCH_WAIT: Duration = Duration::from_millis(200);
+/// How long the first watch may take to return the changes that a lagging replica of the store lacked. If it returns
+/// nothing within this time there are none, since the store responds within a few milliseconds.
+const CATCH_UP_TIME: Duration = Duration::from_millis(150);
 
 /// Reads the store, whenever it is this node's turn, until the process ends.
 pub async fn follow(node: Rc<Node>) {
@@ -50,7 +50,7 @@
         let turn = wait_for_turn(&node).await;
         let sent = node.now();
         let Err(error) = read_in_turn(&node, turn).await else { continue };
-        lost(&node, &error, sent);
+        record_failure(&node, &error, sent);
         if !error.is_outage() {
             node.store_reader.borrow_mut().history_lost();
         }
@@ -58,13 +58,13 @@
             continue;
         }
         let has_view = node.position().is_known();
-        let longest = node.store_reader.borrow_mut().failed(has_view, &node.settings.bounds);
-        let pause = node.random.borrow_mut().gen_range(longest / 2..longest);
+        let max_pause = node.store_reader.borrow_mut().failed(has_view, &node.settings.bounds);
+        let pause = node.random.borrow_mut().gen_range(max_pause / 2..max_pause);
         sleep(pause).await;
     }
 }
 
-/// Reads until the turn is over or a call fails.
+/// Reads the store until this node's turn ends or a call fails.
 async fn read_in_turn(node: &Rc<Node>, turn: ReadingTurn) -> Result<(), StoreError> {
     if turn == ReadingTurn::Start {
         node.lone_readings.set(node.lone_readings.get().another(node.now()));
@@ -79,7 +79,8 @@
     watch(node, turn).await
 }
 
-fn lost(node: &Rc<Node>, error: &StoreError, sent: Timestamp) {
+/// Records that a call of the store, sent at `sent`, has failed.
+fn record_failure(node: &Rc<Node>, error: &StoreError, sent: Timestamp) {
     Counters::add(&node.counters.store_failures);
     if error.is_outage() {
         let mut loss = node.feed.store_loss.get();
@@ -90,7 +91,7 @@
         node.feed.store_loss.set(loss);
         if !node.store_access_lost.replace(true) {
             node.log(&format!("\"event\":\"store-access\",\"lost\":true,\"why\":{:?}", error.to_string()));
-            // The list keeps the own target from now on, also if its registration has ended.
+            // From now on the list retains the local target even if its registration has expired.
             let own = node.settings.local_target.ip();
             let now = node.now();
             node.targets.borrow_mut().report_store_access(own, true, now);
@@ -101,15 +102,15 @@
     node.log(&format!("\"event\":\"store-lost\",\"why\":{:?}", error.to_string()));
 }
 
-/// The store has answered a call that was sent at `sent`.
-fn reached(node: &Rc<Node>, sent: Timestamp) {
+/// Records that the store has answered a call that was sent at `sent`.
+fn record_success(node: &Rc<Node>, sent: Timestamp) {
     node.store_reader.borrow_mut().reached();
     if node.store_access_lost.replace(false) {
         node.log("\"event\":\"store-access\",\"lost\":false");
     }
     node.must_probe_store.set(false);
     let mut loss = node.feed.store_loss.get();
-    // Until its first reading a process has no way to the store.
+    // Until the first read of the store the process has had no path to it.
     let lost_since = node.feed.store_read_at.get().map_or(Some(node.clock.started()), |_| loss.since());
     node.feed.record_store_read(sent);
     let outage_since = loss.store_read();
@@ -117,96 +118,99 @@
     on_path_regained(node, lost_since, outage_since);
 }
 
-/// Reads the configuration and all targets. From a lagging copy, the first page may do: it shows whom else to ask.
+/// Lists the configuration and all targets. With [`Freshness::MayLag`] the first page can be enough: it shows other
+/// nodes that can supply the rest.
 async fn read_all(node: &Rc<Node>, freshness: Freshness) -> Result<(), StoreError> {
     let sent = node.now();
     let mut changes: Vec<RevisedChange> = Vec::new();
     let mut position: Option<Position> = None;
     let mut after = String::new();
     loop {
-        let answer = get(node, &listing_path(&after, freshness), READ_TIMEOUT, read_page).await?;
+        let answer = get(node, &listing_path(&after, freshness), LIST_TIMEOUT, read_page).await?;
         let StoreAnswer { era, page } = answer;
-        // The pages are no snapshot: whatever changed after the least of their revisions may be missing in one of them.
-        let reaches = Position { era, revision: page.revision };
+        // The pages are not a snapshot: a change after the lowest of their revisions may be missing from one of them.
+        let page_position = Position { era, revision: page.revision };
         if position.is_some_and(|position| position.era != era) {
             return Err(StoreError::OtherEra);
         }
-        position = Some(position.map_or(reaches, |position| position.min(reaches)));
+        position = Some(position.map_or(page_position, |position| position.min(page_position)));
         changes.extend(page.changes);
         if !page.more {
             break;
         }
-        if freshness == Freshness::MayLag && after.is_empty() && others_tell_the_rest(node, &changes).await {
+        if freshness == Freshness::MayLag && after.is_empty() && peers_supply_rest(node, &changes).await {
             return Ok(());
         }
         after.clone_from(&page.last_key);
     }
     let position = position.unwrap_or_default();
     let update = Update { extent: Extent::Whole, position, changes };
-    let taken = apply_update(node, update);
+    let result = apply_update(node, update);
     if position.era < node.position().era {
         return Err(StoreError::OtherEra);
     }
-    if taken.is_err() {
-        // Others have told more meanwhile.
+    if result.is_err() {
+        // Another node has sent a later update meanwhile.
         node.log_failure(|| format!("\"event\":\"store-outrun\",\"revision\":{}", position.revision));
     }
     match freshness {
         Freshness::Current => {
-            reached(node, sent);
-            up_to_date(node, sent);
+            record_success(node, sent);
+            record_freshness(node, sent);
             node.targets_known.set(true);
         }
         Freshness::MayLag => {
-            tokio::task::spawn_local(caught_up(Rc::clone(node)));
+            tokio::task::spawn_local(accept_callers_after_catch_up(Rc::clone(node)));
         }
     }
     on_targets_changed(node);
     Ok(())
 }
 
-/// Whether other nodes, found among the targets of a first page, have told everything after a while. A node that reads the store by what the
-/// page shows does not wait for others.
-async fn others_tell_the_rest(node: &Rc<Node>, changes: &[RevisedChange]) -> bool {
-    let listed: Vec<_> = changes.iter().filter_map(|revised| hint(&revised.change)).collect();
+/// Whether other nodes, found among the targets of the first page, supply the full view within a while. A node that is
+/// itself a reader of the store according to that page does not wait for them.
+async fn peers_supply_rest(node: &Rc<Node>, changes: &[RevisedChange]) -> bool {
+    let listed: Vec<_> = changes.iter().filter_map(|revised| provisional_target(&revised.change)).collect();
     feed::update_place(node, listed.iter());
     if node.feed.place.borrow().reads || node.feed.place.borrow().candidates.is_empty() {
         return false;
     }
-    turn::others_answer(node).await
+    turn::wait_for_peers(node).await
 }
 
-/// A target as the first page shows it, to find nodes by.
-fn hint(change: &Change) -> Option<Arc<Target>> {
+/// A target from the first page, used only to find other nodes.
+fn provisional_target(change: &Change) -> Option<Arc<Target>> {
     let Change::Target(id, registration) = change else { return None };
     let (id, registration) = (id.clone(), registration.clone());
     Some(Arc::new(Target { id, registration, cold_until: Timestamp::ZERO, listed_at: Timestamp::ZERO }))
 }
 
-/// Lets callers in once the watch, or another node, has had the time to bring what a lagging copy lacked.
-async fn caught_up(node: Rc<Node>) {
-    sleep(CAUGHT_UP_AFTER).await;
+/// Accepts callers once the watch, or another node, has had the time to supply the changes that a lagging replica of
+/// the store lacked.
+async fn accept_callers_after_catch_up(node: Rc<Node>) {
+    sleep(CATCH_UP_TIME).await;
     node.targets_known.set(true);
     on_targets_changed(&node);
 }
 
-/// The store was read by a call that was sent at `sent`. A copy that it has come back from may lack a configuration that was acknowledged.
-fn up_to_date(node: &Node, sent: Timestamp) {
+/// Records that the configuration was the newest when the call was sent that read the store, unless the store was
+/// recently restored from a backup: the backup may lack a configuration that was acknowledged.
+fn record_freshness(node: &Node, sent: Timestamp) {
     if node.now() >= node.rewrite_deadline.get() {
         node.tenancy.record_store_read(sent);
     }
 }
 
-/// Follows the changes for as long as it is this node's turn.
+/// Watches the store for changes as long as it is this node's turn.
 async fn watch(node: &Rc<Node>, turn: ReadingTurn) -> Result<(), StoreError> {
     let mut is_probing = turn == ReadingTurn::Once || node.feed.store_loss.get().since().is_some();
     loop {
         let position = node.position();
-        let wait = if is_probing { PROBING_WAIT } else { watch_wait(&node.settings.bounds) };
+        let wait = if is_probing { PROBING_WATCH_WAIT } else { watch_wait(&node.settings.bounds) };
         let path = watch_path(position.revision, wait);
         let sent = node.now();
         let answer = tokio::select! {
-            answer = get(node, &path, wait + WATCH_ALLOWANCE, read_page) => answer?,
+            answer = get(node, &path, wait + WATCH_TIMEOUT_MARGIN, read_page) => answer?,
             () = node.clock.resumed() => {
                 node.log(&format!("\"event\":\"watch-renewed\",\"revision\":{},\"why\":\"woken\"", position.revision));
                 is_probing = true;
@@ -218,25 +222,26 @@
         if era != position.era {
             return Err(StoreError::OtherEra);
         }
-        let is_whole = page.changes.len() <= WHOLE_ANSWER;
+        let is_complete = page.changes.len() <= WHOLE_ANSWER;
         let has_changes = !page.changes.is_empty();
-        let reaches = Position { era, revision: page.revision };
-        reached(node, sent);
-        let update = Update { extent: Extent::After(position), position: reaches, changes: page.changes };
+        let page_position = Position { era, revision: page.revision };
+        record_success(node, sent);
+        let update = Update { extent: Extent::After(position), position: page_position, changes: page.changes };
         match apply_update(node, update) {
-            // Others may have told more meanwhile.
+            // Another node may have sent a later update meanwhile.
             Ok(()) | Err(UpdateError::Outdated) => {}
             Err(UpdateError::Gap) => return Err(StoreError::OtherEra),
         }
-        if is_whole {
-            up_to_date(node, sent);
+        if is_complete {
+            record_freshness(node, sent);
         }
         node.targets_known.set(true);
         if !is_due(node) {
             return Ok(());
         }
-        // Where one change is, more follow; each answer has its price. A change that comes while none was gathered is known at
-        // once, since the watch waits for it.
+        // A change is often followed by more, and each response of the store costs money. So the next watch starts
+        // after a pause that batches changes. A change that comes without others before it is received at once, since
+        // the watch is waiting for it.
         if has_changes && node.has(Mechanism::GatheredChanges) {
             sleep(node.settings.bounds.gather()).await;
         }
--- a/crates/sidecar/src/store/turn.rs
+++ b/crates/sidecar/src/store/turn.rs
@@ -1,4 +1,4 @@
-//! Waits until it is this node's turn to read the platform's store; decided in [`quillhatch_mesh::feed`].
+//! Waits until it is this node's turn to read the platform's store. [`quillhatch_mesh::feed`] decides on the turn.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 use crate::node::Node;
 
-/// How long a node that has just started waits for others to tell everything, before it reads all pages itself.
-const OTHERS_WITHIN: Duration = Duration::from_millis(1200);
+/// How long a node that has just started waits for the full view from other nodes before it reads all pages itself.
+const MAX_PEER_WAIT: Duration = Duration::from_millis(1200);
 
 /// Waits until it is this node's turn.
 pub(super) async fn wait_for_turn(node: &Rc<Node>) -> ReadingTurn {
     loop {
         let place_changed = node.feed.place_changed.notified();
-        let advanced = node.feed.view_changed.notified();
+        let view_changed = node.feed.view_changed.notified();
         let wait = match next_turn(node) {
             NextTurn::Now(turn) => return turn,
             NextTurn::After(wait) => wait,
@@ -26,7 +26,7 @@
         tokio::select! {
             () = sleep(wait) => {}
             () = place_changed => {}
-            () = advanced => {}
+            () = view_changed => {}
             () = node.clock.resumed() => {}
         }
     }
@@ -57,19 +57,19 @@
     inputs.next_turn(&node.settings.bounds, now)
 }
 
-/// Waits for other nodes to tell everything; says whether they have.
-pub(super) async fn others_answer(node: &Rc<Node>) -> bool {
-    let longest = node.random.borrow_mut().gen_range(OTHERS_WITHIN / 2..OTHERS_WITHIN);
+/// Waits for the full view from other nodes, and returns whether it has arrived.
+pub(super) async fn wait_for_peers(node: &Rc<Node>) -> bool {
+    let limit = node.random.borrow_mut().gen_range(MAX_PEER_WAIT / 2..MAX_PEER_WAIT);
     let known = async {
         loop {
-            let advanced = node.feed.view_changed.notified();
+            let view_changed = node.feed.view_changed.notified();
             if node.position().is_known() {
                 return;
             }
-            advanced.await;
+            view_changed.await;
         }
     };
-    // Over the time nobody has answered, and the position shows it.
-    let _ = timeout(longest, known).await;
+    // Whether the wait timed out shows in the position.
+    let _ = timeout(limit, known).await;
     node.position().is_known()
 }
