--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -1,6 +1,8 @@
-//! Reports on the limits of tenants between nodes, in datagrams; decided in `quillhatch_mesh::limits`.
+//! Exchanges usage reports for tenants' rate limits between nodes and their coordinator, in datagrams.
+//! `quillhatch_mesh::limits` makes the decisions.
 //!
-//! The answer to a report also tells how recent the coordinator's configuration is, so that nodes without traffic know it too.
+//! The answer to a report also contains a proof of how recent the coordinator's configuration is, so that nodes without
+//! traffic receive one too.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -22,43 +24,46 @@
 use crate::datagrams::{self, MAX_DATAGRAM_BYTES};
 use crate::node::Node;
 
-/// The most tenants that one report names; the busiest go first. So it stays well below the largest datagram.
-const MOST_REPORTED: usize = 1000;
-/// The reports whose answers are still taken.
-const MOST_AWAITED: usize = 4;
+/// The maximum number of tenants in one report, which keeps it well below the maximum datagram size. The busiest
+/// tenants have precedence.
+const MAX_REPORTED_TENANTS: usize = 1000;
+/// The maximum number of reports that await an answer; answers to older ones are ignored.
+const MAX_PENDING_REPORTS: usize = 4;
 
-/// Reports that were sent and not answered yet.
+/// Reports that were sent and are not answered yet.
 #[derive(Default)]
-struct Awaited {
-    /// To whom the last one was sent.
+struct PendingReports {
+    /// The machine to which the last report was sent.
     coordinator: Option<IpAddr>,
     last_sequence: u64,
     sent: VecDeque<(u64, Timestamp)>,
 }
 
-impl Awaited {
-    fn send(&mut self, coordinator: IpAddr, now: Timestamp) -> u64 {
+impl PendingReports {
+    /// Adds a report that is being sent to `coordinator`, and returns its sequence number.
+    fn add(&mut self, coordinator: IpAddr, now: Timestamp) -> u64 {
         self.coordinator = Some(coordinator);
         self.last_sequence += 1;
         self.sent.push_back((self.last_sequence, now));
-        if self.sent.len() > MOST_AWAITED {
+        if self.sent.len() > MAX_PENDING_REPORTS {
             self.sent.pop_front();
         }
         self.last_sequence
     }
 
-    /// When the report of this number was sent. It is answered once; those before it are no longer waited for.
-    fn answered(&mut self, sequence: u64) -> Option<Timestamp> {
-        let place = self.sent.iter().position(|(awaited, _)| *awaited == sequence)?;
-        let (_, sent) = self.sent[place];
-        self.sent.drain(..=place);
+    /// Removes the report with this sequence number and all earlier ones, and returns when it was sent. Returns `None`
+    /// if it is not pending.
+    fn remove(&mut self, sequence: u64) -> Option<Timestamp> {
+        let index = self.sent.iter().position(|(pending, _)| *pending == sequence)?;
+        let (_, sent) = self.sent[index];
+        self.sent.drain(..=index);
         Some(sent)
     }
 }
 
-/// Reports to the coordinator and answers the reports of others until the process ends.
+/// Sends reports to the coordinator and answers the reports of other nodes until the process ends.
 pub async fn exchange(node: Rc<Node>, socket: UdpSocket) {
-    let mut awaited = Awaited::default();
+    let mut pending = PendingReports::default();
     let mut choice = CoordinatorChoice::default();
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -69,25 +74,26 @@
         loop {
             let received = tokio::select! {
                 () = &mut next_report => break,
-                () = surge(&node, period) => {
-                    report_surges(&node, &socket, awaited.coordinator).await;
+                () = wait_for_surge(&node, period) => {
+                    report_surges(&node, &socket, pending.coordinator).await;
                     continue;
                 }
                 received = socket.recv_from(&mut buf) => received,
             };
-            // A machine without a node refuses datagrams, which the next call reports; its nodes report elsewhere meanwhile.
+            // A machine without a node refuses datagrams, and the next call on the socket returns that error. Reports
+            // then go to another coordinator.
             let Ok((length, from)) = received else { continue };
-            // Callers on the machines can't send from this port.
+            // Callers on the same machines can't send from this port.
             if Some(from.port()) == node.settings.limits.map(|own| own.port()) {
-                take(&node, &socket, &buf[..length], from, &mut awaited, &mut choice).await;
+                handle_datagram(&node, &socket, &buf[..length], from, &mut pending, &mut choice).await;
             }
         }
-        report(&node, &socket, &mut awaited, &mut choice).await;
+        report(&node, &socket, &mut pending, &mut choice).await;
     }
 }
 
-/// Waits until a surge is to be reported.
-async fn surge(node: &Node, period: Duration) {
+/// Waits until a surge must be reported.
+async fn wait_for_surge(node: &Node, period: Duration) {
     loop {
         let due = node.tenancy.limits.borrow().surge_report_in(period, node.now());
         match due {
@@ -97,85 +103,86 @@
     }
 }
 
-/// Whether there is anything to agree on.
-fn is_needed(node: &Node) -> bool {
+/// Whether the configuration needs reports: it has limits to share, or a bound on revocation for which nodes need
+/// proofs.
+fn needs_reports(node: &Node) -> bool {
     let Some(configuration) = node.current_configuration() else { return false };
     let tenants = &configuration.tenants;
     let is_bounded = node.settings.bounds.revocation.is_some() && !tenants.is_empty();
     node.has(Mechanism::SharedLimits) && (is_bounded || tenants.has_limits())
 }
 
-async fn report(node: &Rc<Node>, socket: &UdpSocket, awaited: &mut Awaited, choice: &mut CoordinatorChoice) {
-    let machines = open_machines(node);
-    if !is_needed(node) {
+async fn report(node: &Rc<Node>, socket: &UdpSocket, pending: &mut PendingReports, choice: &mut CoordinatorChoice) {
+    let machines = serving_machines(node);
+    if !needs_reports(node) {
         return;
     }
     let now = node.now();
     let Some(coordinator) = choice.next(&candidates(machines), now) else { return };
-    let sequence = awaited.send(coordinator, now);
+    let sequence = pending.add(coordinator, now);
     let report = usage_report(node, sequence, now);
     send(node, socket, &wire::LimitMessage { report: Some(report), ..Default::default() }, coordinator).await;
 }
 
-/// Tells the coordinator of the last report of surges.
+/// Reports surges to the coordinator to which the last regular report was sent.
 async fn report_surges(node: &Rc<Node>, socket: &UdpSocket, coordinator: Option<IpAddr>) {
     let report = surge_report(node, node.now());
-    let Some(coordinator) = coordinator.filter(|_| is_needed(node)) else { return };
+    let Some(coordinator) = coordinator.filter(|_| needs_reports(node)) else { return };
     send(node, socket, &wire::LimitMessage { surge_report: Some(report), ..Default::default() }, coordinator).await;
 }
 
 fn usage_report(node: &Node, sequence: u64, now: Timestamp) -> wire::UsageReport {
     let mut usages = node.tenancy.limits.borrow_mut().report(now);
     usages.sort_unstable_by(|one, other| other.arriving.total_cmp(&one.arriving));
-    usages.truncate(MOST_REPORTED);
+    usages.truncate(MAX_REPORTED_TENANTS);
     wire::UsageReport { sequence, usages: usages.iter().map(encode_usage).collect() }
 }
 
 fn surge_report(node: &Node, now: Timestamp) -> wire::SurgeReport {
     let mut surges = node.tenancy.limits.borrow_mut().report_surges(now);
     surges.sort_unstable_by_key(|surge| Reverse(surge.calls));
-    surges.truncate(MOST_REPORTED);
+    surges.truncate(MAX_REPORTED_TENANTS);
     wire::SurgeReport { surges: surges.iter().map(encode_surge).collect() }
 }
 
-/// The machines whose targets are not leaving.
-fn open_machines(node: &Node) -> Vec<IpAddr> {
+/// The machines whose targets are not draining.
+fn serving_machines(node: &Node) -> Vec<IpAddr> {
     let targets = node.targets.borrow();
-    let open = targets.iter().filter(|target| !target.registration.draining);
-    open.map(|target| target.registration.address.ip()).collect()
+    let serving = targets.iter().filter(|target| !target.registration.draining);
+    serving.map(|target| target.registration.address.ip()).collect()
 }
 
 async fn send(node: &Node, socket: &UdpSocket, message: &wire::LimitMessage, to: IpAddr) {
     let Some(own) = node.settings.limits else { return };
-    // Lost ones are made up for by the next.
+    // A lost message needs no retransmission: the next one replaces it.
     datagrams::send(node, socket, &encode(message), SocketAddr::new(to, own.port())).await;
 }
 
-async fn take(
+async fn handle_datagram(
     node: &Rc<Node>,
     socket: &UdpSocket,
     bytes: &[u8],
     from: SocketAddr,
-    awaited: &mut Awaited,
+    pending: &mut PendingReports,
     choice: &mut CoordinatorChoice,
 ) {
     let arrived = node.now();
     let Some(message) = datagrams::read::<wire::LimitMessage>(node, bytes, from) else { return };
     if let Some(report) = message.report {
-        let shares = take_usages(node, &report, from.ip(), arrived);
+        let shares = record_usages(node, &report, from.ip(), arrived);
         send(node, socket, &answer(node, report.sequence, &shares, arrived), from.ip()).await;
-        update(node, socket, &shares, None, arrived).await;
+        send_shares(node, socket, &shares, None, arrived).await;
     }
     if let Some(report) = message.surge_report {
-        let shares = take_surges(node, &report, arrived);
-        update(node, socket, &shares, Some(from.ip()), arrived).await;
+        let shares = record_surges(node, &report, arrived);
+        send_shares(node, socket, &shares, Some(from.ip()), arrived).await;
     }
-    if let Some(update) = message.update.filter(|_| awaited.coordinator == Some(from.ip())) {
+    if let Some(update) = message.update.filter(|_| pending.coordinator == Some(from.ip())) {
         let shares: Vec<TenantShare> = update.shares.iter().filter_map(decode_share).collect();
         node.tenancy.limits.borrow_mut().answered(&shares, arrived);
     }
     let Some(answer) = message.answer else { return };
-    let Some(sent) = awaited.answered(answer.sequence) else { return };
+    let Some(sent) = pending.remove(answer.sequence) else { return };
     choice.answered();
     if !answer.settling {
         let shares: Vec<TenantShare> = answer.shares.iter().filter_map(decode_share).collect();
@@ -187,8 +194,8 @@
     }
 }
 
-/// Takes a report of usage as the coordinator; the shares that hold now.
-fn take_usages(node: &Node, report: &wire::UsageReport, from: IpAddr, arrived: Timestamp) -> Vec<TenantShare> {
+/// Records a usage report as the coordinator, and returns the current shares.
+fn record_usages(node: &Node, report: &wire::UsageReport, from: IpAddr, arrived: Timestamp) -> Vec<TenantShare> {
     let configuration = node.current_configuration();
     let limit_of = |tenant: &str| configuration.as_ref()?.tenants.get(tenant)?.limit;
     let machines = node.tenancy.machine_count.get();
@@ -197,8 +204,8 @@
     node.tenancy.coordinator.borrow_mut().take(from, usages, limit_of, fleet, arrived)
 }
 
-/// Takes a report of surges as the coordinator; the shares that hold now.
-fn take_surges(node: &Node, report: &wire::SurgeReport, arrived: Timestamp) -> Vec<TenantShare> {
+/// Records a surge report as the coordinator, and returns the current shares.
+fn record_surges(node: &Node, report: &wire::SurgeReport, arrived: Timestamp) -> Vec<TenantShare> {
     let configuration = node.current_configuration();
     let limit_of = |tenant: &str| configuration.as_ref()?.tenants.get(tenant)?.limit;
     let surges: Vec<TenantSurge> = report.surges.iter().map(decode_surge).collect();
@@ -206,7 +213,7 @@
     node.tenancy.coordinator.borrow_mut().take_surges(&surges, limit_of, period, arrived)
 }
 
-/// The answer to a report of usage.
+/// The answer to a usage report.
 fn answer(node: &Node, sequence: u64, shares: &[TenantShare], arrived: Timestamp) -> wire::LimitMessage {
     let period = report_period(node.tenancy.machine_count.get());
     let settling = !node.tenancy.coordinator.borrow().is_settled(period, arrived);
@@ -221,20 +228,27 @@
     wire::LimitMessage { answer: Some(answer), ..Default::default() }
 }
 
-/// Tells the shares to the node that has reported a surge, and to all nodes if these must know before they report again.
-async fn update(node: &Node, socket: &UdpSocket, shares: &[TenantShare], reporter: Option<IpAddr>, now: Timestamp) {
+/// Sends the shares to the node that has reported a surge, and to all nodes if a share has fallen so steeply that they
+/// need it before their next reports.
+async fn send_shares(
+    node: &Node,
+    socket: &UdpSocket,
+    shares: &[TenantShare],
+    reporter: Option<IpAddr>,
+    now: Timestamp,
+) {
     let period = report_period(node.tenancy.machine_count.get());
-    let (is_settled, at_once) = {
+    let (is_settled, recipients) = {
         let mut coordinator = node.tenancy.coordinator.borrow_mut();
         (coordinator.is_settled(period, now), coordinator.tell_at_once(period, now))
     };
-    if !at_once.is_empty() {
-        node.log_failure(|| format!("\"event\":\"shares-fall\",\"told\":{}", at_once.len()));
+    if !recipients.is_empty() {
+        node.log_failure(|| format!("\"event\":\"shares-fall\",\"told\":{}", recipients.len()));
     }
-    let reporter = reporter.filter(|reporter| is_settled && !at_once.contains(reporter));
+    let reporter = reporter.filter(|reporter| is_settled && !recipients.contains(reporter));
     let update = wire::SharesUpdate { shares: shares.iter().map(encode_share).collect() };
     let message = wire::LimitMessage { update: Some(update), ..Default::default() };
-    for to in at_once.into_iter().chain(reporter) {
+    for to in recipients.into_iter().chain(reporter) {
         send(node, socket, &message, to).await;
     }
 }
@@ -247,10 +261,10 @@
     }
 }
 
-/// A usage whose rates are no rates is passed over.
+/// Decodes a usage; `None` if a rate is negative or not finite.
 fn decode_usage(usage: &wire::TenantUsage) -> Option<TenantUsage> {
-    let is_rate = |rate: f32| rate.is_finite() && rate >= 0.0;
-    (is_rate(usage.arriving) && is_rate(usage.admitted)).then(|| TenantUsage {
+    let is_valid = |rate: f32| rate.is_finite() && rate >= 0.0;
+    (is_valid(usage.arriving) && is_valid(usage.admitted)).then(|| TenantUsage {
         tenant: Arc::from(usage.tenant.as_str()),
         arriving: usage.arriving.into(),
         admitted: usage.admitted.into(),
@@ -269,8 +283,8 @@
     wire::TenantShare { tenant: share.tenant.to_string(), share: share.share as f32 }
 }
 
-/// A share that is none is passed over.
+/// Decodes a share; `None` if it is not finite.
 fn decode_share(share: &wire::TenantShare) -> Option<TenantShare> {
-    let is_share = share.share.is_finite();
-    is_share.then(|| TenantShare { tenant: Arc::from(share.tenant.as_str()), share: share.share.into() })
+    let is_valid = share.share.is_finite();
+    is_valid.then(|| TenantShare { tenant: Arc::from(share.tenant.as_str()), share: share.share.into() })
 }
--- a/crates/sidecar/src/quarantine/gates.rs
+++ b/crates/sidecar/src/quarantine/gates.rs
@@ -1,4 +1,4 @@
-//! The other gates of the service.
+//! The other gates of this node's service.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -8,40 +8,42 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// For how long a machine counts as one of the service after its target was listed last. A target that has crashed is listed again within
-/// seconds, and its gate must not miss the news meanwhile.
-const PEER_REMEMBERED_FOR: Duration = Duration::from_secs(60);
+/// How long a machine counts as a gate of the service after its target was last listed. A target that has crashed is
+/// listed again within seconds, and its gate must receive evidence in between.
+const UNLISTED_PEER_RETENTION: Duration = Duration::from_secs(60);
 
-/// The machines whose nodes stand before the other targets of the service.
+/// The machines of the other targets of the service, whose nodes are their gates.
 #[derive(Debug, Default)]
 pub(super) struct ServiceGates {
-    /// When each was listed last before a change of the list.
-    listed: HashMap<IpAddr, Timestamp>,
-    /// Those that are listed now.
-    present: Vec<IpAddr>,
+    /// When each machine was last listed, as of the last change of the list.
+    last_listed: HashMap<IpAddr, Timestamp>,
+    /// The machines that are listed now.
+    current: Vec<IpAddr>,
 }
 
 impl ServiceGates {
-    /// The list of targets has changed; `machines` are those of the service now.
+    /// Updates the machines after a change of the list of targets; `machines` are those of the service now.
     pub(super) fn update(&mut self, machines: impl Iterator<Item = IpAddr>, now: Timestamp) {
-        let former = std::mem::replace(&mut self.present, machines.collect());
-        for machine in former.iter().chain(&self.present) {
-            self.listed.insert(*machine, now);
+        let former = std::mem::replace(&mut self.current, machines.collect());
+        for machine in former.iter().chain(&self.current) {
+            self.last_listed.insert(*machine, now);
         }
-        let present = &self.present;
-        self.listed.retain(|machine, listed| present.contains(machine) || now.since(*listed) < PEER_REMEMBERED_FOR);
+        let current = &self.current;
+        self.last_listed.retain(|machine, last_listed| {
+            current.contains(machine) || now.since(*last_listed) < UNLISTED_PEER_RETENTION
+        });
     }
 
-    /// Whether none is known.
+    /// Whether no other gate is known.
     pub(super) fn is_empty(&self) -> bool {
-        self.listed.is_empty()
+        self.last_listed.is_empty()
     }
 
-    /// Some of them, at random.
-    pub(super) fn some(&self, random: &mut impl Rng, most: usize) -> Vec<IpAddr> {
-        let mut peers: Vec<IpAddr> = self.listed.keys().copied().collect();
+    /// A random sample of at most `limit` machines.
+    pub(super) fn sample(&self, random: &mut impl Rng, limit: usize) -> Vec<IpAddr> {
+        let mut peers: Vec<IpAddr> = self.last_listed.keys().copied().collect();
         peers.sort_unstable();
-        let (some, _) = peers.partial_shuffle(random, most);
-        some.to_vec()
+        let (sample, _) = peers.partial_shuffle(random, limit);
+        sample.to_vec()
     }
 }
--- a/crates/sidecar/src/quarantine/messages.rs
+++ b/crates/sidecar/src/quarantine/messages.rs
@@ -1,21 +1,21 @@
-//! Messages between gates, and what they carry.
+//! Encodes and decodes the messages between gates.
 
 use std::time::Duration;
 
 use quillhatch_mesh::quarantine::{EndId, SignatureKey, SuspectRecord};
 use quillhatch_messages::generated::quarantine as wire;
 
-/// A message of the gate of a target of `service`.
+/// A message from the gate of a target of `service`.
 pub(super) fn message(service: &str, suspects: &[SuspectRecord], cleared: &[SignatureKey]) -> wire::QuarantineMessage {
     wire::QuarantineMessage {
         service: service.to_owned(),
-        suspects: suspects.iter().map(write_record).collect(),
+        suspects: suspects.iter().map(encode_record).collect(),
         cleared: cleared.iter().map(|key| key.0).collect(),
         asks: false,
     }
 }
 
-fn write_record(record: &SuspectRecord) -> wire::SuspectRecord {
+fn encode_record(record: &SuspectRecord) -> wire::SuspectRecord {
     wire::SuspectRecord {
         key: record.key.0,
         ends: record.ends.iter().map(|end| end.0).collect(),
@@ -24,7 +24,7 @@
 }
 
 /// Decodes a record.
-pub(super) fn read_record(record: &wire::SuspectRecord) -> SuspectRecord {
+pub(super) fn decode_record(record: &wire::SuspectRecord) -> SuspectRecord {
     SuspectRecord {
         key: SignatureKey(record.key),
         ends: record.ends.iter().map(|end| EndId(*end)).collect(),
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
-//! Evidence against requests that crash targets, exchanged between the gates of a service in datagrams; decided in
-//! `quillhatch_mesh::quarantine`.
+//! Exchanges evidence against requests that crash targets between the gates of a service, in datagrams.
+//! `quillhatch_mesh::quarantine` makes the decisions.
 //!
-//! A crash is broadcast at once and once more, since datagrams are lost now and then. Evidence of more than one crash is gossiped to one random gate
-//! each second, so that parts of the fleet that were partitioned learn of it. A gate that starts, or wakes from a suspension, queries others.
-//! While no request is suspect nothing is sent.
+//! A crash is broadcast at once and once more, since datagrams are sometimes lost. Evidence of more than one crash is
+//! gossiped to one random gate each second, so that it reaches parts of the fleet that were partitioned. A gate that
+//! starts, or resumes after a suspension, queries others. While no request is suspect nothing is sent.
 
 mod gates;
 mod messages;
@@ -23,36 +23,38 @@
 
 use crate::datagrams::{self, MAX_DATAGRAM_BYTES};
 use crate::node::Node;
-use messages::{message, read_record};
+use messages::{decode_record, message};
 pub use outbox::Outbox;
 
-/// How long after the first time news is sent once more.
-const SENT_AGAIN_AFTER: Duration = Duration::from_millis(300);
-/// The most messages that wait to be sent once more; each belongs to an end of the one target beside this node, or to a request that was cleared.
-const MOST_SENT_AGAIN: usize = 32;
-/// How often evidence is gossiped: several times within the time in which a machine that was partitioned must keep all bounds again.
-const GOSSIP_PERIOD: Duration = Duration::from_secs(1);
-/// How often a gate that has started asks, until it is answered.
-const QUERY_PERIOD: Duration = Duration::from_millis(300);
-/// How many others it asks at a time.
-const QUERIED_AT_ONCE: usize = 3;
-/// The most gates that a broadcast reaches; the others learn by gossip.
-const MOST_BROADCAST: usize = 128;
+/// The delay after which a broadcast is repeated.
+const REBROADCAST_DELAY: Duration = Duration::from_millis(300);
+/// The maximum number of messages that wait for their second broadcast. Each belongs to a crash of the one local
+/// target, or to a request that was cleared.
+const MAX_PENDING_REBROADCASTS: usize = 32;
+/// The interval of gossip: a fraction of the time within which a machine that was partitioned must keep all bounds
+/// again.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which a gate that has started sends queries, until one is answered.
+const QUERY_INTERVAL: Duration = Duration::from_millis(300);
+/// The number of gates that receive each query.
+const QUERY_FANOUT: usize = 3;
+/// The maximum number of gates that receive a broadcast; the others receive the evidence by gossip.
+const MAX_BROADCAST_RECIPIENTS: usize = 128;
 
 /// Exchanges evidence with the other gates of the service until the process ends.
 pub async fn exchange(node: Rc<Node>, socket: UdpSocket) {
     let Some(port) = node.settings.quarantine.map(|own| own.port()) else { return };
-    let mut channel = Channel { node, socket, port, again: VecDeque::new(), next_round: Timestamp::ZERO };
+    let mut channel = Channel { node, socket, port, rebroadcasts: VecDeque::new(), next_round: Timestamp::ZERO };
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let pause = channel.pause();
         tokio::select! {
             received = channel.socket.recv_from(&mut buf) => {
-                // A machine without a node refuses datagrams, which the next call reports.
+                // A machine without a node refuses datagrams, and the next call on the socket returns that error.
                 let Ok((length, from)) = received else { continue };
-                channel.take(&buf[..length], from).await;
+                channel.handle_datagram(&buf[..length], from).await;
             }
-            () = channel.node.quarantine_outbox.filled.notified() => channel.broadcast_news().await,
+            () = channel.node.quarantine_outbox.filled.notified() => channel.broadcast().await,
             () = sleep_if_any(pause) => channel.send_due().await,
         }
     }
@@ -69,54 +71,54 @@
     node: Rc<Node>,
     socket: UdpSocket,
     port: u16,
-    /// News that is sent once more, and when.
-    again: VecDeque<(Timestamp, wire::QuarantineMessage)>,
-    /// When the next query, or the next round of gossip, is due.
+    /// Messages that are broadcast a second time, and when.
+    rebroadcasts: VecDeque<(Timestamp, wire::QuarantineMessage)>,
+    /// When the next query or the next gossip message is due.
     next_round: Timestamp,
 }
 
 impl Channel {
-    /// How long until something is due; `None` if nothing is.
+    /// The time until the next message is due; `None` if there is none.
     fn pause(&self) -> Option<Duration> {
         let now = self.node.now();
         let has_round = self.node.quarantine_outbox.has_queries() || self.node.quarantine.borrow().has_notable();
         let round = has_round.then_some(self.next_round);
-        let again = self.again.front().map(|(at, _)| *at);
-        round.into_iter().chain(again).min().map(|at| now.until(at))
+        let rebroadcast = self.rebroadcasts.front().map(|(at, _)| *at);
+        round.into_iter().chain(rebroadcast).min().map(|at| now.until(at))
     }
 
-    async fn broadcast_news(&mut self) {
-        let Some(message) = self.node.quarantine_outbox.take(&self.node.settings.service) else { return };
-        self.send_all(&message, &self.some_gates(MOST_BROADCAST)).await;
-        if self.again.len() < MOST_SENT_AGAIN {
-            self.again.push_back((self.node.now() + SENT_AGAIN_AFTER, message));
+    async fn broadcast(&mut self) {
+        let Some(message) = self.node.quarantine_outbox.take_broadcast(&self.node.settings.service) else { return };
+        self.send_all(&message, &self.sample_gates(MAX_BROADCAST_RECIPIENTS)).await;
+        if self.rebroadcasts.len() < MAX_PENDING_REBROADCASTS {
+            self.rebroadcasts.push_back((self.node.now() + REBROADCAST_DELAY, message));
         }
     }
 
     async fn send_due(&mut self) {
         let now = self.node.now();
-        while self.again.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, message)) = self.again.pop_front() else { break };
-            self.send_all(&message, &self.some_gates(MOST_BROADCAST)).await;
+        while self.rebroadcasts.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, message)) = self.rebroadcasts.pop_front() else { break };
+            self.send_all(&message, &self.sample_gates(MAX_BROADCAST_RECIPIENTS)).await;
         }
         if now < self.next_round {
             return;
         }
         if self.node.quarantine_outbox.take_query() {
-            self.next_round = now + QUERY_PERIOD;
-            let question = wire::QuarantineMessage { asks: true, ..message(&self.node.settings.service, &[], &[]) };
-            self.send_all(&question, &self.some_gates(QUERIED_AT_ONCE)).await;
+            self.next_round = now + QUERY_INTERVAL;
+            let query = wire::QuarantineMessage { asks: true, ..message(&self.node.settings.service, &[], &[]) };
+            self.send_all(&query, &self.sample_gates(QUERY_FANOUT)).await;
         } else {
-            self.next_round = now + GOSSIP_PERIOD;
+            self.next_round = now + GOSSIP_INTERVAL;
             self.gossip(now).await;
         }
     }
 
-    fn some_gates(&self, most: usize) -> Vec<IpAddr> {
-        self.node.quarantine_outbox.some_gates(&self.node, most)
+    fn sample_gates(&self, limit: usize) -> Vec<IpAddr> {
+        self.node.quarantine_outbox.sample_gates(&self.node, limit)
     }
 
-    /// Tells one other gate of the requests against which more than one end is held.
+    /// Sends one random gate the evidence against requests with more than one crash.
     async fn gossip(&self, now: Timestamp) {
         let records = {
             let mut quarantine = self.node.quarantine.borrow_mut();
@@ -127,7 +129,7 @@
             return;
         }
         let message = message(&self.node.settings.service, &records, &[]);
-        self.send_all(&message, &self.some_gates(1)).await;
+        self.send_all(&message, &self.sample_gates(1)).await;
     }
 
     async fn send_all(&self, message: &wire::QuarantineMessage, peers: &[IpAddr]) {
@@ -137,31 +139,31 @@
         }
     }
 
-    async fn take(&self, bytes: &[u8], from: SocketAddr) {
-        // Callers on the machines can't send from this port.
+    async fn handle_datagram(&self, bytes: &[u8], from: SocketAddr) {
+        // Callers on the same machines can't send from this port.
         if from.port() != self.port {
             return;
         }
         let node = &self.node;
         let Some(received) = datagrams::read::<wire::QuarantineMessage>(node, bytes, from) else { return };
-        // Addresses are used again by other services.
+        // The sender's address may have been reassigned to another service.
         if received.service != node.settings.service {
             return;
         }
         let now = node.now();
-        let records: Vec<SuspectRecord> = received.suspects.iter().map(read_record).collect();
+        let records: Vec<SuspectRecord> = received.suspects.iter().map(decode_record).collect();
         let cleared: Vec<SignatureKey> = received.cleared.iter().map(|key| SignatureKey(*key)).collect();
-        let harmless = {
+        let completed = {
             let mut quarantine = node.quarantine.borrow_mut();
             quarantine.cleared(&cleared, now);
             quarantine.merge(&records, now)
         };
         if !received.asks {
-            node.quarantine_outbox.answered();
+            node.quarantine_outbox.stop_queries();
         }
         let known = if received.asks { node.quarantine.borrow().all(now) } else { Vec::new() };
-        if received.asks || !harmless.is_empty() {
-            self.send_all(&message(&node.settings.service, &known, &harmless), &[from.ip()]).await;
+        if received.asks || !completed.is_empty() {
+            self.send_all(&message(&node.settings.service, &known, &completed), &[from.ip()]).await;
         }
     }
 }
--- a/crates/sidecar/src/quarantine/outbox.rs
+++ b/crates/sidecar/src/quarantine/outbox.rs
@@ -1,4 +1,4 @@
-//! Evidence that waits to be broadcast, and the gates that it goes to.
+//! The queue of evidence to broadcast, and the gates that receive it.
 
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -12,23 +12,23 @@
 use super::messages::message;
 use crate::node::Node;
 
-/// How often others are asked at most. Where none has answered by then, none is there.
-const MOST_QUERIES: u32 = 10;
+/// The maximum number of queries. If no gate has answered by then, there is none.
+const MAX_QUERIES: u32 = 10;
 
-/// What is to be sent to the other gates.
+/// The evidence and queries to be sent to the other gates.
 #[derive(Debug, Default)]
 pub struct Outbox {
     suspects: RefCell<Vec<SuspectRecord>>,
     cleared: RefCell<Vec<SignatureKey>>,
-    /// How often it is still asked what others know.
-    queries: Cell<u32>,
+    /// The number of queries for the evidence of other gates that may still be sent.
+    remaining_queries: Cell<u32>,
     gates: RefCell<ServiceGates>,
     /// Notified when there is something to send.
     pub(super) filled: Notify,
 }
 
 impl Outbox {
-    /// Broadcasts evidence against requests.
+    /// Queues evidence against requests for broadcast.
     pub fn queue_suspects(&self, records: Vec<SuspectRecord>) {
         if !records.is_empty() {
             self.suspects.borrow_mut().extend(records);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Broadcasts that these requests have completed here.
+    /// Queues the keys of requests that have completed here for broadcast, which clears them at the other gates.
     pub fn queue_cleared(&self, keys: Vec<SignatureKey>) {
         if !keys.is_empty() {
             self.cleared.borrow_mut().extend(keys);
@@ -44,45 +44,45 @@
         }
     }
 
-    /// The machines whose targets are listed for the service now, without this one.
+    /// Updates the other gates; `machines` are the machines of the service's listed targets, without this one.
     pub fn update_gates(&self, machines: impl Iterator<Item = IpAddr>, now: Timestamp) {
-        let knew_none = self.gates.borrow().is_empty();
+        let had_none = self.gates.borrow().is_empty();
         self.gates.borrow_mut().update(machines, now);
-        if knew_none && !self.gates.borrow().is_empty() {
+        if had_none && !self.gates.borrow().is_empty() {
             self.start_queries();
         }
     }
 
-    /// Some of the other gates, at random.
-    pub(super) fn some_gates(&self, node: &Node, most: usize) -> Vec<IpAddr> {
-        self.gates.borrow().some(&mut *node.random.borrow_mut(), most)
+    /// A random sample of at most `limit` other gates.
+    pub(super) fn sample_gates(&self, node: &Node, limit: usize) -> Vec<IpAddr> {
+        self.gates.borrow().sample(&mut *node.random.borrow_mut(), limit)
     }
 
-    /// Whether it is still asked what others know.
+    /// Whether queries are still to be sent.
     pub(super) fn has_queries(&self) -> bool {
-        self.queries.get() > 0
+        self.remaining_queries.get() > 0
     }
 
-    /// Evidence may have been missed: others are queried.
+    /// Starts to query other gates, after evidence may have been missed.
     pub fn start_queries(&self) {
-        self.queries.set(MOST_QUERIES);
+        self.remaining_queries.set(MAX_QUERIES);
         self.filled.notify_one();
     }
 
-    /// Another node has answered a query.
-    pub(super) fn answered(&self) {
-        self.queries.set(0);
+    /// Stops the queries after a gate has answered.
+    pub(super) fn stop_queries(&self) {
+        self.remaining_queries.set(0);
     }
 
-    /// Whether others are still to be asked; counts one question.
+    /// Counts one query; returns whether it is to be sent.
     pub(super) fn take_query(&self) -> bool {
-        let left = self.queries.get();
-        self.queries.set(left.saturating_sub(1));
-        left > 0
+        let remaining = self.remaining_queries.get();
+        self.remaining_queries.set(remaining.saturating_sub(1));
+        remaining > 0
     }
 
-    /// Takes out what is to be broadcast, if anything.
-    pub(super) fn take(&self, service: &str) -> Option<wire::QuarantineMessage> {
+    /// Removes everything that is queued for broadcast and returns it as one message, if there is anything.
+    pub(super) fn take_broadcast(&self, service: &str) -> Option<wire::QuarantineMessage> {
         let suspects = std::mem::take(&mut *self.suspects.borrow_mut());
         let cleared = std::mem::take(&mut *self.cleared.borrow_mut());
         (!suspects.is_empty() || !cleared.is_empty()).then(|| message(service, &suspects, &cleared))
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -79,7 +79,7 @@
     watch(node, turn).await
 }
 
-/// Records that a call of the store, sent at `sent`, has failed.
+/// Records that a call to the store, sent at `sent`, has failed.
 fn record_failure(node: &Rc<Node>, error: &StoreError, sent: Timestamp) {
     Counters::add(&node.counters.store_failures);
     if error.is_outage() {
