--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of a sidecar share: its view of the world, its decisions, its connections.
+//! The shared state of a sidecar: configuration, targets, decisions, connections, log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -41,22 +41,22 @@
 use crate::quarantine::Outbox;
 use crate::tenancy::Tenancy;
 
-/// The slots that a target is taken to have until its own number is known.
+/// The slots assumed for a target until its registration is known.
 const FALLBACK_SLOTS: u32 = 16;
-/// Log lines a second for calls that were not served as asked.
-const FAILURE_LINES: f64 = 40.0;
-/// Log lines a second for calls that went well.
-const SUCCESS_LINES: f64 = 1.0;
+/// The maximum rate of log lines about failures, per second.
+const MAX_FAILURE_LINES_PER_SECOND: f64 = 40.0;
+/// The maximum rate of log lines about successful calls, per second.
+const MAX_SUCCESS_LINES_PER_SECOND: f64 = 1.0;
 
-/// The answer that a waiting call gets: whether it may go to the target.
+/// The gate's decision on a waiting call: whether it is forwarded to the target.
 pub type Admitted = bool;
 
-/// How far the process is on its way to its end.
+/// The stage of the process in its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
-    /// It was asked to stop: it finishes what it has, and callers are led away.
+    /// It was asked to stop: it finishes the calls that it has, and directs callers to other nodes.
     Stopping,
 }
 
@@ -68,114 +68,117 @@
     pub configuration: RefCell<ConfigurationInForce>,
     /// The listed targets.
     pub targets: RefCell<TargetTable>,
-    /// The identity of the target beside this node, as the list or the target itself told last.
+    /// The identity of the local target, as last received from the list or from the target itself.
     pub local_target_id: RefCell<Option<TargetId>>,
-    /// The target beside this node that the list held last.
+    /// The local target that the list last contained.
     pub last_listed_target: RefCell<Option<TargetId>>,
-    /// Whether the target beside this node has told its identity since it was last out of reach.
+    /// Whether the local target has reported its identity since it was last unreachable.
     pub identity_verified: Cell<bool>,
-    /// When it last told it. What the list brought before that is not a reason to ask again.
+    /// When the local target last reported its identity. Only targets that are listed later are a reason to query it
+    /// again.
     pub identity_received_at: Cell<Timestamp>,
-    /// Held while the target is asked for its identity.
+    /// Held while the local target's identity is queried.
     pub identity_query_lock: tokio::sync::Mutex<()>,
-    /// What the target beside this node tells while it has no registration.
+    /// The state of the local target while it is retained without a registration.
     pub retained_target: KeptTargetState,
-    /// Whether the list of targets was read at least once.
+    /// Whether the list of targets was received at least once.
     pub targets_known: Cell<bool>,
-    /// What is known of other targets.
+    /// Load and latency of other targets, for load balancing.
     pub balance: RefCell<Balance>,
-    /// Where the calls of routes are cut.
+    /// The admission cuts of routes, as other nodes reported them.
     pub cuts: RefCell<RouteCuts>,
-    /// Which routes the calls of a route call.
+    /// Which routes are called by the calls of each route.
     pub call_graph: RefCell<CallGraph>,
-    /// The calls that run at this node's target.
+    /// The calls that run at the local target, as parents of the calls that it makes.
     pub parents: RefCell<Parents>,
-    /// From where the calls of this node's routes come.
+    /// The origins of the calls of each route.
     pub caller_shares: RefCell<CallerShares>,
-    /// The gate before this node's target.
+    /// The gate of the local target.
     pub gate: RefCell<Gate>,
-    /// What is asked of this node's target.
+    /// The load on the local target.
     pub capacity: RefCell<CapacityMeter>,
-    /// Whether this node's target gives good answers.
+    /// The share of successful responses of the local target.
     pub health: RefCell<AnswerHealth>,
-    /// The calls that this node's target works on, and those that broke off.
+    /// The calls that are running at the local target, and those that were aborted.
     pub run_tracker: RefCell<RunTracker>,
-    /// Whether it is being found out if the target has ended.
+    /// Whether a probe is running that shows whether the local target has crashed.
     pub is_probing_target: Cell<bool>,
-    /// What is known of requests that crash targets.
+    /// The evidence against requests that crash targets.
     pub quarantine: RefCell<Quarantine>,
-    /// Evidence for the other gates of the service.
+    /// Evidence to be sent to the other gates of the service.
     pub quarantine_outbox: Outbox,
-    /// Calls that wait at the gate.
+    /// The calls that wait at the gate.
     pub waiting_calls: RefCell<HashMap<Ticket, oneshot::Sender<Admitted>>>,
-    /// What is known of tenants.
+    /// The state of tenants.
     pub tenancy: Tenancy,
-    /// Repeats by service.
+    /// The retry budget of each service.
     pub retry_budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
     /// Connections to other nodes.
     pub peers: Rc<Pool>,
-    /// Connections to this node's target.
+    /// Connections to the local target.
     pub target: Rc<Pool>,
     /// Connections to the platform's store.
     pub store: Rc<Pool>,
-    /// How far the process is on its way to its end.
+    /// The stage of the process in its lifecycle.
     pub stage: Cell<Stage>,
-    /// Whether callers are refused since the process is about to end; calls of this node's target are still taken.
+    /// Whether calls of external callers are refused because the process is about to end. Calls of the local target are
+    /// still accepted.
     pub refuses_callers: Cell<bool>,
-    /// Calls that are being served at the edge.
+    /// The number of calls that are being served at the edge.
     pub edge_calls: Cell<usize>,
-    /// Those of them that callers have made, not this node's target.
+    /// The number of those that come from external callers, not from the local target.
     pub root_calls: Cell<usize>,
-    /// Random numbers.
+    /// The random number generator.
     pub random: RefCell<Pcg64>,
-    /// Counters.
+    /// The counters of the metrics page.
     pub counters: Counters,
-    /// Wakes whoever waits for the gate's next expiry to change.
+    /// Notified when the time of the gate's next expiry may have changed.
     pub gate_changed: Notify,
-    /// Wakes whoever removes targets whose grace period is over.
+    /// Notified when the end of a target's grace period may have changed.
     pub grace_changed: Notify,
-    /// What the platform's store holds, as far as this node knows.
+    /// This node's replica of the platform's store.
     pub replica: RefCell<Replica>,
-    /// This node's way to the store.
+    /// This node's state in the feed of changes.
     pub feed: FeedState,
-    /// What is read of the store next.
+    /// Decides what is read from the store next.
     pub store_reader: RefCell<StoreReader>,
-    /// Until when targets whose registrations ran out in the last outage of the store may be registered again.
+    /// Until when targets whose registrations expired in the last outage of the store may register again.
     pub reregistration_deadline: Cell<Timestamp>,
-    /// Until when what an older copy of the store lacks may be written again.
+    /// Until when data that is missing in a backup, from which the store was restored, may be written again.
     pub rewrite_deadline: Cell<Timestamp>,
-    /// Whether this machine's last call of the store has failed, as far as it makes any.
+    /// Whether this machine's last call to the store has failed, if it makes any.
     pub store_access_lost: Cell<bool>,
-    /// Whether the store must be asked once, since the own target's registration has ended.
+    /// Whether this node must read the store once: the local target's registration has ended, or the connection to the
+    /// store has changed.
     pub must_probe_store: Cell<bool>,
-    /// The readings of the store in which this node has found nobody.
+    /// The reads of the store in which this node found no other node.
     pub lone_readings: Cell<LoneReadings>,
-    /// A random number in 0..1, which spreads what nodes do by themselves.
+    /// A random number in 0..1 that is fixed for the process. It spreads the times at which nodes act independently.
     pub draw: f64,
-    /// What is known of the presence of other nodes.
+    /// The last liveness probe of each other node.
     pub probe_results: RefCell<HashMap<IpAddr, ProbeResult>>,
-    /// Held while another node is asked whether it is there.
+    /// Held while a node is probed.
     pub probe_locks: KeyedLock<IpAddr>,
     log_state: LogState,
     failure_lines: RefCell<LineRateLimit>,
     success_lines: RefCell<LineRateLimit>,
-    /// The clock of all decisions.
+    /// The clock that all decisions use.
     pub clock: Clock,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without any data yet.
     pub fn new(settings: SidecarSettings, log_state: LogState) -> Rc<Self> {
         Self::with_clock(settings, log_state, Clock::default())
     }
 
-    /// The same with a clock of the caller's.
+    /// Creates a node that uses the given clock.
     pub fn with_clock(settings: SidecarSettings, log_state: LogState, clock: Clock) -> Rc<Self> {
         let now = clock.now();
         let peers = PoolRules {
             connect_timeout: Duration::from_millis(600),
-            // The last one given back is used first, so that those that only a burst needed end soon: each holds a
-            // descriptor at both ends.
+            // The connection that was returned last is reused first, so that those that only a burst needed are closed
+            // soon: each holds a descriptor at both ends.
             keep: Duration::from_secs(3),
             unacknowledged: Duration::from_millis(1500),
             heeds_keep_alive: false,
@@ -188,7 +191,7 @@
             heeds_keep_alive: true,
             probe: None,
         };
-        // A watch says nothing for a long time, and a cut must be noticed before the entries of targets run out.
+        // A watch is idle for a long time, and a partition must be detected before the registrations of targets expire.
         let store = PoolRules {
             connect_timeout: Duration::from_secs(1),
             keep: Duration::from_secs(8),
@@ -244,8 +247,8 @@
             probe_locks: KeyedLock::default(),
             settings,
             log_state,
-            failure_lines: RefCell::new(LineRateLimit::new(FAILURE_LINES)),
-            success_lines: RefCell::new(LineRateLimit::new(SUCCESS_LINES)),
+            failure_lines: RefCell::new(LineRateLimit::new(MAX_FAILURE_LINES_PER_SECOND)),
+            success_lines: RefCell::new(LineRateLimit::new(MAX_SUCCESS_LINES_PER_SECOND)),
             clock,
         })
     }
@@ -255,8 +258,8 @@
         self.clock.now()
     }
 
-    /// Looks whether the machine was suspended. What is known then is old: the store is read, other nodes are asked, and whatever waits
-    /// for a moment looks again.
+    /// Detects whether the machine was suspended. The node's state is then out of date: the store is read, other nodes
+    /// are queried, and tasks that wait for a point in time recompute it.
     pub fn detect_suspension(&self) {
         let Some(suspended) = self.clock.detect_suspension() else { return };
         self.log(&format!("\"event\":\"woken\",\"suspended_ms\":{}", suspended.as_millis()));
@@ -265,12 +268,12 @@
         self.grace_changed.notify_one();
     }
 
-    /// How far the view of the platform's store reaches.
+    /// The position up to which this node knows the data of the platform's store.
     pub fn position(&self) -> Position {
         self.replica.borrow().position()
     }
 
-    /// Whether a mechanism is switched on.
+    /// Whether a mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         self.settings.mechanisms.has(mechanism)
     }
@@ -280,7 +283,7 @@
         self.configuration.borrow().current().cloned()
     }
 
-    /// Counts the machines anew after the list of targets has changed, and notes the other gates of the own service.
+    /// Updates the number of machines and the other gates of this node's service after the list of targets has changed.
     pub fn update_machines(&self) {
         let targets = self.targets.borrow();
         self.tenancy.machine_count.set(targets.machines().len());
@@ -289,7 +292,7 @@
         self.quarantine_outbox.update_gates(gates.filter(|gate| *gate != own), self.now());
     }
 
-    /// What this node's target can't serve of what arrives, if anything.
+    /// The part of the arriving load for which the local target has no capacity, if any.
     pub fn shortage(&self) -> Option<Shortage> {
         let priorities = self.current_configuration().map_or(1, |configuration| configuration.priorities());
         let load = self.gate.borrow().load();
@@ -297,17 +300,17 @@
         self.capacity.borrow_mut().shortage(load, priorities, |route| self.called_cut(route, now), now)
     }
 
-    /// Where the calls of a route are to be cut for want of slots at this node's target.
+    /// The cut for calls of a route where they enter, because the local target is out of capacity.
     pub fn own_cut(&self, route: &str) -> Cut {
         self.shortage().map_or(Cut::OPEN, |shortage| shortage.cut_of(route))
     }
 
-    /// The lowest cut of the routes that calls of `route` call.
+    /// The lowest cut among the routes that calls of `route` call.
     pub fn called_cut(&self, route: &str, now: Timestamp) -> Cut {
         self.cuts.borrow().lowest(self.call_graph.borrow().called_by(route), now)
     }
 
-    /// Whether the node can serve callers.
+    /// Whether the node is ready to serve callers.
     pub fn is_ready(&self) -> bool {
         self.stage.get() == Stage::Serving
             && self.targets_known.get()
@@ -323,14 +326,14 @@
         self.stage.get() == Stage::Stopping
     }
 
-    /// Spends one repeat towards a service, if the budget has it.
+    /// Takes one retry from the budget of a service, and returns whether the budget allowed it.
     pub fn try_retry(&self, service: &Arc<str>) -> bool {
         self.has(Mechanism::Repeats) && self.with_budget(service, RetryBudget::try_repeat)
     }
 
-    /// Counts a call of a service for the budget of repeats; one below a repeated call is a repeat itself.
-    pub fn count_call(&self, service: &Arc<str>, is_repeat: bool) {
-        self.with_budget(service, if is_repeat { RetryBudget::inherited } else { RetryBudget::call });
+    /// Counts a call to a service in its retry budget. A call made on behalf of a retried call counts as a retry too.
+    pub fn count_call(&self, service: &Arc<str>, is_retry: bool) {
+        self.with_budget(service, if is_retry { RetryBudget::inherited } else { RetryBudget::call });
     }
 
     fn with_budget<T>(&self, service: &Arc<str>, action: impl FnOnce(&mut RetryBudget, Timestamp) -> T) -> T {
@@ -344,14 +347,14 @@
         action(budget, now)
     }
 
-    /// Writes a line about a call that was not served as asked, if the rate allows.
+    /// Logs a failure, such as a call that was refused, if the rate limit allows it.
     pub fn log_failure(&self, line: impl FnOnce() -> String) {
         if self.failure_lines.borrow_mut().allows() {
             self.log(&line());
         }
     }
 
-    /// Writes a line about a call that went well, if the rate allows.
+    /// Logs a successful call, if the rate limit allows it.
     pub fn log_success(&self, line: impl FnOnce() -> String) {
         if self.success_lines.borrow_mut().allows() {
             self.log(&line());
@@ -363,9 +366,9 @@
         &self.log_state
     }
 
-    /// Writes a line: JSON fields without the braces.
+    /// Logs a line; `fields` are JSON fields without the braces.
     pub fn log(&self, fields: &str) {
-        let at = self.clock.elapsed().as_secs_f64();
-        log::info!("{{\"up_s\":{at:.3},\"node\":\"{}\",{fields}}}", self.settings.node);
+        let uptime = self.clock.elapsed().as_secs_f64();
+        log::info!("{{\"up_s\":{uptime:.3},\"node\":\"{}\",{fields}}}", self.settings.node);
     }
 }
