--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a sidecar, as text.
+//! Counters and the latency histogram of a sidecar, in the Prometheus text format.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,17 +22,17 @@
     edge: RefCell<BTreeMap<&'static str, u64>>,
     gate: RefCell<BTreeMap<&'static str, u64>>,
     latency: RefCell<Histogram>,
-    /// Calls that were sent to a second target.
-    pub repeats: Cell<u64>,
+    /// Retries of calls whose previous attempt a target may have received.
+    pub retries: Cell<u64>,
     /// Requests to the platform's store.
     pub store_requests: Cell<u64>,
-    /// Requests to the platform's store without a usable answer.
+    /// Requests to the platform's store without a usable response.
     pub store_failures: Cell<u64>,
 }
 
 impl Counters {
     /// Counts how a call ended at the edge, and how long it took.
-    pub fn edge_ended(&self, outcome: &'static str, took: Duration) {
+    pub fn count_edge_call(&self, outcome: &'static str, took: Duration) {
         *self.edge.borrow_mut().entry(outcome).or_default() += 1;
         let mut histogram = self.latency.borrow_mut();
         let seconds = took.as_secs_f64();
@@ -44,7 +44,7 @@
     }
 
     /// Counts how a call ended at the gate.
-    pub fn gate_ended(&self, outcome: &'static str) {
+    pub fn count_gate_call(&self, outcome: &'static str) {
         *self.gate.borrow_mut().entry(outcome).or_default() += 1;
     }
 
@@ -53,7 +53,7 @@
         counter.set(counter.get() + 1);
     }
 
-    /// The counters in the Prometheus text format, with `gauges` as they stand now.
+    /// Renders the counters and the current values of `gauges` in the Prometheus text format.
     pub fn render(&self, gauges: &[(&str, f64)], dropped_lines: u64) -> String {
         let mut text = String::new();
         for (name, counts) in [("edge", &self.edge), ("gate", &self.gate)] {
@@ -63,7 +63,7 @@
             }
         }
         let counters = [
-            ("repeats", self.repeats.get()),
+            ("repeats", self.retries.get()),
             ("store_requests", self.store_requests.get()),
             ("store_failures", self.store_failures.get()),
             ("log_lines_dropped", dropped_lines),
--- a/crates/sidecar/src/feed/answer.rs
+++ b/crates/sidecar/src/feed/answer.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::codec::{decode_position, encode_retained, encode_update};
-use crate::body::{read_up_to, Body, Read};
+use crate::body::{read_up_to, Body, ReadBody};
 use crate::local_target;
 use crate::node::Node;
 use crate::store_view::own_store_view;
@@ -45,11 +45,11 @@
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let retained = if query.wants_kept { unregistered(node) } else { Vec::new() };
-    Response::new(Body::Whole(encode_answer(node, from, arrived, retained)))
+    Response::new(Body::Buffered(encode_answer(node, from, arrived, retained)))
 }
 
 async fn read_query(body: Option<Incoming>) -> Option<wire::ReplicaQuestion> {
-    let Ok(Read::Whole(bytes)) = read_up_to(body?, MAX_QUERY_BYTES).await else { return None };
+    let Ok(ReadBody::Complete(bytes)) = read_up_to(body?, MAX_QUERY_BYTES).await else { return None };
     decode(&bytes).ok()
 }
 
@@ -96,7 +96,7 @@
     let now = node.now();
     let targets = node.targets.borrow();
     let local_id = node.local_target_id.borrow();
-    let local = local_id.as_ref().filter(|_| own_store_view(node).is_cut_off).and_then(|id| targets.get(id));
+    let local = local_id.as_ref().filter(|_| own_store_view(node).store_unreachable).and_then(|id| targets.get(id));
     let local = local.map(|target| (target, now + PARTITION_GRACE));
     let all = local
         .into_iter()
--- a/crates/sidecar/src/feed/query.rs
+++ b/crates/sidecar/src/feed/query.rs
@@ -118,7 +118,8 @@
         hold_ms: hold.as_millis() as u32,
         wants_kept: requested == Requested::Unregistered,
     };
-    let request = Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Whole(encode(&question).into()));
+    let request =
+        Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Buffered(encode(&question).into()));
     let request = request.expect("the path and the host are valid in a request");
     let address = SocketAddr::new(peer, node.settings.inbound.port());
     let exchange = async {
@@ -126,7 +127,7 @@
         let status = response.status();
         let body = response.into_body().collect().await;
         let bytes = body.map_err(|_| QueryError::Undecodable)?.to_bytes();
-        lease.keep();
+        lease.release();
         if status != StatusCode::OK {
             return Err(QueryError::Status(status));
         }
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -1,6 +1,6 @@
-//! The gate: takes calls of other nodes for this node's target, and hands over what the target can work on.
+//! The gate: accepts calls of other nodes for this node's target, and admits as many as the target has slots for.
 
-mod kept_target;
+mod retained_target;
 mod slots;
 mod suspects;
 mod target_end;
@@ -25,80 +25,81 @@
 use crate::body::{read_up_to, Body};
 use crate::feed::{self, FEED_PATH};
 use crate::headers::{remove_connection_headers, text};
-use crate::hop::{Forwarded, Outcome, Report, HOP};
+use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
 use crate::liveness::LIVENESS_PATH;
 use crate::local_target;
 use crate::node::Node;
 use crate::pool::{ExchangeError, SentFlag};
-use crate::relay::{relay_answer, relay_answer_holding};
+use crate::relay::{relay_response, relay_response_with_slot};
 use crate::store_view;
-pub use kept_target::{watch_kept_target, KeptTargetState};
+pub use retained_target::{watch_retained_target, RetainedTargetState};
 use slots::admit;
-pub use slots::{dismiss, hand_out, Slot};
-pub use target_end::{identified, target_restarted};
+pub use slots::{admit_waiting_calls, evict_waiting_calls, Slot};
+pub use target_end::{target_identified, target_restarted};
 
-/// The largest request that is read whole before it is handed over, in bytes.
-const KEPT_REQUEST_BYTES: usize = 64 * 1024;
-/// How long a target's own answer at the deadline is waited for.
+/// The maximum size of a request body that is buffered before it is forwarded, in bytes.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 64 * 1024;
+/// How long past the deadline the gate waits for a response that the target sends at the deadline.
 const DEADLINE_ALLOWANCE: Duration = Duration::from_millis(20);
-/// The least time left with which a call goes to the target.
-const SHORTEST_TIME: Duration = Duration::from_millis(3);
+/// The minimum time until the deadline with which a call is forwarded to the target.
+const MIN_FORWARD_TIME: Duration = Duration::from_millis(3);
 
-/// A call of another node.
+/// A call from another node.
 struct Call {
     id: Option<HeaderValue>,
+    /// The identity of the target that the call is meant for.
     expected: String,
     route: Option<Arc<str>>,
     arrived: Timestamp,
     deadline: Timestamp,
 }
 
-/// Serves one request of another node.
+/// Serves one request that arrived at the inbound address.
 pub async fn serve(node: Rc<Node>, parts: Parts, body: Option<Incoming>) -> Response<Body> {
-    if parts.uri.path() == FEED_PATH && !parts.headers.contains_key(HOP) {
+    if parts.uri.path() == FEED_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return feed::answer(&node, body).await;
     }
-    if parts.uri.path() == LIVENESS_PATH && !parts.headers.contains_key(HOP) {
+    if parts.uri.path() == LIVENESS_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return Response::new(Body::empty());
     }
     node.detect_suspension();
     let arrived = node.now();
     let headers = &parts.headers;
-    let forwarded = text(headers, HOP).and_then(Forwarded::decode);
-    let time = text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
-    let (Some(forwarded), Some(time)) = (forwarded, time) else {
+    let forwarded = text(headers, HOP_HEADER).and_then(HopContext::decode);
+    let timeout = text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
+    let (Some(forwarded), Some(timeout)) = (forwarded, timeout) else {
         let mut response = Response::new(Body::empty());
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    store_view::record_peer_view(&node, forwarded.machine, forwarded.reach);
+    store_view::record_peer_view(&node, forwarded.edge_ip, forwarded.store_view);
     let call = Call {
         id: headers.get(headers::REQUEST_ID).cloned(),
         expected: text(headers, headers::EXPECT_INSTANCE).unwrap_or_default().to_owned(),
         route: route_name(&node, &parts),
         arrived,
-        deadline: arrived + time,
+        deadline: arrived + timeout,
     };
     if let (Some(route), Some(caller)) = (&call.route, text(headers, headers::CALLER_SERVICE)) {
         node.caller_shares.borrow_mut().count(route, caller);
     }
-    let outcome = pass(&node, &call, &forwarded, parts, body).await;
-    note_health(&node, &outcome);
+    let outcome = admit_and_forward(&node, &call, &forwarded, parts, body).await;
+    record_health(&node, &outcome);
     match outcome {
         Ok(mut response) => {
-            node.counters.gate_ended("answered");
-            report(&node, &call, Outcome::Answered, &mut response);
+            node.counters.count_gate_call("answered");
+            attach_report(&node, &call, GateOutcome::Answered, &mut response);
             response
         }
         Err(Failure { outcome, why, retry_after }) => {
-            node.counters.gate_ended(outcome.name());
+            node.counters.count_gate_call(outcome.name());
             log_failure(&node, &call, outcome, &why, arrived);
             let mut response = Response::new(Body::empty());
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            if let Some(left) = retry_after {
-                response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(left.as_secs().max(1)));
+            if let Some(delay) = retry_after {
+                response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(delay.as_secs().max(1)));
             }
-            report(&node, &call, outcome, &mut response);
+            attach_report(&node, &call, outcome, &mut response);
             response
         }
     }
@@ -110,27 +111,28 @@
     find_route(&configuration, authority, parts.uri.path()).map(|route| route.name.clone())
 }
 
-fn outcome_of(refusal: Refusal) -> Outcome {
+fn outcome_of(refusal: Refusal) -> GateOutcome {
     match refusal {
-        Refusal::Full => Outcome::Full,
-        Refusal::Closed => Outcome::Closed,
+        Refusal::Full => GateOutcome::Full,
+        Refusal::Closed => GateOutcome::Closed,
     }
 }
 
-/// Counts whether the target gave a good answer. One that is late may be late for the calls that it made.
-fn note_health(node: &Node, outcome: &Result<Response<Body>, Failure>) {
+/// Records whether the target responded well. A target that exceeds the deadline is not counted, since the calls that
+/// it made may be the cause.
+fn record_health(node: &Node, outcome: &Result<Response<Body>, Failure>) {
     let now = node.now();
     let mut health = node.health.borrow_mut();
     match outcome {
         Ok(response) if response.status() == StatusCode::GATEWAY_TIMEOUT => {}
         Ok(response) if response.status().is_server_error() => health.error(now),
         Ok(_) => health.good(now),
-        Err(Failure { outcome: Outcome::Rejected | Outcome::Broken, .. }) => health.bad(now),
+        Err(Failure { outcome: GateOutcome::Rejected | GateOutcome::NoResponse, .. }) => health.bad(now),
         Err(_) => {}
     }
 }
 
-fn log_failure(node: &Node, call: &Call, outcome: Outcome, why: &str, arrived: Timestamp) {
+fn log_failure(node: &Node, call: &Call, outcome: GateOutcome, why: &str, arrived: Timestamp) {
     node.log_failure(|| {
         let load = node.gate.borrow().load();
         let id = call.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
@@ -141,12 +143,13 @@
     });
 }
 
-fn report(node: &Node, call: &Call, outcome: Outcome, response: &mut Response<Body>) {
+/// Sets the header with the gate's report in a response.
+fn attach_report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
     let cut = call.route.as_ref().map_or(Cut::OPEN, |route| node.own_cut(route).lower(node.called_cut(route, now)));
     let present = match outcome {
-        Outcome::Closed | Outcome::Rejected => {
+        GateOutcome::Closed | GateOutcome::Rejected => {
             local_target::available_target(node).filter(|present| present.id != call.expected)
         }
         _ => None,
@@ -158,22 +161,22 @@
     let health = node.health.borrow_mut().share(now);
     let (reach, proof) =
         (store_view::own_store_view(node), node.tenancy.peer_proof(&node.configuration.borrow(), call.arrived));
-    let report = Report { outcome, load, cut, health, called_by, reach, proof, present };
+    let report = HopReport { outcome, load, cut, health, called_by, store_view: reach, proof, local_target: present };
     if let Ok(value) = HeaderValue::from_str(&report.encode()) {
-        response.headers_mut().insert(HOP, value);
+        response.headers_mut().insert(HOP_HEADER, value);
     }
 }
 
-/// Why there is no answer of the target.
+/// Why the gate has no response of the target.
 struct Failure {
-    outcome: Outcome,
+    outcome: GateOutcome,
     why: String,
-    /// After how long the request may be tried again, if that is known.
+    /// When the request may be retried, if that is known.
     retry_after: Option<Duration>,
 }
 
 impl Failure {
-    fn new(outcome: Outcome, why: impl Into<String>) -> Self {
+    fn new(outcome: GateOutcome, why: impl Into<String>) -> Self {
         Failure { outcome, why: why.into(), retry_after: None }
     }
 }
@@ -184,80 +187,81 @@
     }
 }
 
-/// Reads the request, lets it in, and hands it to the target.
-async fn pass(
+/// Reads the request, waits for its admission, and forwards it to the target.
+async fn admit_and_forward(
     node: &Rc<Node>,
     call: &Call,
-    forwarded: &Forwarded,
+    forwarded: &HopContext,
     parts: Parts,
     body: Option<Incoming>,
 ) -> Result<Response<Body>, Failure> {
-    // Before the call takes a slot: whether it may run can depend on what it asks for.
+    // Read before the call takes a slot: the quarantine check needs the signature, which covers the body.
     let body = match body.filter(|body| !body.is_end_stream()) {
         None => Body::empty(),
-        Some(incoming) => match read_up_to(incoming, KEPT_REQUEST_BYTES).await {
+        Some(incoming) => match read_up_to(incoming, MAX_BUFFERED_REQUEST_BYTES).await {
             Ok(read) => read.into_body(),
-            Err(error) => return Err(Failure::new(Outcome::Closed, error.to_string())),
+            Err(error) => return Err(Failure::new(GateOutcome::Closed, error.to_string())),
         },
     };
     let signature = suspects::signature_of(&parts, &body);
-    suspects::check(node, &signature)?;
+    suspects::check_quarantine(node, &signature)?;
     let slot = admit(node, call, forwarded, call.arrived).await?;
-    // While it waited for a slot, targets may have ended under its like.
-    suspects::check(node, &signature)?;
-    run(node, call, parts, body, slot, Passing { lineage: forwarded.lineage.clone(), signature }).await
+    // While the call waited for a slot, requests with its signature may have crashed targets.
+    suspects::check_quarantine(node, &signature)?;
+    forward(node, call, parts, body, slot, RunRecord { lineage: forwarded.lineage.clone(), signature }).await
 }
 
-/// What is noted of a call while it is at the target.
-struct Passing {
+/// What is recorded of a call while it runs at the target.
+struct RunRecord {
     lineage: Lineage,
     signature: RequestSignature,
 }
 
-async fn run(
+/// Forwards an admitted call to the target and passes on its response.
+async fn forward(
     node: &Rc<Node>,
     call: &Call,
     mut parts: Parts,
     body: Body,
     mut slot: Slot,
-    passing: Passing,
+    record: RunRecord,
 ) -> Result<Response<Body>, Failure> {
-    let left = node.now().until(call.deadline);
-    if left < SHORTEST_TIME {
-        return Err(Failure::new(Outcome::Full, "no time left"));
+    let remaining = node.now().until(call.deadline);
+    if remaining < MIN_FORWARD_TIME {
+        return Err(Failure::new(GateOutcome::Full, "too little time until the deadline"));
     }
     remove_connection_headers(&mut parts.headers);
-    parts.headers.remove(HOP);
-    if let Ok(value) = HeaderValue::from_str(&left.as_millis().to_string()) {
+    parts.headers.remove(HOP_HEADER);
+    if let Ok(value) = HeaderValue::from_str(&remaining.as_millis().to_string()) {
         parts.headers.insert(headers::DEADLINE_MS, value);
     }
     let request = Request::from_parts(parts, body);
-    let told = Duration::from_millis(left.as_millis() as u64);
-    let Passing { lineage, signature } = passing;
-    slot.begin(node.now() + told, lineage, signature);
+    let target_timeout = Duration::from_millis(remaining.as_millis() as u64);
+    let RunRecord { lineage, signature } = record;
+    slot.start_run(node.now() + target_timeout, lineage, signature);
     let sent = SentFlag::default();
-    let exchange = node.target.exchange_noting(node.settings.local_target, request, &sent);
+    let exchange = node.target.exchange_tracking_sent(node.settings.local_target, request, &sent);
     let exchange = node.clock.timeout_at(call.deadline + DEADLINE_ALLOWANCE, exchange).await;
     let (response, lease) = match exchange {
-        // It still waited for a connection, so the target has not seen it.
+        // The call was still waiting for a connection, so the target has not received it.
         Err(_) if !sent.is_set() => {
             local_target::mark_unverified(node);
-            return Err(Failure::new(Outcome::Closed, "no connection in time"));
+            return Err(Failure::new(GateOutcome::Closed, "no connection in time"));
         }
-        Err(_) => return Err(Failure::new(Outcome::Late, "no answer in time")),
-        Ok(Err(error @ (ExchangeError::Refused | ExchangeError::NotSent(_)))) => {
+        Err(_) => return Err(Failure::new(GateOutcome::DeadlineExceeded, "no response before the deadline")),
+        Ok(Err(error @ (ExchangeError::ConnectionRefused | ExchangeError::NotSent(_)))) => {
             local_target::mark_unverified(node);
-            return Err(Failure::new(Outcome::Closed, error.to_string()));
+            return Err(Failure::new(GateOutcome::Closed, error.to_string()));
         }
-        Ok(Err(ExchangeError::NoAnswer(why))) => {
-            slot.lost();
-            return Err(Failure::new(Outcome::Broken, format!("{why}, signature {}", signature.narrow)));
+        Ok(Err(ExchangeError::NoResponse(why))) => {
+            slot.connection_lost();
+            return Err(Failure::new(GateOutcome::NoResponse, format!("{why}, signature {}", signature.narrow)));
         }
         Ok(Ok(answered)) => answered,
     };
-    let is_own = response.headers().get(headers::REQUEST_ID) == call.id.as_ref();
-    if !is_own {
-        return Err(Failure::new(Outcome::Broken, "an answer to another request"));
+    let is_of_this_call = response.headers().get(headers::REQUEST_ID) == call.id.as_ref();
+    if !is_of_this_call {
+        return Err(Failure::new(GateOutcome::NoResponse, "response to another request"));
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST || response.headers().contains_key(headers::REQUEST_NOT_RUN)
     {
@@ -265,17 +269,18 @@
         if let Some(id) = text(response.headers(), headers::INSTANCE_ID) {
             local_target::record_identity(node, id);
         }
-        let _ = relay_answer(response, lease).await;
-        return Err(Failure::new(Outcome::Rejected, format!("the target said {status}")));
+        let _ = relay_response(response, lease).await;
+        return Err(Failure::new(GateOutcome::Rejected, format!("target refused the call with status {status}")));
     }
     let is_signed = response.headers().contains_key(headers::SERVER_STAMP);
     if response.status().is_success() && (!is_signed || response.headers().contains_key(CONTENT_ENCODING)) {
-        return Err(Failure::new(Outcome::Broken, "an answer without the target's signature"));
+        return Err(Failure::new(GateOutcome::NoResponse, "response is encoded or has no server stamp"));
     }
-    let relayed =
-        node.clock.timeout_at(call.deadline + DEADLINE_ALLOWANCE, relay_answer_holding(response, lease, Some(slot)));
+    let relayed = node
+        .clock
+        .timeout_at(call.deadline + DEADLINE_ALLOWANCE, relay_response_with_slot(response, lease, Some(slot)));
     match relayed.await {
-        Ok(relayed) => relayed.map_err(|why| Failure::new(Outcome::Broken, why)),
-        Err(_) => Err(Failure::new(Outcome::Late, "the answer did not end in time")),
+        Ok(relayed) => relayed.map_err(|why| Failure::new(GateOutcome::NoResponse, why)),
+        Err(_) => Err(Failure::new(GateOutcome::DeadlineExceeded, "response did not end before the deadline")),
     }
 }
--- a/crates/sidecar/src/local_target.rs
+++ b/crates/sidecar/src/local_target.rs
@@ -17,7 +17,7 @@
 use crate::body::Body;
 use crate::gate;
 use crate::headers::text;
-use crate::hop::PresentTarget;
+use crate::hop::LocalTarget;
 use crate::node::Node;
 use crate::pool::ExchangeError;
 
@@ -25,11 +25,11 @@
 const IDENTITY_QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The local target, if its identity is known and it accepts calls.
-pub fn available_target(node: &Node) -> Option<PresentTarget> {
+pub fn available_target(node: &Node) -> Option<LocalTarget> {
     let id = node.local_target_id.borrow().clone()?;
     let is_draining = node.targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
     (!is_draining && !is_retained_and_draining(node, &id))
-        .then(|| PresentTarget { id: id.to_string(), service: node.settings.service.clone() })
+        .then(|| LocalTarget { id: id.to_string(), service: node.settings.service.clone() })
 }
 
 /// Whether the gate accepts calls addressed to the target with the identity `expected`.
@@ -107,14 +107,14 @@
     let exchange = async {
         let (response, lease) = match node.target.exchange(address, request).await {
             Ok(exchanged) => exchanged,
-            Err(ExchangeError::Refused) => return HealthResponse::no_response(Identity::Refused),
+            Err(ExchangeError::ConnectionRefused) => return HealthResponse::no_response(Identity::Refused),
             Err(_) => return HealthResponse::no_response(Identity::Unknown),
         };
         let id = text(response.headers(), headers::INSTANCE_ID).map(str::to_owned);
         let is_full = response.headers().contains_key(headers::REQUEST_NOT_RUN);
         let is_draining = response.status() == StatusCode::SERVICE_UNAVAILABLE && !is_full;
         if response.into_body().collect().await.is_ok() {
-            lease.keep();
+            lease.release();
         }
         HealthResponse { identity: id.map_or(Identity::Unknown, Identity::Known), is_draining }
     };
@@ -132,7 +132,7 @@
     node.identity_verified.set(true);
     node.identity_received_at.set(node.now());
     let former = node.local_target_id.borrow().clone();
-    gate::identified(node, id);
+    gate::target_identified(node, id);
     if former.as_deref() == Some(id) {
         return;
     }
@@ -178,7 +178,7 @@
 
 /// Whether the target `id` is the local one, is retained without a registration, and has reported that it is draining.
 pub fn is_retained_and_draining(node: &Node, id: &TargetId) -> bool {
-    node.retained_target.leaving.borrow().as_ref() == Some(id) && node.targets.borrow().grace_period(id).is_some()
+    node.retained_target.draining.borrow().as_ref() == Some(id) && node.targets.borrow().grace_period(id).is_some()
 }
 
 /// Updates the local target, the gate's slots and whether the gate is open from the list of targets.
@@ -219,6 +219,6 @@
     } else {
         node.gate.borrow_mut().open();
     }
-    gate::dismiss(node);
-    gate::hand_out(node);
+    gate::evict_waiting_calls(node);
+    gate::admit_waiting_calls(node);
 }
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -33,11 +33,11 @@
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::feed::FeedState;
-use crate::gate::KeptTargetState;
+use crate::gate::RetainedTargetState;
 use crate::keyed_lock::KeyedLock;
 use crate::liveness::ProbeResult;
 use crate::logging::{LineRateLimit, LogState};
-use crate::pool::{Pool, PoolRules};
+use crate::pool::{Pool, PoolConfig};
 use crate::quarantine::Outbox;
 use crate::tenancy::Tenancy;
 
@@ -80,7 +80,7 @@
     /// Held while the local target's identity is queried.
     pub identity_query_lock: tokio::sync::Mutex<()>,
     /// The state of the local target while it is retained without a registration.
-    pub retained_target: KeptTargetState,
+    pub retained_target: RetainedTargetState,
     /// Whether the list of targets was received at least once.
     pub targets_known: Cell<bool>,
     /// Load and latency of other targets, for load balancing.
@@ -175,27 +175,27 @@
     /// Creates a node that uses the given clock.
     pub fn with_clock(settings: SidecarSettings, log_state: LogState, clock: Clock) -> Rc<Self> {
         let now = clock.now();
-        let peers = PoolRules {
+        let peers = PoolConfig {
             connect_timeout: Duration::from_millis(600),
             // The connection that was returned last is reused first, so that those that only a burst needed are closed
             // soon: each holds a descriptor at both ends.
-            keep: Duration::from_secs(3),
-            unacknowledged: Duration::from_millis(1500),
-            heeds_keep_alive: false,
-            probe: None,
+            idle_timeout: Duration::from_secs(3),
+            tcp_user_timeout: Duration::from_millis(1500),
+            honor_keep_alive_header: false,
+            keepalive_interval: None,
         };
-        let target = PoolRules {
+        let target = PoolConfig {
             connect_timeout: Duration::from_secs(1),
-            keep: Duration::from_secs(3),
-            unacknowledged: Duration::from_secs(5),
-            heeds_keep_alive: true,
-            probe: None,
+            idle_timeout: Duration::from_secs(3),
+            tcp_user_timeout: Duration::from_secs(5),
+            honor_keep_alive_header: true,
+            keepalive_interval: None,
         };
         // A watch is idle for a long time, and a partition must be detected before the registrations of targets expire.
-        let store = PoolRules {
+        let store = PoolConfig {
             connect_timeout: Duration::from_secs(1),
-            keep: Duration::from_secs(8),
-            probe: Some(Duration::from_secs(1)),
+            idle_timeout: Duration::from_secs(8),
+            keepalive_interval: Some(Duration::from_secs(1)),
             ..peers
         };
         Rc::new(Node {
@@ -206,7 +206,7 @@
             identity_verified: Cell::new(false),
             identity_received_at: Cell::new(now),
             identity_query_lock: tokio::sync::Mutex::default(),
-            retained_target: KeptTargetState::default(),
+            retained_target: RetainedTargetState::default(),
             targets_known: Cell::new(false),
             balance: RefCell::new(Balance::new(settings.mechanisms)),
             cuts: RefCell::default(),
--- a/crates/sidecar/src/stop.rs
+++ b/crates/sidecar/src/stop.rs
@@ -29,7 +29,7 @@
 impl Running {
     /// The connections of callers and of other nodes that are open.
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     /// Leads callers away, finishes what was begun, and ends. Returns the calls that are still unfinished, which the end of
@@ -38,7 +38,7 @@
         let node = &self.node;
         let begun = node.now();
         node.stage.set(Stage::Stopping);
-        self.leading_away.set(true);
+        self.draining.set(true);
         node.log("\"event\":\"stopping\"");
         let grace = node.settings.bounds.stop_grace.saturating_sub(GRACE_LEFT);
         sleep(LEAD_AWAY.min(grace)).await;
@@ -50,18 +50,18 @@
         node.refuses_callers.set(true);
         node.log("\"event\":\"gate-closed\"");
         node.gate.borrow_mut().close();
-        gate::dismiss(node);
+        gate::evict_waiting_calls(node);
         while node.now().since(begun) < grace && (node.edge_calls.get() > 0 || node.gate.borrow().load().running > 0) {
             sleep(STOP_CHECK).await;
         }
         // Nobody can connect any more; connections end after their current answer.
         self.accepting.iter().for_each(AbortHandle::abort);
-        let _ = self.end_connections.send(true);
-        while node.now().since(begun) < grace && self.open.get() > 0 {
+        let _ = self.close_connections.send(true);
+        while node.now().since(begun) < grace && self.open_connections.get() > 0 {
             sleep(STOP_CHECK).await;
         }
         sleep(LAST_ANSWERS).await;
-        let (calls, connections) = (node.edge_calls.get(), self.open.get());
+        let (calls, connections) = (node.edge_calls.get(), self.open_connections.get());
         node.log(&format!("\"event\":\"stopped\",\"edge_calls\":{calls},\"connections\":{connections}"));
         node.log_state().flush_without_delay();
         let written_until = node.now() + LAST_LINES;
--- a/crates/sidecar/src/store_view.rs
+++ b/crates/sidecar/src/store_view.rs
@@ -4,15 +4,16 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use crate::hop::Reach;
+use crate::hop::StoreView;
 use crate::node::Node;
 
 /// This node's view of the store.
-pub fn own_store_view(node: &Node) -> Reach {
+pub fn own_store_view(node: &Node) -> StoreView {
     let now = node.now();
     let own_reads_fail = node.store_access_lost.get();
-    let is_cut_off = own_reads_fail || !node.position().is_known() || node.feed.store_loss.get().is_partitioned(now);
-    Reach { position: node.position(), is_cut_off }
+    let store_unreachable =
+        own_reads_fail || !node.position().is_known() || node.feed.store_loss.get().is_partitioned(now);
+    StoreView { position: node.position(), store_unreachable }
 }
 
 /// Records the view that the node at `peer` reported.
@@ -20,7 +21,7 @@
 /// If the peer's position is later than this node's, this node's source may hang, so the feed is notified. A peer that
 /// is partitioned from the store and not listed may run beside a target whose registration has expired, so the feed
 /// queries it.
-pub fn record_peer_view(node: &Rc<Node>, peer: IpAddr, view: Reach) {
+pub fn record_peer_view(node: &Rc<Node>, peer: IpAddr, view: StoreView) {
     record_store_access(node, peer, view);
     if has_lost_store(view) && !node.targets.borrow().has_machine(peer) {
         node.feed.unlisted_peer.set(Some(peer));
@@ -35,12 +36,12 @@
 
 /// Whether a node has lost access to a store that it read before. A node that has just started also reports that it is
 /// partitioned, which says nothing about its machine.
-fn has_lost_store(view: Reach) -> bool {
-    view.is_cut_off && view.position.is_known()
+fn has_lost_store(view: StoreView) -> bool {
+    view.store_unreachable && view.position.is_known()
 }
 
 /// Records in the list of targets whether the machine of `peer` and this machine can read the store.
-fn record_store_access(node: &Rc<Node>, peer: IpAddr, view: Reach) {
+fn record_store_access(node: &Rc<Node>, peer: IpAddr, view: StoreView) {
     let now = node.now();
     let own = node.settings.local_target.ip();
     let mut targets = node.targets.borrow_mut();
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -308,7 +308,7 @@
         alpha.node().must_probe_store.set(true);
         alpha.node().feed.role_changed.notify_waiters();
         eventually("it knows that it is cut off", || {
-            quillhatch_sidecar::store_view::own_store_view(alpha.node()).is_cut_off
+            quillhatch_sidecar::store_view::own_store_view(alpha.node()).store_unreachable
         })
         .await;
         store.unlist(&alpha.target.id());
