--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -125,7 +125,7 @@
 ) -> Origin {
     let Some(given_time) = evidence.given_time.filter(|_| evidence.is_local(node)) else { return Origin::Caller };
     let origin = {
-        let graph = node.graph.borrow();
+        let graph = node.call_graph.borrow();
         let rate = |parent: &Arc<str>| graph.rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
@@ -135,10 +135,10 @@
         }
     };
     match &origin {
-        Origin::Parent(parent, _) => node.graph.borrow_mut().called(&route.name, [(parent, 1.0)], now),
+        Origin::Parent(parent, _) => node.call_graph.borrow_mut().called(&route.name, [(parent, 1.0)], now),
         Origin::Target(Some(likely)) => {
             let parents = likely.routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
-            node.graph.borrow_mut().called(&route.name, parents, now);
+            node.call_graph.borrow_mut().called(&route.name, parents, now);
         }
         Origin::Target(None) | Origin::Caller => {}
     }
--- a/crates/sidecar/src/gate/retained_target.rs
+++ b/crates/sidecar/src/gate/retained_target.rs
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
+use crate::local_target::{self, HealthResponse, Identity};
 use crate::node::Node;
-use crate::present_target::{self, HealthAnswer, Identity};
 
 /// The interval between health checks: several fit in the shortest bound on drains.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
@@ -30,26 +30,26 @@
 /// Polls the local target whenever it is retained without a registration. Does not return.
 pub async fn watch_retained_target(node: Rc<Node>) {
     loop {
-        if present_target::kept(&node).is_none() {
-            node.kept_target.registration_ended.notified().await;
+        if local_target::retained_target(&node).is_none() {
+            node.retained_target.registration_ended.notified().await;
             continue;
         }
-        let HealthAnswer { identity, is_leaving } = present_target::ask_health(&node).await;
+        let HealthResponse { identity, is_draining } = local_target::query_health(&node).await;
         if let Identity::Known(id) = identity {
-            present_target::learn(&node, &id);
-            record_health(&node, is_leaving);
+            local_target::record_identity(&node, &id);
+            record_health(&node, is_draining);
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Records whether the target is draining. A target that is healthy again receives calls again.
-fn record_health(node: &Rc<Node>, is_leaving: bool) {
-    let draining = present_target::kept(node).filter(|_| is_leaving);
-    if *node.kept_target.draining.borrow() == draining {
+fn record_health(node: &Rc<Node>, is_draining: bool) {
+    let draining = local_target::retained_target(node).filter(|_| is_draining);
+    if *node.retained_target.draining.borrow() == draining {
         return;
     }
-    node.log(&format!("\"event\":\"target-leaving\",\"leaving\":{is_leaving}"));
-    *node.kept_target.draining.borrow_mut() = draining;
-    present_target::follow_list(node);
+    node.log(&format!("\"event\":\"target-leaving\",\"leaving\":{is_draining}"));
+    *node.retained_target.draining.borrow_mut() = draining;
+    local_target::update_gate(node);
 }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -21,11 +21,14 @@
             node.tenancy.freshness.borrow().age(node.now()).map_or(-1.0, |age| age.as_secs_f64()),
         ),
         ("coordinated_nodes", node.tenancy.coordinator.borrow().node_count() as f64),
-        ("store_reader", f64::from(u8::from(node.feed.place.borrow().is_reader))),
+        ("store_reader", f64::from(u8::from(node.feed.role.borrow().is_reader))),
         ("store_era", node.position().era as f64),
         ("store_revision", node.position().revision as f64),
-        ("store_lost_seconds", node.feed.loss.get().since().map_or(0.0, |since| node.now().since(since).as_secs_f64())),
-        ("store_access_lost", f64::from(u8::from(node.own_access_lost.get()))),
+        (
+            "store_lost_seconds",
+            node.feed.store_loss.get().since().map_or(0.0, |since| node.now().since(since).as_secs_f64()),
+        ),
+        ("store_access_lost", f64::from(u8::from(node.store_access_lost.get()))),
         ("targets_kept", node.targets.borrow().retained().count() as f64),
         ("ready", f64::from(u8::from(node.is_ready()))),
     ];
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -215,7 +215,7 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         // A machine that accepts connections and never responds simulates a frozen one.
-        let frozen = support::machine();
+        let frozen = support::unused_address();
         let silent = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
         let taken = tokio::task::spawn_local(async move {
             let mut kept = Vec::new();
@@ -303,7 +303,7 @@
             assert_eq!(answer.status, 200);
         }
         let counted = || {
-            let repeats = |node: &Node| node.budgets.borrow().get("beta").map_or(0, |budget| budget.repeats());
+            let repeats = |node: &Node| node.retry_budgets.borrow().get("beta").map_or(0, |budget| budget.repeats());
             alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
