--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -21,11 +21,11 @@
 use crate::body::Body;
 use crate::headers::text;
 use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
+use crate::liveness;
 use crate::node::Node;
 use crate::pool::{ConnectionLease, ExchangeError, SentFlag};
-use crate::presence;
-use crate::reach;
 use crate::relay::relay_response;
+use crate::store_view;
 
 /// How long past the deadline the edge waits for a response that the target sends at the deadline.
 const DEADLINE_ALLOWANCE: Duration = Duration::from_millis(40);
@@ -105,7 +105,7 @@
         is_root: !call.is_nested,
         lineage: call.lineage.clone(),
         max_wait,
-        store_view: reach::own_reach(node),
+        store_view: store_view::own_store_view(node),
         edge_ip: node.settings.local_target.ip(),
     };
     let added = [
@@ -152,9 +152,9 @@
         node.cuts.borrow_mut().report(&call.route.name, report.cut, now);
     }
     node.parents.borrow_mut().report(&call.route.name, report.called_by);
-    reach::heard(node, target.registration.address.ip(), report.store_view);
+    store_view::record_peer_view(node, target.registration.address.ip(), report.store_view);
     if let Some(proof) = report.proof {
-        node.tenancy.heard(proof, &node.configuration.borrow(), started);
+        node.tenancy.record_peer_proof(proof, &node.configuration.borrow(), started);
     }
     let is_replaced = report.local_target.as_ref().is_some_and(|present| {
         let mut targets = node.targets.borrow_mut();
@@ -266,7 +266,7 @@
         tokio::select! {
             biased;
             result = &mut exchange => return result.into(),
-            is_alive = presence::is_there(node, target, started) => if !is_alive { return Exchanged::Unresponsive },
+            is_alive = liveness::is_live(node, target, started) => if !is_alive { return Exchanged::Unresponsive },
         }
         if may_abandon() {
             return Exchanged::Abandoned;
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -26,12 +26,12 @@
 use crate::feed::{self, FEED_PATH};
 use crate::headers::{remove_connection_headers, text};
 use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
+use crate::liveness::LIVENESS_PATH;
+use crate::local_target;
 use crate::node::Node;
 use crate::pool::{ExchangeError, SentFlag};
-use crate::presence::PRESENCE_PATH;
-use crate::present_target;
-use crate::reach;
 use crate::relay::{relay_response, relay_response_with_slot};
+use crate::store_view;
 pub use retained_target::{watch_retained_target, RetainedTargetState};
 use slots::admit;
 pub use slots::{admit_waiting_calls, evict_waiting_calls, Slot};
@@ -59,10 +59,10 @@
     if parts.uri.path() == FEED_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return feed::answer(&node, body).await;
     }
-    if parts.uri.path() == PRESENCE_PATH && !parts.headers.contains_key(HOP_HEADER) {
+    if parts.uri.path() == LIVENESS_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return Response::new(Body::empty());
     }
-    node.notice_suspension();
+    node.detect_suspension();
     let arrived = node.now();
     let headers = &parts.headers;
     let forwarded = text(headers, HOP_HEADER).and_then(HopContext::decode);
@@ -72,7 +72,7 @@
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    reach::heard(&node, forwarded.edge_ip, forwarded.store_view);
+    store_view::record_peer_view(&node, forwarded.edge_ip, forwarded.store_view);
     let call = Call {
         id: headers.get(headers::REQUEST_ID).cloned(),
         expected: text(headers, headers::EXPECT_INSTANCE).unwrap_or_default().to_owned(),
@@ -81,7 +81,7 @@
         deadline: arrived + timeout,
     };
     if let (Some(route), Some(caller)) = (&call.route, text(headers, headers::CALLER_SERVICE)) {
-        node.callers.borrow_mut().count(route, caller);
+        node.caller_shares.borrow_mut().count(route, caller);
     }
     let outcome = admit_and_forward(&node, &call, &forwarded, parts, body).await;
     record_health(&node, &outcome);
@@ -150,16 +150,17 @@
     let cut = call.route.as_ref().map_or(Cut::OPEN, |route| node.own_cut(route).lower(node.called_cut(route, now)));
     let present = match outcome {
         GateOutcome::Closed | GateOutcome::Rejected => {
-            present_target::present(node).filter(|present| present.id != call.expected)
+            local_target::available_target(node).filter(|present| present.id != call.expected)
         }
         _ => None,
     };
     let called_by = call.route.as_ref().map_or(CalledBy::Unknown, |route| {
         let targets = node.targets.borrow();
-        node.callers.borrow_mut().called_by(route, || targets.service_shares())
+        node.caller_shares.borrow_mut().called_by(route, || targets.service_shares())
     });
     let health = node.health.borrow_mut().share(now);
-    let (reach, proof) = (reach::own_reach(node), node.tenancy.proof(&node.configuration.borrow(), call.arrived));
+    let (reach, proof) =
+        (store_view::own_store_view(node), node.tenancy.peer_proof(&node.configuration.borrow(), call.arrived));
     let report = HopReport { outcome, load, cut, health, called_by, store_view: reach, proof, local_target: present };
     if let Ok(value) = HeaderValue::from_str(&report.encode()) {
         response.headers_mut().insert(HOP_HEADER, value);
@@ -244,12 +245,12 @@
     let (response, lease) = match exchange {
         // The call was still waiting for a connection, so the target has not received it.
         Err(_) if !sent.is_set() => {
-            present_target::out_of_reach(node);
+            local_target::mark_unverified(node);
             return Err(Failure::new(GateOutcome::Closed, "no connection in time"));
         }
         Err(_) => return Err(Failure::new(GateOutcome::DeadlineExceeded, "no response before the deadline")),
         Ok(Err(error @ (ExchangeError::ConnectionRefused | ExchangeError::NotSent(_)))) => {
-            present_target::out_of_reach(node);
+            local_target::mark_unverified(node);
             return Err(Failure::new(GateOutcome::Closed, error.to_string()));
         }
         Ok(Err(ExchangeError::NoResponse(why))) => {
@@ -266,7 +267,7 @@
     {
         let status = response.status();
         if let Some(id) = text(response.headers(), headers::INSTANCE_ID) {
-            present_target::learn(node, id);
+            local_target::record_identity(node, id);
         }
         let _ = relay_response(response, lease).await;
         return Err(Failure::new(GateOutcome::Rejected, format!("target refused the call with status {status}")));
--- a/crates/sidecar/src/gate/target_end.rs
+++ b/crates/sidecar/src/gate/target_end.rs
@@ -12,8 +12,8 @@
 use quillhatch_mesh::targets::TargetId;
 use tokio::time::sleep;
 
+use crate::local_target::{self, Identity};
 use crate::node::Node;
-use crate::present_target::{self, Identity};
 
 /// The delay after a lost connection before the other running calls are checked. All connections of a target that ends
 /// are lost at the same moment; this is some dozens of round trips on one machine.
@@ -29,29 +29,29 @@
 async fn probe_after_loss(node: Rc<Node>) {
     sleep(LOSS_SETTLE_TIME).await;
     node.is_probing_target.set(false);
-    if node.runs.borrow().has_survivors() {
-        node.runs.borrow_mut().target_lives();
+    if node.run_tracker.borrow().has_survivors() {
+        node.run_tracker.borrow_mut().target_lives();
     }
-    if !node.runs.borrow().has_lost() {
+    if !node.run_tracker.borrow().has_lost() {
         return;
     }
-    match present_target::ask(&node).await {
-        Identity::Known(id) => present_target::learn(&node, &id),
+    match local_target::query_identity(&node).await {
+        Identity::Known(id) => local_target::record_identity(&node, &id),
         Identity::Refused => {
-            present_target::out_of_reach(&node);
-            let end = node.runs.borrow_mut().target_ended();
+            local_target::mark_unverified(&node);
+            let end = node.run_tracker.borrow_mut().target_ended();
             if let Some(end) = end {
                 target_ended(&node, &end);
             }
         }
         // Undecided until the target's identity is known again.
-        Identity::Unknown => present_target::out_of_reach(&node),
+        Identity::Unknown => local_target::mark_unverified(&node),
     }
 }
 
 /// Handles a response of the local target that shows its identity.
 pub fn target_identified(node: &Rc<Node>, id: &str) {
-    let end = node.runs.borrow_mut().identified(id);
+    let end = node.run_tracker.borrow_mut().identified(id);
     if let Some(end) = end {
         target_ended(node, &end);
     }
@@ -60,7 +60,7 @@
 /// Handles a restart of the local target under the same identity `id`: the calls that lost their connections were
 /// running when it ended.
 pub fn target_restarted(node: &Rc<Node>, id: &TargetId) {
-    let end = node.runs.borrow_mut().restarted(id, node.now());
+    let end = node.run_tracker.borrow_mut().restarted(id, node.now());
     if let Some(end) = end {
         target_ended(node, &end);
     }
@@ -71,7 +71,7 @@
     log_end(node, end);
     if node.has(Mechanism::Quarantine) {
         let suspects = node.quarantine.borrow_mut().target_ended(end, node.now());
-        node.quarantine_outbox.suspect(suspects);
+        node.quarantine_outbox.queue_suspects(suspects);
     }
 }
 
@@ -84,7 +84,7 @@
     for key in &cleared {
         node.log(&format!("\"event\":\"request-cleared\",\"signature\":\"{key}\""));
     }
-    node.quarantine_outbox.clear(cleared);
+    node.quarantine_outbox.queue_cleared(cleared);
 }
 
 /// The maximum number of signatures in one log line.
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -24,7 +24,7 @@
 }
 
 fn reads(machine: &Machine) -> bool {
-    machine.node().feed.place.borrow().is_reader
+    machine.node().feed.role.borrow().is_reader
 }
 
 async fn calls_in_three_seconds(count: usize) -> usize {
@@ -68,7 +68,7 @@
         sleep(Duration::from_millis(100)).await;
         call(machines[0].outbound(), &read("shows-who-to-ask")).await;
         eventually("it has the view of the other", || restarted.node.position().is_known()).await;
-        let unread_for = restarted.node.feed.read_at.get().map(|read_at| restarted.node.now().since(read_at));
+        let unread_for = restarted.node.feed.store_read_at.get().map(|read_at| restarted.node.now().since(read_at));
         // A watch that waited when the store fell silent was answered at its end.
         let least = lost.elapsed() - BOUNDS.recovery / 2;
         assert!(unread_for >= Some(least), "{unread_for:?} of {least:?}");
@@ -277,7 +277,7 @@
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
         // Its address is that of a machine which does not answer.
-        let nowhere = support::machine();
+        let nowhere = support::unused_address();
         for number in 0..20 {
             let entry = format!(
                 r#"{{"service":"nobody","address":"{nowhere}:{}","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
@@ -289,7 +289,7 @@
         let beta = Machine::start(&store, "beta", 8).await;
         eventually("both know each other", || beta.node().targets.borrow().len() == 22).await;
         for machine in [&alpha, &beta] {
-            let place = machine.node().feed.place.borrow().clone();
+            let place = machine.node().feed.role.borrow().clone();
             assert!(place.candidates.iter().all(|candidate| candidate.machine != nowhere), "{place:?}");
         }
     });
@@ -306,9 +306,9 @@
         eventually("it is listed", || others[0].node().targets.borrow().len() == 5).await;
         cut.set_mode(Mode::Silent);
         alpha.node().must_probe_store.set(true);
-        alpha.node().feed.place_changed.notify_waiters();
+        alpha.node().feed.role_changed.notify_waiters();
         eventually("it knows that it is cut off", || {
-            quillhatch_sidecar::reach::own_reach(alpha.node()).store_unreachable
+            quillhatch_sidecar::store_view::own_store_view(alpha.node()).store_unreachable
         })
         .await;
         store.unlist(&alpha.target.id());
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -12,8 +12,8 @@
 use support::store::{Mode, StandInStore};
 use support::target::ChainedCall;
 use support::tenancy::{
-    document, get, read, strictly, two_machines, with_key, FREE_KEY, HOST, LIMITED_BURST, LIMITED_KEY, LIMITED_RATE,
-    REVOCATION,
+    document, get, read, two_machines, with_key, with_strict_revocation, FREE_KEY, HOST, LIMITED_BURST, LIMITED_KEY,
+    LIMITED_RATE, REVOCATION,
 };
 use support::{eventually, run, Machine};
 use test_case::test_case;
@@ -119,7 +119,7 @@
     run(async {
         let (_store, alpha, beta) = started().await;
         for machine in [&alpha, &beta] {
-            assert_eq!(machine.node().tenancy.machines.get(), 2);
+            assert_eq!(machine.node().tenancy.machine_count.get(), 2);
         }
     });
 }
@@ -129,7 +129,7 @@
     run(async {
         let (_store, alpha, beta) = started().await;
         eventually("a coordinator answers", || {
-            let machines = beta.node().tenancy.machines.get();
+            let machines = beta.node().tenancy.machine_count.get();
             let period = quillhatch_mesh::limits::report_period(machines);
             beta.node().tenancy.limits.borrow().has_coordinator(period, beta.node().now())
         })
@@ -201,7 +201,7 @@
 fn with_a_silent_store_keys_are_believed_for_a_part_of_the_bound_only() {
     run(async {
         let store = StandInStore::start().await;
-        let (alpha, beta) = two_machines(strictly, &store, &store).await;
+        let (alpha, beta) = two_machines(with_strict_revocation, &store, &store).await;
         assert_eq!(read(&beta, "one", FREE_KEY).await.status, 200);
         store.set_mode(Mode::Silent);
         let silent = Instant::now();
@@ -225,7 +225,7 @@
     run(async {
         let store = StandInStore::start().await;
         let store_of_beta = store.another_address().await;
-        let (alpha, beta) = two_machines(strictly, &store, &store_of_beta).await;
+        let (alpha, beta) = two_machines(with_strict_revocation, &store, &store_of_beta).await;
         store_of_beta.set_mode(Mode::Silent);
         let begun = Instant::now();
         while begun.elapsed() < REVOCATION * 2 {
