--- a/crates/mesh/benches/quarantine.rs
+++ b/crates/mesh/benches/quarantine.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use quillhatch_mesh::quarantine::{Quarantine, RequestParts, RequestSignature, RunTracker, TargetEnd};
+use quillhatch_mesh::quarantine::{Quarantine, RequestParts, RequestSignature, RunTracker, TargetCrash};
 use quillhatch_types::Timestamp;
 
 fn parts<'a>(path: &'a str, body: &'a [u8]) -> RequestParts<'a> {
@@ -29,8 +29,8 @@
         let body = vec![7; body];
         let (mut runs, mut quarantine) = (RunTracker::default(), Quarantine::new(0.5));
         let signatures = (0..suspects).map(|number| RequestSignature::of(&parts(&format!("/s/{number}"), &[])));
-        let end = TargetEnd { target: "i-1".into(), signatures: signatures.collect() };
-        quarantine.target_ended(&end, Timestamp::ZERO);
+        let end = TargetCrash { target: "i-1".into(), signatures: signatures.collect() };
+        quarantine.record_crash(&end, Timestamp::ZERO);
         let mut round = 0;
         criterion.bench_function(&format!("a call with {name}"), |bencher| {
             bencher.iter(|| {
@@ -40,7 +40,7 @@
                 let verdict = quarantine.verdict(&signature, now);
                 let run = runs.begin(signature, now);
                 let signature = runs.completed(run).expect("it runs");
-                (verdict, quarantine.completed(&signature, now).len())
+                (verdict, quarantine.record_completion(&signature, now).len())
             });
         });
     }
--- a/crates/mesh/src/cut.rs
+++ b/crates/mesh/src/admission_level.rs
@@ -13,43 +13,43 @@
 
 /// The least share of calls of any importance that is let in, so that none starves and a shortage that is over is noticed. Callers that
 /// are refused ask again, some of them several times, so a tenth was a third of what a scarce service could do.
-pub const LEAST_SHARE: f64 = 0.03;
+pub const MIN_ADMITTED_SHARE: f64 = 0.03;
 
 /// Where the order of importance is cut: zero lets in the least share of everything, one everything.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Cut(f64);
+pub struct AdmissionLevel(f64);
 
-impl Cut {
+impl AdmissionLevel {
     /// Everything is let in.
-    pub const OPEN: Cut = Cut(1.0);
+    pub const FULL: AdmissionLevel = AdmissionLevel(1.0);
 
     /// A cut after this share of the priorities.
-    pub fn after(share: f64) -> Self {
-        Cut(share.clamp(0.0, 1.0))
+    pub fn from_priority_share(share: f64) -> Self {
+        AdmissionLevel(share.clamp(0.0, 1.0))
     }
 
     /// The share of the priorities that is let in.
-    pub fn share(self) -> f64 {
+    pub fn priority_share(self) -> f64 {
         self.0
     }
 
     /// Whether everything is let in.
-    pub fn is_open(self) -> bool {
+    pub fn admits_all(self) -> bool {
         self.0 >= 1.0 - 1e-4
     }
 
     /// The lower one of two cuts.
-    pub fn lower(self, other: Cut) -> Cut {
-        Cut(self.0.min(other.0))
+    pub fn lower_of(self, other: AdmissionLevel) -> AdmissionLevel {
+        AdmissionLevel(self.0.min(other.0))
     }
 
     /// The share of the calls of `priority` that is let in, if `priorities` of them are in use.
     pub fn admitted_share(self, priority: u8, priorities: u32) -> f64 {
-        if self.is_open() {
+        if self.admits_all() {
             return 1.0;
         }
         let above = self.0 * f64::from(priorities) - f64::from(priority);
-        LEAST_SHARE + (1.0 - LEAST_SHARE) * above.clamp(0.0, 1.0)
+        MIN_ADMITTED_SHARE + (1.0 - MIN_ADMITTED_SHARE) * above.clamp(0.0, 1.0)
     }
 }
 
@@ -66,26 +66,26 @@
 
 /// The cuts of routes, as their targets' gates have reported them.
 #[derive(Clone, Debug, Default)]
-pub struct RouteCuts {
+pub struct RouteAdmissionLevels {
     cuts: HashMap<Arc<str>, (f64, Timestamp)>,
 }
 
-impl RouteCuts {
+impl RouteAdmissionLevels {
     /// Takes the cut that came with an answer to a call of `route`.
-    pub fn report(&mut self, route: &Arc<str>, cut: Cut, now: Timestamp) {
-        let current = self.cut(route, now).share();
+    pub fn record_report(&mut self, route: &Arc<str>, cut: AdmissionLevel, now: Timestamp) {
+        let current = self.level(route, now).priority_share();
         let gain = self.age(route, now).map_or(REPORT_GAIN, |age| {
             let replaced = 1.0 - (-age.as_secs_f64() / REPORT_TIME.as_secs_f64()).exp();
             replaced.max(REPORT_GAIN)
         });
-        self.cuts.insert(route.clone(), (current + gain * (cut.share() - current), now));
+        self.cuts.insert(route.clone(), (current + gain * (cut.priority_share() - current), now));
     }
 
     /// Where the calls of a route are cut.
-    pub fn cut(&self, route: &str, now: Timestamp) -> Cut {
-        let Some((share, reported)) = self.cuts.get(route) else { return Cut::OPEN };
+    pub fn level(&self, route: &str, now: Timestamp) -> AdmissionLevel {
+        let Some((share, reported)) = self.cuts.get(route) else { return AdmissionLevel::FULL };
         let age = now.since(*reported).saturating_sub(REPORT_HOLDS).as_secs_f64() / REPORT_MEMORY.as_secs_f64();
-        Cut::after(1.0 - (1.0 - share) * 0.5_f64.powf(age))
+        AdmissionLevel::from_priority_share(1.0 - (1.0 - share) * 0.5_f64.powf(age))
     }
 
     /// How long ago the cut of a route was reported last.
@@ -94,7 +94,7 @@
     }
 
     /// The lowest cut among `routes`.
-    pub fn lowest<'a>(&self, routes: impl Iterator<Item = &'a Arc<str>>, now: Timestamp) -> Cut {
-        routes.map(|route| self.cut(route, now)).fold(Cut::OPEN, Cut::lower)
+    pub fn lowest<'a>(&self, routes: impl Iterator<Item = &'a Arc<str>>, now: Timestamp) -> AdmissionLevel {
+        routes.map(|route| self.level(route, now)).fold(AdmissionLevel::FULL, AdmissionLevel::lower_of)
     }
 }
--- a/crates/mesh/src/balance.rs
+++ b/crates/mesh/src/balance.rs
@@ -93,11 +93,11 @@
 
 /// From where a call is sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct ZonePreference<'a> {
     /// The own zone.
-    pub zone: &'a str,
+    pub local_zone: &'a str,
     /// What an attempt in another zone costs besides its time, as a multiple of the mean time of the call's route.
-    pub other_zone_cost: f64,
+    pub cross_zone_cost: f64,
 }
 
 /// The mean time of a route's calls.
@@ -118,16 +118,16 @@
 
 /// What this node has learnt of the targets that it sends to.
 #[derive(Clone, Debug, Default)]
-pub struct Balance {
+pub struct LoadBalancer {
     views: HashMap<TargetId, TargetView>,
     route_times: HashMap<Arc<str>, RouteTime>,
     mechanisms: Mechanisms,
 }
 
-impl Balance {
+impl LoadBalancer {
     /// A balance that knows nothing yet, with the mechanisms that are on.
     pub fn new(mechanisms: Mechanisms) -> Self {
-        Balance { mechanisms, ..Balance::default() }
+        LoadBalancer { mechanisms, ..LoadBalancer::default() }
     }
 
     /// The target with the lowest cost among `targets` that is neither leaving nor named in `tried`.
@@ -137,11 +137,11 @@
         &self,
         targets: &[Arc<Target>],
         tried: &[TargetId],
-        place: Place<'_>,
+        place: ZonePreference<'_>,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Option<Arc<Target>> {
-        let zone = place.zone;
+        let zone = place.local_zone;
         let is_open = |target: &&Arc<Target>| !target.registration.draining && !tried.contains(&target.id);
         // Of a large service some targets are looked at, beginning at a random place; of a small one all.
         let begin = random.gen_range(0..targets.len().max(1));
@@ -157,46 +157,46 @@
         best.map(|(_, _, target)| target.clone())
     }
 
-    fn cost(&self, target: &Target, place: Place<'_>, now: Timestamp) -> f64 {
+    fn cost(&self, target: &Target, place: ZonePreference<'_>, now: Timestamp) -> f64 {
         let view = self.views.get(&target.id);
-        let counts = |mechanism, cost| if self.mechanisms.has(mechanism) { cost } else { 0.0 };
+        let counts = |mechanism, cost| if self.mechanisms.is_enabled(mechanism) { cost } else { 0.0 };
         let speed = view.map_or(UNKNOWN_SPEED, |view| remembered_speed(view, now));
-        let speed = if self.mechanisms.has(Mechanism::SpeedBalance) { speed } else { 1.0 };
+        let speed = if self.mechanisms.is_enabled(Mechanism::LatencyBalancing) { speed } else { 1.0 };
         let cold = if target.cold_until > now { COLD_FACTOR - 1.0 } else { 0.0 };
-        let cold = 1.0 + counts(Mechanism::ColdStart, cold);
+        let cold = 1.0 + counts(Mechanism::SlowStart, cold);
         let utilization = view.map_or(0.0, |view| utilization(view, target.registration.slots, now));
-        let utilization = counts(Mechanism::LoadBalance, utilization);
+        let utilization = counts(Mechanism::LoadBalancing, utilization);
         let busy = BUSY_COST * ((utilization - BUSY_FROM) / (1.0 - BUSY_FROM)).clamp(0.0, 1.0);
         let queue = QUEUE_COST * (utilization - 1.0).max(0.0);
-        let distance = if *target.registration.zone == *place.zone { 0.0 } else { place.other_zone_cost };
+        let distance = if *target.registration.zone == *place.local_zone { 0.0 } else { place.cross_zone_cost };
         let failures = FAILURE_COST * (1.0 - view.map_or(1.0, |view| remembered_health(view, now)));
-        let distance = counts(Mechanism::ZoneBalance, distance);
-        let failures = counts(Mechanism::HealthBalance, failures);
+        let distance = counts(Mechanism::ZoneBalancing, distance);
+        let failures = counts(Mechanism::HealthBalancing, failures);
         speed * cold * (1.0 + busy + queue) + distance + failures
     }
 
     /// The place from which a call of `route` is sent that is to be answered in `time`.
-    pub fn place<'a>(&self, zone: &'a str, route: &str, time: Duration) -> Place<'a> {
+    pub fn zone_preference<'a>(&self, zone: &'a str, route: &str, time: Duration) -> ZonePreference<'a> {
         let (least, most) = OTHER_ZONE_COSTS;
-        let mean = self.route_time(route).unwrap_or(UNKNOWN_TIME).as_secs_f64();
+        let mean = self.mean_response_time(route).unwrap_or(UNKNOWN_TIME).as_secs_f64();
         let borne = LOCALITY_PART * time.as_secs_f64() / mean.max(1e-3);
-        Place { zone, other_zone_cost: borne.clamp(least, most) }
+        ZonePreference { local_zone: zone, cross_zone_cost: borne.clamp(least, most) }
     }
 
     /// Notes that an attempt goes to a target.
-    pub fn sent(&mut self, target: &TargetId) {
+    pub fn attempt_started(&mut self, target: &TargetId) {
         self.views.entry(target.clone()).or_default().in_flight += 1;
     }
 
     /// Notes that an attempt at a target is over, however it ended.
-    pub fn ended(&mut self, target: &TargetId) {
+    pub fn attempt_ended(&mut self, target: &TargetId) {
         if let Some(view) = self.views.get_mut(target) {
             view.in_flight = view.in_flight.saturating_sub(1);
         }
     }
 
     /// Notes how long a target took for a call of a route.
-    pub fn answered(&mut self, target: &TargetId, route: &Arc<str>, took: Duration, now: Timestamp) {
+    pub fn record_response_time(&mut self, target: &TargetId, route: &Arc<str>, took: Duration, now: Timestamp) {
         let took = took.as_secs_f64();
         let mean = self.route_times.entry(route.clone()).or_default().add(took);
         self.note_speed(target, took, mean, now);
@@ -207,7 +207,7 @@
     ///
     /// A target that is so slow that none of its calls ends in time shows in nothing else. The mean time of the route is
     /// left alone, since it is not known how long the call would have taken.
-    pub fn late(&mut self, target: &TargetId, route: &Arc<str>, after: Duration, now: Timestamp) {
+    pub fn record_timeout(&mut self, target: &TargetId, route: &Arc<str>, after: Duration, now: Timestamp) {
         let Some(mean) = self.route_times.get(route).map(|time| time.seconds) else { return };
         let after = after.as_secs_f64();
         if after > mean {
@@ -225,7 +225,7 @@
     }
 
     /// Takes the load that a target's gate has reported, and the share of the target's answers that are good.
-    pub fn reported(&mut self, target: &TargetId, load: Load, health: f64, now: Timestamp) {
+    pub fn record_load(&mut self, target: &TargetId, load: Load, health: f64, now: Timestamp) {
         let view = self.views.entry(target.clone()).or_default();
         view.load = load;
         view.health = health;
@@ -234,28 +234,28 @@
     }
 
     /// Notes that a target's gate is there.
-    pub fn answered_presence(&mut self, target: &TargetId, now: Timestamp) {
+    pub fn record_contact(&mut self, target: &TargetId, now: Timestamp) {
         self.views.entry(target.clone()).or_default().heard = now;
     }
 
     /// When a target's gate was heard of last.
-    pub fn heard(&self, target: &str) -> Timestamp {
+    pub fn last_contact(&self, target: &str) -> Timestamp {
         self.views.get(target).map_or(Timestamp::ZERO, |view| view.heard)
     }
 
     /// How long a call of a route may go without a word of its gate before the gate is asked whether it is there.
-    pub fn suspicion_after(&self, route: &str) -> Duration {
-        let mean = self.route_time(route).unwrap_or(UNKNOWN_TIME);
+    pub fn liveness_probe_delay(&self, route: &str) -> Duration {
+        let mean = self.mean_response_time(route).unwrap_or(UNKNOWN_TIME);
         (mean * SUSPICION_FACTOR + SUSPICION_ADDED).min(LONGEST_SUSPICION)
     }
 
     /// Leaves a target out for a moment that has refused a call or its connection. To try it again costs next to nothing.
-    pub fn refused(&mut self, target: &TargetId, now: Timestamp) {
+    pub fn record_refusal(&mut self, target: &TargetId, now: Timestamp) {
         self.views.entry(target.clone()).or_default().avoided_until = now + SHORTEST_AVOIDANCE;
     }
 
     /// Leaves a target out that is silent, longer each time in a row.
-    pub fn silent(&mut self, target: &TargetId, now: Timestamp) {
+    pub fn record_unresponsive(&mut self, target: &TargetId, now: Timestamp) {
         let view = self.views.entry(target.clone()).or_default();
         let span = SHORTEST_AVOIDANCE * 2_u32.pow(view.failures.min(3));
         view.failures += 1;
@@ -263,18 +263,18 @@
     }
 
     /// The mean time of a route's answered calls, if any was measured.
-    pub fn route_time(&self, route: &str) -> Option<Duration> {
+    pub fn mean_response_time(&self, route: &str) -> Option<Duration> {
         self.route_times.get(route).map(|time| Duration::from_secs_f64(time.seconds))
     }
 
     /// Forgets what was learnt of a target that has started again; only the calls under way are still counted.
-    pub fn forget(&mut self, target: &TargetId) {
+    pub fn reset_target(&mut self, target: &TargetId) {
         let Some(view) = self.views.get_mut(target) else { return };
         *view = TargetView { in_flight: view.in_flight, ..TargetView::default() };
     }
 
     /// Forgets targets that are neither listed nor in use.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
+    pub fn retain_targets(&mut self, listed: impl Fn(&str) -> bool) {
         self.views.retain(|id, view| view.in_flight > 0 || listed(id));
     }
 }
--- a/crates/mesh/src/demand.rs
+++ b/crates/mesh/src/call_graph.rs
@@ -48,7 +48,7 @@
     }
 
     /// A call of `route` begins to run at the target.
-    pub fn started(&mut self, route: &Arc<str>, now: Timestamp) {
+    pub fn call_started(&mut self, route: &Arc<str>, now: Timestamp) {
         self.advance(now);
         let parent = self.parents.entry(route.clone()).or_default();
         parent.running += 1;
@@ -56,7 +56,7 @@
     }
 
     /// A call of `route` has ended at the target.
-    pub fn ended(&mut self, route: &str, now: Timestamp) {
+    pub fn call_ended(&mut self, route: &str, now: Timestamp) {
         self.advance(now);
         if let Some(parent) = self.parents.get_mut(route) {
             parent.running = parent.running.saturating_sub(1);
@@ -64,7 +64,7 @@
     }
 
     /// The target makes a call of route `called` for a call of one of these routes, with the likelihood of each.
-    pub fn called<'a>(
+    pub fn record_call<'a>(
         &mut self,
         called: &Arc<str>,
         parents: impl IntoIterator<Item = (&'a Arc<str>, f64)>,
--- a/crates/mesh/src/callers.rs
+++ b/crates/mesh/src/callers.rs
@@ -8,14 +8,14 @@
 
 /// Who calls a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum CalledBy {
+pub enum CallerKind {
     /// Too little was seen.
     #[default]
     Unknown,
     /// Only targets.
-    Targets,
+    TargetsOnly,
     /// Callers, and possibly targets too.
-    Callers,
+    IncludesCallers,
 }
 
 /// The calls that must be expected from the machines of services that make none, before only targets are taken to call a route: with so
@@ -37,11 +37,11 @@
     by_service: HashMap<Arc<str>, f64>,
     total: f64,
     unjudged: u32,
-    judged: CalledBy,
+    judged: CallerKind,
 }
 
 impl RouteCallers {
-    fn judge<'a>(&self, services: impl Iterator<Item = (&'a Arc<str>, f64)>) -> CalledBy {
+    fn judge<'a>(&self, services: impl Iterator<Item = (&'a Arc<str>, f64)>) -> CallerKind {
         let (mut missed, mut unsure) = (0.0, 0.0);
         for (service, machine_share) in services {
             let expected = self.total * machine_share;
@@ -53,24 +53,24 @@
             *kind += expected;
         }
         if missed >= CALLS_MISSED {
-            CalledBy::Targets
+            CallerKind::TargetsOnly
         } else if missed + unsure > STRAY_PART * self.total {
-            CalledBy::Unknown
+            CallerKind::Unknown
         } else {
-            CalledBy::Callers
+            CallerKind::IncludesCallers
         }
     }
 }
 
 /// From which services' machines the calls of each route come, as the gate that serves them sees it.
 #[derive(Clone, Debug, Default)]
-pub struct CallerShares {
+pub struct RouteCallerCounts {
     by_route: HashMap<Arc<str>, RouteCallers>,
 }
 
-impl CallerShares {
+impl RouteCallerCounts {
     /// Counts a call of a route that entered at a machine of a service.
-    pub fn count(&mut self, route: &Arc<str>, caller: &str) {
+    pub fn count_call(&mut self, route: &Arc<str>, caller: &str) {
         let callers = self.by_route.entry(route.clone()).or_default();
         match callers.by_service.get_mut(caller) {
             Some(calls) => *calls += 1.0,
@@ -87,12 +87,12 @@
     }
 
     /// Who calls a route, judged by all services, each with its share of all machines.
-    pub fn called_by<'a, I: Iterator<Item = (&'a Arc<str>, f64)>>(
+    pub fn caller_kind<'a, I: Iterator<Item = (&'a Arc<str>, f64)>>(
         &mut self,
         route: &str,
         services: impl FnOnce() -> I,
-    ) -> CalledBy {
-        let Some(callers) = self.by_route.get_mut(route) else { return CalledBy::Unknown };
+    ) -> CallerKind {
+        let Some(callers) = self.by_route.get_mut(route) else { return CallerKind::Unknown };
         if callers.unjudged >= JUDGED_EVERY {
             callers.unjudged = 0;
             callers.judged = callers.judge(services());
--- a/crates/mesh/src/capacity.rs
+++ b/crates/mesh/src/capacity.rs
@@ -16,7 +16,7 @@
 
 use quillhatch_types::Timestamp;
 
-use crate::cut::{Cut, LEAST_SHARE};
+use crate::admission_level::{AdmissionLevel, MIN_ADMITTED_SHARE};
 use crate::gate::Load;
 use crate::mechanisms::{Mechanism, Mechanisms};
 
@@ -105,11 +105,11 @@
 
 impl Shortage {
     /// Where the calls of a route are to be cut.
-    pub fn cut_of(&self, route: &str) -> Cut {
+    pub fn admission_level(&self, route: &str) -> AdmissionLevel {
         let asked = self.routes.get(route).copied().unwrap_or(0.0);
         let share = if asked > self.most { self.most / asked } else { 1.0 };
         let cut = (self.whole as f64 + share) / f64::from(self.priorities.max(1));
-        Cut::after(1.0 - (1.0 - cut) * self.evidence)
+        AdmissionLevel::from_priority_share(1.0 - (1.0 - cut) * self.evidence)
     }
 }
 
@@ -150,26 +150,26 @@
     }
 
     /// A call arrives whose root was let in with `admitted_share` of those like it.
-    pub fn arrived(&mut self, route: &Arc<str>, priority: u8, admitted_share: f64, now: Timestamp) {
+    pub fn call_arrived(&mut self, route: &Arc<str>, priority: u8, admitted_share: f64, now: Timestamp) {
         self.fade(now);
         let Some(held) = self.held.get(route) else { return };
         self.started.get_or_insert(now);
         let asked = self.asked.entry(route.clone()).or_default().entry(priority).or_default();
-        *asked += held.seconds / admitted_share.clamp(LEAST_SHARE, 1.0);
+        *asked += held.seconds / admitted_share.clamp(MIN_ADMITTED_SHARE, 1.0);
     }
 
     /// A call that a target makes arrives.
-    pub fn begun_arrived(&mut self, priority: u8) {
+    pub fn inner_call_arrived(&mut self, priority: u8) {
         self.begun.entry(priority).or_default().arrived += 1.0;
     }
 
     /// A call that a target makes was refused for want of a slot.
-    pub fn begun_refused(&mut self, priority: u8) {
+    pub fn inner_call_refused(&mut self, priority: u8) {
         self.begun.entry(priority).or_default().refused += 1.0;
     }
 
     /// A call has held its slot for `time`.
-    pub fn held(&mut self, route: &Arc<str>, time: Duration, now: Timestamp) {
+    pub fn record_slot_time(&mut self, route: &Arc<str>, time: Duration, now: Timestamp) {
         let seconds = time.as_secs_f64();
         let held = self.held.entry(route.clone()).or_insert(HeldTime { seconds, measured: now });
         let replaced = 1.0 - (-now.since(held.measured).as_secs_f64() / MEASURED_OVER).exp();
@@ -182,14 +182,15 @@
     }
 
     /// The slots that are asked for at a time, by priority and route, if of the calls of each route those above `cut_of` it arrive.
-    fn demand(&self, priorities: u32, cut_of: impl Fn(&str) -> Cut, now: Timestamp) -> Vec<RouteDemands> {
+    fn demand(&self, priorities: u32, cut_of: impl Fn(&str) -> AdmissionLevel, now: Timestamp) -> Vec<RouteDemands> {
         let span = self.measured_span(now);
         let mut demand = vec![RouteDemands::new(); priorities as usize];
         for (route, asked) in &self.asked {
             let cut = cut_of(route);
             for (priority, seconds) in asked {
                 let Some(routes) = demand.get_mut(usize::from(*priority)) else { continue };
-                let begun = self.begun.get(priority).filter(|_| self.mechanisms.has(Mechanism::MissedCalls));
+                let begun =
+                    self.begun.get(priority).filter(|_| self.mechanisms.is_enabled(Mechanism::MissingCallEstimate));
                 let taken = begun.map_or(1.0, |begun| begun.taken());
                 let slots = seconds * cut.admitted_share(*priority, priorities) / taken / span;
                 routes.insert(route.clone(), slots);
@@ -218,7 +219,7 @@
         &mut self,
         load: Load,
         priorities: u32,
-        cut_of: impl Fn(&str) -> Cut,
+        cut_of: impl Fn(&str) -> AdmissionLevel,
         now: Timestamp,
     ) -> Option<Shortage> {
         self.fade(now);
@@ -233,7 +234,7 @@
         if demand <= capacity || evidence == 0.0 {
             return None;
         }
-        let mut left = (capacity - LEAST_SHARE * demand).max(0.0) / (1.0 - LEAST_SHARE);
+        let mut left = (capacity - MIN_ADMITTED_SHARE * demand).max(0.0) / (1.0 - MIN_ADMITTED_SHARE);
         for (whole, routes) in by_priority.into_iter().enumerate() {
             let asked: f64 = routes.values().sum();
             if asked > left {
--- a/crates/mesh/src/gate.rs
+++ b/crates/mesh/src/gate.rs
@@ -37,14 +37,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Too many calls wait.
-    Full,
+    Overloaded,
     /// The target is leaving, or this node stops.
     Closed,
 }
 
 /// What becomes of a call that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum Admission {
     /// It goes to the target now.
     Runs,
     /// It waits; the caller keeps the ticket.
@@ -94,38 +94,38 @@
     }
 
     /// A call arrives that can wait for `patience`. The second value is a waiting call that gives way to it.
-    pub fn arrive(&mut self, rank: Rank, patience: Duration, now: Timestamp) -> (Arrival, Option<Ticket>) {
+    pub fn admit(&mut self, rank: Rank, patience: Duration, now: Timestamp) -> (Admission, Option<Ticket>) {
         if self.closed {
-            return (Arrival::Refused(Refusal::Closed), None);
+            return (Admission::Refused(Refusal::Closed), None);
         }
         if self.running < self.limit() && self.queue.is_empty() {
             self.running += 1;
-            return (Arrival::Runs, None);
+            return (Admission::Runs, None);
         }
         let displaced = if self.queue.len() >= self.limit() as usize * QUEUE_PER_RUNNING {
-            match self.queue.least_important_behind(rank) {
+            match self.queue.lowest_ranked_behind(rank) {
                 Some(ticket) => Some(ticket),
-                None => return (Arrival::Refused(Refusal::Full), None),
+                None => return (Admission::Refused(Refusal::Overloaded), None),
             }
         } else {
             None
         };
         if patience.is_zero() {
-            return (Arrival::Refused(Refusal::Full), None);
+            return (Admission::Refused(Refusal::Overloaded), None);
         }
         if let Some(ticket) = displaced {
             self.queue.remove(ticket);
         }
-        (Arrival::Waits(self.queue.push(rank, now + patience)), displaced)
+        (Admission::Waits(self.queue.push(rank, now + patience)), displaced)
     }
 
     /// A running call is over.
-    pub fn finish(&mut self) {
+    pub fn release_slot(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// The next waiting call that goes to the target, if there is room; call again until there is none.
-    pub fn admit_next(&mut self) -> Option<Ticket> {
+    pub fn admit_waiting(&mut self) -> Option<Ticket> {
         if self.running >= self.limit() {
             return None;
         }
@@ -135,12 +135,12 @@
     }
 
     /// A waiting call has left; says whether it still waited.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel_waiting(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket)
     }
 
     /// A waiting call whose time to wait is over and that is now refused; call again until there is none.
-    pub fn expire(&mut self, now: Timestamp) -> Option<Ticket> {
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<Ticket> {
         self.queue.pop_expired(now)
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// A waiting call that is refused because the gate is closed; call again until there is none.
-    pub fn evict(&mut self) -> Option<Ticket> {
+    pub fn pop_refused(&mut self) -> Option<Ticket> {
         if self.closed {
             return self.queue.pop();
         }
--- a/crates/mesh/src/health.rs
+++ b/crates/mesh/src/health.rs
@@ -16,7 +16,7 @@
 
 /// The answers of one target, fading.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerHealth {
+pub struct TargetHealth {
     good: f64,
     bad: f64,
     /// Failed calls of the target on which its errors are laid.
@@ -24,32 +24,32 @@
     faded: Timestamp,
 }
 
-impl AnswerHealth {
+impl TargetHealth {
     /// A target that is taken to be good.
     pub fn new(now: Timestamp) -> Self {
-        AnswerHealth { good: 0.0, bad: 0.0, failed_calls: 0.0, faded: now }
+        TargetHealth { good: 0.0, bad: 0.0, failed_calls: 0.0, faded: now }
     }
 
     /// The target has given a good answer.
-    pub fn good(&mut self, now: Timestamp) {
+    pub fn record_good(&mut self, now: Timestamp) {
         self.fade(now);
         self.good += 1.0;
     }
 
     /// The target has refused, lost or spoiled a call.
-    pub fn bad(&mut self, now: Timestamp) {
+    pub fn record_bad(&mut self, now: Timestamp) {
         self.fade(now);
         self.bad += 1.0;
     }
 
     /// A call that the target made has failed.
-    pub fn call_failed(&mut self, now: Timestamp) {
+    pub fn record_downstream_failure(&mut self, now: Timestamp) {
         self.fade(now);
         self.failed_calls += 1.0;
     }
 
     /// The target has answered with an error: its own, unless a call that it made has failed.
-    pub fn error(&mut self, now: Timestamp) {
+    pub fn record_error(&mut self, now: Timestamp) {
         self.fade(now);
         if self.failed_calls >= 0.5 {
             self.failed_calls = (self.failed_calls - 1.0).max(0.0);
@@ -59,7 +59,7 @@
     }
 
     /// The share of good answers.
-    pub fn share(&mut self, now: Timestamp) -> f64 {
+    pub fn good_share(&mut self, now: Timestamp) -> f64 {
         self.fade(now);
         let good = self.good + ASSUMED_GOOD;
         good / (good + self.bad)
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -4,13 +4,13 @@
 //! caller owns. A sidecar has an **edge**, which takes calls from callers and from its own target, and a **gate**, which
 //! stands before its own target; no agreement between nodes is needed for either.
 
+pub mod admission_level;
 pub mod authentication;
 pub mod balance;
+pub mod call_graph;
 pub mod callers;
 pub mod capacity;
 pub mod configuration;
-pub mod cut;
-pub mod demand;
 pub mod feed;
 pub mod freshness;
 pub mod gate;
--- a/crates/mesh/src/mechanisms.rs
+++ b/crates/mesh/src/mechanisms.rs
@@ -9,43 +9,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
     /// Calls are refused where they enter when a service that they need is short of slots.
-    EntryCut,
+    EntryAdmission,
     /// Calls that don't come since others were refused are made up for in the demand.
-    MissedCalls,
+    MissingCallEstimate,
     /// Calls that wait at a gate are served in the order of importance.
-    GateOrder,
+    GatePriority,
     /// In a shortage all gates serve the calls of the same roots first.
-    SameRoots,
+    SharedRootOrder,
     /// Calls of targets inherit the importance of the call that entered.
-    InheritedRank,
+    InheritedPriority,
     /// Calls wait at a gate no longer than they can bear.
-    Patience,
+    QueueTimeout,
     /// Slower targets get fewer calls.
-    SpeedBalance,
+    LatencyBalancing,
     /// Busier targets get fewer calls.
-    LoadBalance,
+    LoadBalancing,
     /// Targets whose answers are bad get fewer calls.
-    HealthBalance,
+    HealthBalancing,
     /// Targets of the own zone are preferred.
-    ZoneBalance,
+    ZoneBalancing,
     /// Targets that have just started get fewer calls.
-    ColdStart,
+    SlowStart,
     /// Calls of targets leave a slow target for another one.
-    SlowAttempts,
+    SlowAttemptRetry,
     /// Calls are sent to a second target after an attempt that failed.
-    Repeats,
+    Retries,
     /// Nodes that are silent are asked whether they are there.
-    PresenceProbes,
+    LivenessProbes,
     /// Changes in the store are gathered before they are read.
-    GatheredChanges,
+    BatchedReads,
     /// Few nodes read the store and the others follow them; without it each node reads for itself.
     SharedReads,
     /// Targets whose registrations are missing are kept where that may be the store's fault.
-    KeptTargets,
+    RetainedTargets,
     /// Nodes share the limits of tenants by demand; without it each lets in its equal part.
     SharedLimits,
     /// Nodes take the word of others for how recent their configuration is; without it each asks the store.
-    HeardFreshness,
+    PeerFreshness,
     /// Requests that crash targets are refused.
     Quarantine,
 }
@@ -61,50 +61,50 @@
 impl Mechanism {
     /// All mechanisms.
     pub const ALL: [Mechanism; 20] = [
-        Mechanism::EntryCut,
-        Mechanism::MissedCalls,
-        Mechanism::GateOrder,
-        Mechanism::SameRoots,
-        Mechanism::InheritedRank,
-        Mechanism::Patience,
-        Mechanism::SpeedBalance,
-        Mechanism::LoadBalance,
-        Mechanism::HealthBalance,
-        Mechanism::ZoneBalance,
-        Mechanism::ColdStart,
-        Mechanism::SlowAttempts,
-        Mechanism::Repeats,
-        Mechanism::PresenceProbes,
-        Mechanism::GatheredChanges,
+        Mechanism::EntryAdmission,
+        Mechanism::MissingCallEstimate,
+        Mechanism::GatePriority,
+        Mechanism::SharedRootOrder,
+        Mechanism::InheritedPriority,
+        Mechanism::QueueTimeout,
+        Mechanism::LatencyBalancing,
+        Mechanism::LoadBalancing,
+        Mechanism::HealthBalancing,
+        Mechanism::ZoneBalancing,
+        Mechanism::SlowStart,
+        Mechanism::SlowAttemptRetry,
+        Mechanism::Retries,
+        Mechanism::LivenessProbes,
+        Mechanism::BatchedReads,
         Mechanism::SharedReads,
-        Mechanism::KeptTargets,
+        Mechanism::RetainedTargets,
         Mechanism::SharedLimits,
-        Mechanism::HeardFreshness,
+        Mechanism::PeerFreshness,
         Mechanism::Quarantine,
     ];
 
     /// Its name on the command line and in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Mechanism::EntryCut => "entry-cut",
-            Mechanism::MissedCalls => "missed-calls",
-            Mechanism::GateOrder => "gate-order",
-            Mechanism::SameRoots => "same-roots",
-            Mechanism::InheritedRank => "inherited-rank",
-            Mechanism::Patience => "patience",
-            Mechanism::SpeedBalance => "speed-balance",
-            Mechanism::LoadBalance => "load-balance",
-            Mechanism::HealthBalance => "health-balance",
-            Mechanism::ZoneBalance => "zone-balance",
-            Mechanism::ColdStart => "cold-start",
-            Mechanism::SlowAttempts => "slow-attempts",
-            Mechanism::Repeats => "repeats",
-            Mechanism::PresenceProbes => "presence-probes",
-            Mechanism::GatheredChanges => "gathered-changes",
+            Mechanism::EntryAdmission => "entry-cut",
+            Mechanism::MissingCallEstimate => "missed-calls",
+            Mechanism::GatePriority => "gate-order",
+            Mechanism::SharedRootOrder => "same-roots",
+            Mechanism::InheritedPriority => "inherited-rank",
+            Mechanism::QueueTimeout => "patience",
+            Mechanism::LatencyBalancing => "speed-balance",
+            Mechanism::LoadBalancing => "load-balance",
+            Mechanism::HealthBalancing => "health-balance",
+            Mechanism::ZoneBalancing => "zone-balance",
+            Mechanism::SlowStart => "cold-start",
+            Mechanism::SlowAttemptRetry => "slow-attempts",
+            Mechanism::Retries => "repeats",
+            Mechanism::LivenessProbes => "presence-probes",
+            Mechanism::BatchedReads => "gathered-changes",
             Mechanism::SharedReads => "shared-reads",
-            Mechanism::KeptTargets => "kept-targets",
+            Mechanism::RetainedTargets => "kept-targets",
             Mechanism::SharedLimits => "shared-limits",
-            Mechanism::HeardFreshness => "heard-freshness",
+            Mechanism::PeerFreshness => "heard-freshness",
             Mechanism::Quarantine => "quarantine",
         }
     }
@@ -142,13 +142,13 @@
     }
 
     /// Whether a mechanism is on.
-    pub fn has(self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.off & mechanism.bit() == 0
     }
 
     /// The names of those that are off, separated by commas.
-    pub fn names_off(self) -> String {
-        let off = Mechanism::ALL.into_iter().filter(|mechanism| !self.has(*mechanism));
+    pub fn disabled_names(self) -> String {
+        let off = Mechanism::ALL.into_iter().filter(|mechanism| !self.is_enabled(*mechanism));
         off.map(Mechanism::name).collect::<Vec<_>>().join(",")
     }
 }
--- a/crates/mesh/src/parents.rs
+++ b/crates/mesh/src/parents.rs
@@ -1,7 +1,7 @@
 //! For which of its running calls a target makes a call of its own.
 //!
 //! A target's calls come from the same address as those of callers on its machine, and name no parent. Whether only targets call
-//! a route is reported by the gates that serve it ([`CalledBy`]); until they know, a call with the deadline of a running one is taken to
+//! a route is reported by the gates that serve it ([`CallerKind`]); until they know, a call with the deadline of a running one is taken to
 //! be made for it. A call of a route that only targets call ends with its parent's deadline, unless the
 //! parent has more time left than the target ever gives a call of that route:
 //!
@@ -16,7 +16,7 @@
 
 use quillhatch_types::Timestamp;
 
-use crate::callers::CalledBy;
+use crate::callers::CallerKind;
 
 /// How much earlier than its parent's the deadline of a call may seem: deadlines travel in whole milliseconds.
 const EARLIER: Duration = Duration::from_millis(3);
@@ -28,47 +28,47 @@
 
 /// What a call inherits from the call for which it is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lineage {
+pub struct InheritedContext {
     /// The importance of the call that entered the graph; 0 is the greatest.
     pub priority: u8,
     /// The position of the call that entered the graph among those of its importance; lower ones are served first.
     pub position: u8,
     /// Whether the call, or one above it, is sent to a target once more. Whatever is called below it arrives once more too.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Of a thousand calls like the one that entered the graph, how many were let in.
     pub admitted_permille: u16,
 }
 
 /// All calls were let in.
-pub const ALL_ADMITTED: u16 = 1000;
+pub const ALL_ADMITTED_PERMILLE: u16 = 1000;
 
 /// What is likely of a call whose parent is one of several.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Likely {
+pub struct ParentEstimate {
     /// The routes of the possible parents, with the likelihood of each.
-    pub routes: Vec<(Arc<str>, f64)>,
+    pub parent_routes: Vec<(Arc<str>, f64)>,
     /// The importance that weighs most among the possible parents.
     pub priority: u8,
     /// The share of repeated calls among them.
-    pub repeated_share: f64,
+    pub retry_share: f64,
     /// Of a thousand calls like their roots, how many were let in.
     pub admitted_permille: u16,
 }
 
 /// Who makes a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Origin {
+pub enum CallOrigin {
     /// A caller: the call enters the graph here.
     Caller,
     /// The target beside this node, for a call of this route.
-    Parent(Arc<str>, Lineage),
+    KnownParent(Arc<str>, InheritedContext),
     /// The target beside this node, for one of several calls; `None` if none of those that run fits.
-    Target(Option<Likely>),
+    UnknownParent(Option<ParentEstimate>),
 }
 
 /// Identifies a running call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RunningCall {
+pub struct RunningCallId {
     deadline: Timestamp,
     sequence: u64,
 }
@@ -83,24 +83,24 @@
 
 /// The calls that run at the target, by the deadline that it was given.
 #[derive(Clone, Debug, Default)]
-pub struct Parents {
-    running: BTreeMap<RunningCall, (Arc<str>, Lineage)>,
+pub struct ParentTracker {
+    running: BTreeMap<RunningCallId, (Arc<str>, InheritedContext)>,
     next_sequence: u64,
-    called_by: HashMap<Arc<str>, CalledBy>,
+    called_by: HashMap<Arc<str>, CallerKind>,
     longest: HashMap<Arc<str>, Duration>,
 }
 
-impl Parents {
+impl ParentTracker {
     /// A call of `route` goes to the target, which was given until `deadline`.
-    pub fn started(&mut self, deadline: Timestamp, route: Arc<str>, lineage: Lineage) -> RunningCall {
-        let call = RunningCall { deadline, sequence: self.next_sequence };
+    pub fn call_started(&mut self, deadline: Timestamp, route: Arc<str>, lineage: InheritedContext) -> RunningCallId {
+        let call = RunningCallId { deadline, sequence: self.next_sequence };
         self.next_sequence += 1;
         self.running.insert(call, (route, lineage));
         call
     }
 
     /// A call has ended at the target.
-    pub fn ended(&mut self, call: RunningCall) {
+    pub fn call_ended(&mut self, call: RunningCallId) {
         self.running.remove(&call);
     }
 
@@ -112,68 +112,70 @@
         time: Duration,
         now: Timestamp,
         rate: impl Fn(&Arc<str>) -> f64,
-    ) -> Origin {
+    ) -> CallOrigin {
         match self.called_by.get(route).copied().unwrap_or_default() {
-            CalledBy::Callers => Origin::Caller,
-            CalledBy::Unknown => {
+            CallerKind::IncludesCallers => CallOrigin::Caller,
+            CallerKind::Unknown => {
                 let parent = self.nearest(route, now + time);
-                parent.map_or(Origin::Caller, |(parent, lineage)| Origin::Parent(parent.clone(), lineage.clone()))
+                parent.map_or(CallOrigin::Caller, |(parent, lineage)| {
+                    CallOrigin::KnownParent(parent.clone(), lineage.clone())
+                })
             }
-            CalledBy::Targets => self.origin_in_target(route, time, now, rate),
+            CallerKind::TargetsOnly => self.target_call_origin(route, time, now, rate),
         }
     }
 
     /// For which of the running calls the target makes a call of `route`, where it is known that the target makes it.
-    pub fn origin_in_target(
+    pub fn target_call_origin(
         &mut self,
         route: &Arc<str>,
         time: Duration,
         now: Timestamp,
         rate: impl Fn(&Arc<str>) -> f64,
-    ) -> Origin {
+    ) -> CallOrigin {
         let longest = self.longest.entry(route.clone()).or_default();
         *longest = time.max(*longest);
         if time + OWN_TIME_MARGIN < *longest {
             if let Some((parent, lineage)) = self.nearest(route, now + time) {
-                return Origin::Parent(parent.clone(), lineage.clone());
+                return CallOrigin::KnownParent(parent.clone(), lineage.clone());
             }
         }
-        Origin::Target(self.likely(route, now + time, rate))
+        CallOrigin::UnknownParent(self.likely(route, now + time, rate))
     }
 
     /// Whether the target may make a call of `route` with `time` left: it runs a call that has as much, and if callers call the route too
     /// also one that ends at the same moment.
-    pub fn may_call(&self, route: &str, time: Duration, now: Timestamp) -> bool {
-        if self.called_by.get(route) == Some(&CalledBy::Callers) {
+    pub fn may_originate(&self, route: &str, time: Duration, now: Timestamp) -> bool {
+        if self.called_by.get(route) == Some(&CallerKind::IncludesCallers) {
             return self.nearest(route, now + time).is_some();
         }
-        let from = RunningCall { deadline: (now + time) - LATER, sequence: 0 };
+        let from = RunningCallId { deadline: (now + time) - LATER, sequence: 0 };
         self.running.range(from..).next().is_some()
     }
 
     /// Whether only targets are known to call a route.
-    pub fn is_called_by_targets(&self, route: &str) -> bool {
-        self.called_by.get(route) == Some(&CalledBy::Targets)
+    pub fn is_called_only_by_targets(&self, route: &str) -> bool {
+        self.called_by.get(route) == Some(&CallerKind::TargetsOnly)
     }
 
     /// Takes what the gates that serve a route have seen of its callers.
-    pub fn report(&mut self, route: &Arc<str>, called_by: CalledBy) {
-        if called_by == CalledBy::Unknown || self.called_by.get(route) == Some(&called_by) {
+    pub fn record_caller_kind(&mut self, route: &Arc<str>, called_by: CallerKind) {
+        if called_by == CallerKind::Unknown || self.called_by.get(route) == Some(&called_by) {
             return;
         }
         self.called_by.insert(route.clone(), called_by);
     }
 
-    fn nearest(&self, route: &str, deadline: Timestamp) -> Option<&(Arc<str>, Lineage)> {
-        let from = RunningCall { deadline: deadline - LATER, sequence: 0 };
-        let to = RunningCall { deadline: deadline + EARLIER, sequence: u64::MAX };
-        let distance = |call: &RunningCall| call.deadline.0.abs_diff(deadline.0);
+    fn nearest(&self, route: &str, deadline: Timestamp) -> Option<&(Arc<str>, InheritedContext)> {
+        let from = RunningCallId { deadline: deadline - LATER, sequence: 0 };
+        let to = RunningCallId { deadline: deadline + EARLIER, sequence: u64::MAX };
+        let distance = |call: &RunningCallId| call.deadline.0.abs_diff(deadline.0);
         let others = self.running.range(from..=to).filter(|(_, (parent, _))| **parent != *route);
         others.min_by_key(|(call, _)| distance(call)).map(|(_, parent)| parent)
     }
 
-    fn likely(&self, route: &str, deadline: Timestamp, rate: impl Fn(&Arc<str>) -> f64) -> Option<Likely> {
-        let from = RunningCall { deadline: deadline - LATER, sequence: 0 };
+    fn likely(&self, route: &str, deadline: Timestamp, rate: impl Fn(&Arc<str>) -> f64) -> Option<ParentEstimate> {
+        let from = RunningCallId { deadline: deadline - LATER, sequence: 0 };
         // Each route with the rate of its calls, and with the weight of all its possible parents.
         let mut routes: BTreeMap<&Arc<str>, (f64, f64)> = BTreeMap::new();
         let mut weights: BTreeMap<u8, Weight> = BTreeMap::new();
@@ -186,18 +188,18 @@
             *sum += rate;
             let weight = weights.entry(lineage.priority).or_default();
             weight.all += rate;
-            weight.repeated += if lineage.is_repeat { rate } else { 0.0 };
-            weight.asked += rate * f64::from(ALL_ADMITTED) / f64::from(lineage.admitted_permille.max(1));
+            weight.repeated += if lineage.is_retry { rate } else { 0.0 };
+            weight.asked += rate * f64::from(ALL_ADMITTED_PERMILLE) / f64::from(lineage.admitted_permille.max(1));
         }
         let total: f64 = weights.values().map(|weight| weight.all).sum();
         let repeated: f64 = weights.values().map(|weight| weight.repeated).sum();
         let (priority, weight) = weights.iter().max_by(|one, other| one.1.all.total_cmp(&other.1.all))?;
-        let repeated_share = if total > 0.0 { repeated / total } else { 0.0 };
+        let retry_share = if total > 0.0 { repeated / total } else { 0.0 };
         let admitted = if weight.asked > 0.0 { weight.all / weight.asked } else { 1.0 };
-        let admitted_permille = (admitted * f64::from(ALL_ADMITTED)).round() as u16;
+        let admitted_permille = (admitted * f64::from(ALL_ADMITTED_PERMILLE)).round() as u16;
         let likelihood =
             |(route, (_, sum)): (&Arc<str>, (f64, f64))| (route.clone(), sum / total.max(f64::MIN_POSITIVE));
-        let routes = routes.into_iter().map(likelihood).collect();
-        Some(Likely { routes, priority: *priority, repeated_share, admitted_permille })
+        let parent_routes = routes.into_iter().map(likelihood).collect();
+        Some(ParentEstimate { parent_routes, priority: *priority, retry_share, admitted_permille })
     }
 }
--- a/crates/mesh/src/quarantine/completed.rs
+++ b/crates/mesh/src/quarantine/completed.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether one did so lately.
-    pub fn speaks_for(&self, key: SignatureKey, now: Timestamp) -> bool {
+    pub fn completed_recently(&self, key: SignatureKey, now: Timestamp) -> bool {
         let known = self.places[place_of(key)].filter(|(known, _)| *known == key);
         known.is_some_and(|(_, at)| now.since(at) < SPEAKS_FOR)
     }
--- a/crates/mesh/src/quarantine/evidence.rs
+++ b/crates/mesh/src/quarantine/evidence.rs
@@ -8,7 +8,7 @@
 use siphasher::sip::SipHasher13;
 
 use super::completed::CompletedRuns;
-use super::{RequestSignature, SignatureKey, TargetEnd};
+use super::{RequestSignature, SignatureKey, TargetCrash};
 
 /// The crashes from which a request is quarantined. A call that is retried after one crash meets a second by chance; three without a
 /// completed run in between are no coincidence, and waiting for more would cost targets.
@@ -35,13 +35,13 @@
 
 /// Identifies the crash of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EndId(pub u64);
+pub struct CrashId(pub u64);
 
-impl EndId {
+impl CrashId {
     fn of(target: &str) -> Self {
         let mut hasher = SipHasher13::new();
         target.hash(&mut hasher);
-        EndId(hasher.finish())
+        CrashId(hasher.finish())
     }
 }
 
@@ -51,7 +51,7 @@
     /// The request.
     pub key: SignatureKey,
     /// The crashes counted against it.
-    pub ends: Vec<EndId>,
+    pub crashes: Vec<CrashId>,
     /// How long ago the last one was.
     pub age: Duration,
 }
@@ -67,13 +67,13 @@
 
 #[derive(Clone, Debug)]
 struct Suspect {
-    ends: Vec<EndId>,
+    ends: Vec<CrashId>,
     last_end: Timestamp,
 }
 
 impl Suspect {
     /// Counts a crash; returns whether it was not known.
-    fn add(&mut self, end: EndId) -> bool {
+    fn add(&mut self, end: CrashId) -> bool {
         if self.ends.contains(&end) {
             return false;
         }
@@ -122,16 +122,16 @@
     }
 
     /// A target has crashed. Counts it against the requests that ran there, and returns the evidence to broadcast.
-    pub fn target_ended(&mut self, end: &TargetEnd, now: Timestamp) -> Vec<SuspectRecord> {
-        self.forget(now);
-        let id = EndId::of(&end.target);
+    pub fn record_crash(&mut self, end: &TargetCrash, now: Timestamp) -> Vec<SuspectRecord> {
+        self.remove_expired(now);
+        let id = CrashId::of(&end.target);
         let mut records = Vec::new();
         for key in end.signatures.iter().flat_map(RequestSignature::keys) {
-            if self.completed.speaks_for(key, now) {
+            if self.completed.completed_recently(key, now) {
                 continue;
             }
-            if self.hold(key, &[id], now, now) {
-                records.push(SuspectRecord { key, ends: vec![id], age: Duration::ZERO });
+            if self.count_crashes(key, &[id], now, now) {
+                records.push(SuspectRecord { key, crashes: vec![id], age: Duration::ZERO });
             }
         }
         records.truncate(MOST_RECORDS);
@@ -144,17 +144,17 @@
         for record in records.iter().take(MOST_RECORDS) {
             let last_end = Timestamp(now.0.saturating_sub(record.age.as_micros() as u64));
             let is_cleared = self.cleared.get(&record.key).is_some_and(|cleared| *cleared >= last_end);
-            if is_cleared || self.completed.speaks_for(record.key, now) {
+            if is_cleared || self.completed.completed_recently(record.key, now) {
                 harmless.push(record.key);
                 continue;
             }
-            self.hold(record.key, &record.ends, last_end, now);
+            self.count_crashes(record.key, &record.crashes, last_end, now);
         }
         harmless
     }
 
     /// A request has completed here. Returns the keys that are cleared by this and that other nodes may suspect too.
-    pub fn completed(&mut self, signature: &RequestSignature, now: Timestamp) -> Vec<SignatureKey> {
+    pub fn record_completion(&mut self, signature: &RequestSignature, now: Timestamp) -> Vec<SignatureKey> {
         let mut cleared = Vec::new();
         for key in signature.keys() {
             self.completed.add(key, now);
@@ -171,7 +171,7 @@
     }
 
     /// These requests have completed at another node.
-    pub fn cleared(&mut self, keys: &[SignatureKey], now: Timestamp) {
+    pub fn record_cleared(&mut self, keys: &[SignatureKey], now: Timestamp) {
         for key in keys.iter().take(MOST_RECORDS) {
             if self.suspects.remove(key).is_some() {
                 self.note_cleared(*key, now);
@@ -180,12 +180,12 @@
     }
 
     /// The evidence that is gossiped: requests with more than one crash.
-    pub fn notable(&self, now: Timestamp) -> Vec<SuspectRecord> {
+    pub fn gossip_records(&self, now: Timestamp) -> Vec<SuspectRecord> {
         self.records(NOTABLE_FROM, now)
     }
 
     /// All evidence, for a node that has just started.
-    pub fn all(&self, now: Timestamp) -> Vec<SuspectRecord> {
+    pub fn all_records(&self, now: Timestamp) -> Vec<SuspectRecord> {
         self.records(1, now)
     }
 
@@ -200,12 +200,12 @@
     }
 
     /// Whether there is anything to gossip.
-    pub fn has_notable(&self) -> bool {
+    pub fn has_gossip(&self) -> bool {
         self.suspects.values().any(|suspect| suspect.ends.len() >= NOTABLE_FROM)
     }
 
     /// Forgets what is too old.
-    pub fn forget(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         let draw = self.draw;
         self.suspects.retain(|_, suspect| {
             let is_refused = matches!(suspect.verdict(draw, now), Verdict::Refused(_));
@@ -215,7 +215,7 @@
     }
 
     /// Counts crashes against a request; returns whether one of them was not known.
-    fn hold(&mut self, key: SignatureKey, ends: &[EndId], last_end: Timestamp, now: Timestamp) -> bool {
+    fn count_crashes(&mut self, key: SignatureKey, ends: &[CrashId], last_end: Timestamp, now: Timestamp) -> bool {
         if ends.is_empty() {
             return false;
         }
@@ -234,7 +234,7 @@
     }
 
     fn make_room(&mut self, now: Timestamp) {
-        self.forget(now);
+        self.remove_expired(now);
         if self.suspects.len() < MOST_SUSPECTS {
             return;
         }
@@ -257,11 +257,11 @@
         let mut records: Vec<SuspectRecord> = wanted
             .map(|(key, suspect)| SuspectRecord {
                 key: *key,
-                ends: suspect.ends.clone(),
+                crashes: suspect.ends.clone(),
                 age: now.since(suspect.last_end),
             })
             .collect();
-        records.sort_unstable_by_key(|record| (usize::MAX - record.ends.len(), record.age, record.key));
+        records.sort_unstable_by_key(|record| (usize::MAX - record.crashes.len(), record.age, record.key));
         records.truncate(MOST_RECORDS);
         records
     }
--- a/crates/mesh/src/quarantine/mod.rs
+++ b/crates/mesh/src/quarantine/mod.rs
@@ -16,6 +16,6 @@
 mod runs;
 mod signature;
 
-pub use evidence::{EndId, Quarantine, SuspectRecord, Verdict};
-pub use runs::{RunId, RunTracker, TargetEnd};
+pub use evidence::{CrashId, Quarantine, SuspectRecord, Verdict};
+pub use runs::{RunId, RunTracker, TargetCrash};
 pub use signature::{RequestParts, RequestSignature, SignatureKey};
--- a/crates/mesh/src/quarantine/runs.rs
+++ b/crates/mesh/src/quarantine/runs.rs
@@ -48,7 +48,7 @@
 
 /// A target that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetEnd {
+pub struct TargetCrash {
     /// The target.
     pub target: TargetId,
     /// The calls that it was working on.
@@ -72,7 +72,7 @@
     }
 
     /// The call's connection to `target` ended without a whole answer.
-    pub fn lost(&mut self, id: RunId, target: Option<TargetId>, now: Timestamp) {
+    pub fn connection_lost(&mut self, id: RunId, target: Option<TargetId>, now: Timestamp) {
         let Some(run) = self.running.remove(&id) else { return };
         if self.lost.is_empty() {
             self.lost_at = target;
@@ -88,17 +88,17 @@
     }
 
     /// Whether calls have broken off and nothing has shown since whether the target ended.
-    pub fn has_lost(&self) -> bool {
+    pub fn has_interrupted(&self) -> bool {
         !self.lost.is_empty()
     }
 
     /// The target with this identity answers.
-    pub fn identified(&mut self, id: &str) -> Option<TargetEnd> {
+    pub fn target_identified(&mut self, id: &str) -> Option<TargetCrash> {
         if self.lost_at.as_deref() == Some(id) {
             self.held.append(&mut self.lost);
             self.held.truncate(MOST_LOST);
         }
-        self.target_ended()
+        self.target_crashed()
     }
 
     /// Whether a call that was under way when the last one broke off still is; then the target lives.
@@ -108,22 +108,22 @@
     }
 
     /// The target lives: what broke off did not end it.
-    pub fn target_lives(&mut self) {
+    pub fn target_alive(&mut self) {
         self.lost.clear();
     }
 
     /// The target has started again under its identity `id`.
-    pub fn restarted(&mut self, id: &TargetId, now: Timestamp) -> Option<TargetEnd> {
+    pub fn target_restarted(&mut self, id: &TargetId, now: Timestamp) -> Option<TargetCrash> {
         let held = self.held.drain(..).filter(|lost| now.since(lost.at) <= HELD_FOR);
         let signatures: Vec<RequestSignature> = held.chain(self.lost.drain(..)).map(|lost| lost.signature).collect();
         self.lost_at = None;
-        (!signatures.is_empty()).then(|| TargetEnd { target: id.clone(), signatures })
+        (!signatures.is_empty()).then(|| TargetCrash { target: id.clone(), signatures })
     }
 
     /// The target at which calls broke off has ended. `None` if none did, or if it was not known.
-    pub fn target_ended(&mut self) -> Option<TargetEnd> {
+    pub fn target_crashed(&mut self) -> Option<TargetCrash> {
         let signatures: Vec<RequestSignature> = self.lost.drain(..).map(|lost| lost.signature).collect();
         let target = self.lost_at.take()?;
-        (!signatures.is_empty()).then_some(TargetEnd { target, signatures })
+        (!signatures.is_empty()).then_some(TargetCrash { target, signatures })
     }
 }
--- a/crates/mesh/src/queue.rs
+++ b/crates/mesh/src/queue.rs
@@ -43,7 +43,7 @@
     }
 
     /// The number of waiting calls that would leave before a newcomer of `rank`.
-    pub fn ahead_of(&self, rank: Rank) -> usize {
+    pub fn count_ahead_of(&self, rank: Rank) -> usize {
         self.by_rank.range(..=Ticket { rank, sequence: u64::MAX }).count()
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// The least important of the waiting calls, if it is less important than `rank`.
-    pub fn least_important_behind(&self, rank: Rank) -> Option<Ticket> {
+    pub fn lowest_ranked_behind(&self, rank: Rank) -> Option<Ticket> {
         let (ticket, _) = self.by_rank.last_key_value()?;
         (ticket.rank > rank).then_some(*ticket)
     }
--- a/crates/mesh/src/retry_budget.rs
+++ b/crates/mesh/src/retry_budget.rs
@@ -46,28 +46,28 @@
     }
 
     /// Counts a call of the service.
-    pub fn call(&mut self, now: Timestamp) {
+    pub fn record_call(&mut self, now: Timestamp) {
         self.current(now).calls += 1;
     }
 
     /// Counts a call of the service that arrives once more since a call above it was repeated. It can't be refused for that
     /// without wasting the work above it, so it is taken off what may be repeated here.
-    pub fn inherited(&mut self, now: Timestamp) {
+    pub fn record_inherited_retry(&mut self, now: Timestamp) {
         self.current(now).repeats += 1;
     }
 
     /// The repeats in the current window, inherited ones included.
-    pub fn repeats(&self) -> u32 {
+    pub fn retries_in_window(&self) -> u32 {
         self.pieces.iter().map(|piece| piece.repeats).sum()
     }
 
     /// Spends one repeat if the budget has it.
-    pub fn try_repeat(&mut self, now: Timestamp) -> bool {
+    pub fn try_retry(&mut self, now: Timestamp) -> bool {
         let ratio = self.ratio * SPENT_PART;
         let slack = if now.since(self.started) >= self.piece * PIECES { self.slack } else { 0.0 };
         self.current(now);
         let calls: u32 = self.pieces.iter().map(|piece| piece.calls).sum();
-        if f64::from(self.repeats() + 1) > ratio * f64::from(calls) + slack {
+        if f64::from(self.retries_in_window() + 1) > ratio * f64::from(calls) + slack {
             return false;
         }
         self.current(now).repeats += 1;
--- a/crates/mesh/tests/decisions/balance.rs
+++ b/crates/mesh/tests/decisions/balance.rs
@@ -5,35 +5,35 @@
 use std::time::Duration;
 
 use crate::{milliseconds, target};
-use quillhatch_mesh::balance::{Balance, Place};
+use quillhatch_mesh::balance::{LoadBalancer, ZonePreference};
 use quillhatch_mesh::gate::Load;
 use quillhatch_types::Timestamp;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
 /// The least preference of the own zone.
-const HERE: Place<'_> = Place { zone: "here", other_zone_cost: 0.15 };
+const HERE: ZonePreference<'_> = ZonePreference { local_zone: "here", cross_zone_cost: 0.15 };
 
 #[test]
 fn the_own_zone_is_preferred_until_its_target_is_busy_or_slow() {
     let mut random = Pcg64::seed_from_u64(2);
     let targets = [target("near", "here"), target("far", "there")];
-    let mut balance = Balance::default();
-    let mut chosen = |balance: &Balance, now| {
+    let mut balance = LoadBalancer::default();
+    let mut chosen = |balance: &LoadBalancer, now| {
         let choose = |_| balance.choose(&targets, &[], HERE, now, &mut random).expect("a target").id.to_string();
         let picks: Vec<String> = (0..100).map(choose).collect();
         picks.iter().filter(|id| *id == "near").count()
     };
     assert_eq!(chosen(&balance, Timestamp::ZERO), 100);
     let near: Arc<str> = Arc::from("near");
-    balance.reported(&near, Load { running: 10, limit: 10, waiting: 3 }, 1.0, Timestamp::ZERO);
+    balance.record_load(&near, Load { running: 10, limit: 10, waiting: 3 }, 1.0, Timestamp::ZERO);
     assert_eq!(chosen(&balance, milliseconds(10)), 0, "busy");
     assert_eq!(chosen(&balance, milliseconds(2_000)), 100, "an old report is not believed");
     let read: Arc<str> = Arc::from("read");
     for step in 0..200 {
         let now = milliseconds(2_000 + step * 5);
-        balance.answered(&near, &read, Duration::from_millis(200), now);
-        balance.answered(&Arc::from("far"), &read, Duration::from_millis(50), now);
+        balance.record_response_time(&near, &read, Duration::from_millis(200), now);
+        balance.record_response_time(&Arc::from("far"), &read, Duration::from_millis(50), now);
     }
     assert_eq!(chosen(&balance, milliseconds(3_000)), 0, "slow");
 }
@@ -42,8 +42,8 @@
 fn a_failed_target_is_left_out_for_a_moment_unless_there_is_no_other() {
     let mut random = Pcg64::seed_from_u64(3);
     let targets = [target("one", "here"), target("two", "here")];
-    let mut balance = Balance::default();
-    balance.refused(&Arc::from("one"), Timestamp::ZERO);
+    let mut balance = LoadBalancer::default();
+    balance.record_refusal(&Arc::from("one"), Timestamp::ZERO);
     let mut choose = |tried: &[Arc<str>], now| {
         balance.choose(&targets, tried, HERE, now, &mut random).map(|target| target.id.to_string())
     };
@@ -59,7 +59,7 @@
 fn of_a_large_service_all_targets_are_used() {
     let mut random = Pcg64::seed_from_u64(4);
     let targets: Vec<_> = (0..500).map(|number| target(&format!("t{number}"), "here")).collect();
-    let balance = Balance::default();
+    let balance = LoadBalancer::default();
     let mut chosen: HashMap<Arc<str>, u32> = HashMap::new();
     for _ in 0..20_000 {
         let target = balance.choose(&targets, &[], HERE, Timestamp::ZERO, &mut random).expect("a target");
@@ -75,11 +75,11 @@
     // Found on the users' bench: a target that worked twelve times as long answered 504 to each call and got its full share.
     let mut random = Pcg64::seed_from_u64(5);
     let targets = [target("slow", "here"), target("good", "here")];
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let read: Arc<str> = Arc::from("read");
     for step in 0..5 {
-        balance.answered(&Arc::from("good"), &read, Duration::from_millis(100), milliseconds(step * 100));
-        balance.late(&Arc::from("slow"), &read, Duration::from_millis(1_000), milliseconds(step * 100));
+        balance.record_response_time(&Arc::from("good"), &read, Duration::from_millis(100), milliseconds(step * 100));
+        balance.record_timeout(&Arc::from("slow"), &read, Duration::from_millis(1_000), milliseconds(step * 100));
     }
     let mut picks = 0;
     for _ in 0..100 {
@@ -87,7 +87,7 @@
         picks += usize::from(*chosen.id == *"slow");
     }
     assert_eq!(picks, 0);
-    assert!(balance.suspicion_after(&read) < Duration::from_millis(500), "the route's own time stays as it was");
+    assert!(balance.liveness_probe_delay(&read) < Duration::from_millis(500), "the route's own time stays as it was");
 }
 
 #[test]
@@ -99,17 +99,17 @@
     let mut targets: Vec<_> = (0..34).map(|number| target(&format!("t{number}"), &zone(number))).collect();
     let read: Arc<str> = Arc::from("read");
     let mut random = Pcg64::seed_from_u64(6);
-    let mut balances = vec![Balance::default(); EDGES as usize];
-    let mut calls_of = |targets: &[Arc<_>], balances: &mut [Balance], from: u64| {
+    let mut balances = vec![LoadBalancer::default(); EDGES as usize];
+    let mut calls_of = |targets: &[Arc<_>], balances: &mut [LoadBalancer], from: u64| {
         let mut callers_of_joined = 0;
         for (edge, balance) in balances.iter_mut().enumerate() {
             let mut called = false;
             for call in 0..CALLS_OF_AN_EDGE {
                 let now = milliseconds(from + call * 400);
                 let chosen = balance
-                    .choose(targets, &[], Place { zone: &zone(edge as u64), ..HERE }, now, &mut random)
+                    .choose(targets, &[], ZonePreference { local_zone: &zone(edge as u64), ..HERE }, now, &mut random)
                     .expect("a target");
-                balance.answered(&chosen.id, &read, Duration::from_millis(200), now);
+                balance.record_response_time(&chosen.id, &read, Duration::from_millis(200), now);
                 called |= *chosen.id == *"joined";
             }
             callers_of_joined += usize::from(called);
@@ -132,20 +132,20 @@
     let targets = [target("near", "here"), target("far", "there")];
     let (near, far): (Arc<str>, Arc<str>) = (Arc::from("near"), Arc::from("far"));
     let read: Arc<str> = Arc::from("read");
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for step in 0..200 {
-        balance.answered(&near, &read, Duration::from_millis(30), milliseconds(step * 5));
-        balance.answered(&far, &read, Duration::from_millis(10), milliseconds(step * 5));
+        balance.record_response_time(&near, &read, Duration::from_millis(30), milliseconds(step * 5));
+        balance.record_response_time(&far, &read, Duration::from_millis(10), milliseconds(step * 5));
     }
     let now = milliseconds(1_000);
-    let mut stays = |balance: &Balance, objective| {
-        let place = balance.place("here", "read", Duration::from_millis(objective));
+    let mut stays = |balance: &LoadBalancer, objective| {
+        let place = balance.zone_preference("here", "read", Duration::from_millis(objective));
         let choose = |_| balance.choose(&targets, &[], place, now, &mut random).expect("a target").id.clone();
         (0..100).map(choose).filter(|id| *id == near).count()
     };
     assert_eq!(stays(&balance, 300), 100);
     assert_eq!(stays(&balance, 60), 0);
-    balance.reported(&near, Load { running: 10, limit: 10, waiting: 1 }, 1.0, now);
+    balance.record_load(&near, Load { running: 10, limit: 10, waiting: 1 }, 1.0, now);
     assert_eq!(stays(&balance, 300), 0, "busy");
 }
 
@@ -155,20 +155,20 @@
     let targets = [target("bad", "here"), target("good", "here")];
     let (bad, good): (Arc<str>, Arc<str>) = (Arc::from("bad"), Arc::from("good"));
     let idle = Load { running: 1, limit: 10, waiting: 0 };
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let read: Arc<str> = Arc::from("read");
     for _ in 0..100 {
-        balance.answered(&bad, &read, Duration::from_millis(10), Timestamp::ZERO);
-        balance.answered(&good, &read, Duration::from_millis(15), Timestamp::ZERO);
+        balance.record_response_time(&bad, &read, Duration::from_millis(10), Timestamp::ZERO);
+        balance.record_response_time(&good, &read, Duration::from_millis(15), Timestamp::ZERO);
     }
-    let mut chosen = |balance: &Balance, now| {
+    let mut chosen = |balance: &LoadBalancer, now| {
         let choose = |_| balance.choose(&targets, &[], HERE, now, &mut random).expect("a target").id.clone();
         (0..100).map(choose).filter(|id| *id == bad).count()
     };
-    balance.reported(&bad, idle, 0.6, Timestamp::ZERO);
-    balance.reported(&good, idle, 1.0, Timestamp::ZERO);
+    balance.record_load(&bad, idle, 0.6, Timestamp::ZERO);
+    balance.record_load(&good, idle, 1.0, Timestamp::ZERO);
     assert_eq!(chosen(&balance, milliseconds(10)), 0);
-    balance.reported(&good, Load { running: 10, limit: 10, waiting: 8 }, 1.0, milliseconds(10));
+    balance.record_load(&good, Load { running: 10, limit: 10, waiting: 8 }, 1.0, milliseconds(10));
     assert_eq!(chosen(&balance, milliseconds(20)), 100, "the good one is far too busy");
     assert!(chosen(&balance, milliseconds(9_000)) > 50, "it is tried again");
 }
--- a/crates/mesh/tests/decisions/capacity.rs
+++ b/crates/mesh/tests/decisions/capacity.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::milliseconds;
+use quillhatch_mesh::admission_level::{AdmissionLevel, MIN_ADMITTED_SHARE};
 use quillhatch_mesh::capacity::CapacityMeter;
-use quillhatch_mesh::cut::{Cut, LEAST_SHARE};
 use quillhatch_mesh::gate::Load;
 use quillhatch_mesh::mechanisms::Mechanisms;
 use quillhatch_types::Timestamp;
@@ -28,19 +28,19 @@
 fn meter_of(streams: &[Stream<'_>]) -> CapacityMeter {
     let mut meter = CapacityMeter::new(Mechanisms::default(), Timestamp::ZERO);
     for stream in streams {
-        meter.held(stream.route, HELD, Timestamp::ZERO);
+        meter.record_slot_time(stream.route, HELD, Timestamp::ZERO);
     }
     let mut due = vec![0.0; streams.len()];
     for step in 0..200 {
         for (stream, due) in streams.iter().zip(&mut due) {
             *due += f64::from(stream.each_second) * stream.share / 100.0;
             while *due >= 1.0 {
-                meter.arrived(stream.route, stream.priority, stream.share, milliseconds(step * 10));
+                meter.call_arrived(stream.route, stream.priority, stream.share, milliseconds(step * 10));
                 *due -= 1.0;
             }
         }
         // All slots are in use all the while.
-        meter.shortage(FULL, PRIORITIES, |_| Cut::OPEN, milliseconds(step * 10));
+        meter.shortage(FULL, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
     }
     meter
 }
@@ -51,8 +51,9 @@
 
 /// The cut of a route at a moment, in priorities.
 fn cut_of(meter: &mut CapacityMeter, route: &str, load: Load, now: u64) -> f64 {
-    let shortage = meter.shortage(load, PRIORITIES, |_| Cut::OPEN, milliseconds(now));
-    shortage.map_or(Cut::OPEN, |shortage| shortage.cut_of(route)).share() * f64::from(PRIORITIES)
+    let shortage = meter.shortage(load, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(now));
+    shortage.map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route)).priority_share()
+        * f64::from(PRIORITIES)
 }
 
 /// Work of the greatest importance takes 12 of 20 slots, the rest asks for 16.
@@ -83,10 +84,10 @@
     assert!(cut(&mut meter, FULL) < 2.6);
     let half = Load { running: 10, limit: 20, waiting: 0 };
     for step in 200..300 {
-        meter.arrived(&route, 2, 0.05, milliseconds(step * 10));
-        meter.shortage(half, PRIORITIES, |_| Cut::OPEN, milliseconds(step * 10));
+        meter.call_arrived(&route, 2, 0.05, milliseconds(step * 10));
+        meter.shortage(half, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
     }
-    assert!(meter.shortage(half, PRIORITIES, |_| Cut::OPEN, milliseconds(3_000)).is_none());
+    assert!(meter.shortage(half, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(3_000)).is_none());
 }
 
 /// A cut that leaves a tenth of the slots unused rises, though demand still seems to be as great.
@@ -101,10 +102,10 @@
     for step in 200..500 {
         due += 20.0;
         while due >= 1.0 {
-            meter.arrived(&route, 2, 1.0, milliseconds(step * 10));
+            meter.call_arrived(&route, 2, 1.0, milliseconds(step * 10));
             due -= 1.0;
         }
-        meter.shortage(unused, PRIORITIES, |_| Cut::OPEN, milliseconds(step * 10));
+        meter.shortage(unused, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
     }
     let after = cut_of(&mut meter, "read", unused, 5_000);
     assert!(after > before + 0.1, "{before} to {after}");
@@ -114,7 +115,7 @@
 fn the_most_important_are_shared_out_if_they_alone_are_too_many() {
     let route: Arc<str> = Arc::from("read");
     let first = Stream { route: &route, priority: 0, each_second: 2_000, share: 1.0 };
-    let last = Stream { route: &route, priority: 2, each_second: 800, share: LEAST_SHARE };
+    let last = Stream { route: &route, priority: 2, each_second: 800, share: MIN_ADMITTED_SHARE };
     let cut = cut(&mut meter_of(&[first, last]), FULL);
     assert!((0.4..0.6).contains(&cut), "{cut}");
 }
@@ -126,9 +127,9 @@
     let stream = || Stream { route: &route, priority: 2, each_second: 800, share: 1.0 };
     let mut meter = meter_of(&[stream()]);
     for number in 0..400 {
-        meter.begun_arrived(2);
+        meter.inner_call_arrived(2);
         if number % 2 == 0 {
-            meter.begun_refused(2);
+            meter.inner_call_refused(2);
         }
     }
     let cut = cut(&mut meter, FULL);
@@ -139,12 +140,18 @@
 #[test]
 fn what_another_cut_keeps_away_counts_only_with_the_share_that_comes() {
     let routes: [Arc<str>; 2] = ["parent of a scarce one", "other"].map(Arc::from);
-    let parent = Stream { route: &routes[0], priority: 2, each_second: 2_000, share: LEAST_SHARE };
+    let parent = Stream { route: &routes[0], priority: 2, each_second: 2_000, share: MIN_ADMITTED_SHARE };
     let other = Stream { route: &routes[1], priority: 2, each_second: 700, share: 1.0 };
     let mut meter = meter_of(&[parent, other]);
-    let cut_of = |route: &str| if route == &*routes[0] { Cut::after(0.5) } else { Cut::OPEN };
+    let cut_of = |route: &str| {
+        if route == &*routes[0] {
+            AdmissionLevel::from_priority_share(0.5)
+        } else {
+            AdmissionLevel::FULL
+        }
+    };
     assert!(meter.shortage(FULL, PRIORITIES, cut_of, milliseconds(2_000)).is_none());
-    assert!(meter.shortage(FULL, PRIORITIES, |_| Cut::OPEN, milliseconds(2_000)).is_some());
+    assert!(meter.shortage(FULL, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(2_000)).is_some());
 }
 
 /// Short calls that take a fifth of the slots' time, and long ones that ask for all of it.
@@ -152,15 +159,15 @@
 fn routes_of_one_priority_share_the_time_and_not_the_number_of_calls() {
     let routes: [Arc<str>; 2] = ["short", "long"].map(Arc::from);
     let mut meter = CapacityMeter::new(Mechanisms::default(), Timestamp::ZERO);
-    meter.held(&routes[0], Duration::from_millis(10), Timestamp::ZERO);
-    meter.held(&routes[1], Duration::from_millis(200), Timestamp::ZERO);
+    meter.record_slot_time(&routes[0], Duration::from_millis(10), Timestamp::ZERO);
+    meter.record_slot_time(&routes[1], Duration::from_millis(200), Timestamp::ZERO);
     for step in 0..200 {
         let now = milliseconds(step * 10);
         for _ in 0..4 {
-            meter.arrived(&routes[0], 2, 1.0, now);
+            meter.call_arrived(&routes[0], 2, 1.0, now);
         }
-        meter.arrived(&routes[1], 2, 1.0, now);
-        meter.shortage(FULL, PRIORITIES, |_| Cut::OPEN, now);
+        meter.call_arrived(&routes[1], 2, 1.0, now);
+        meter.shortage(FULL, PRIORITIES, |_| AdmissionLevel::FULL, now);
     }
     let cut = |meter: &mut CapacityMeter, route| cut_of(meter, route, FULL, 2_000);
     assert!(cut(&mut meter, "short") > 2.99);
--- a/crates/mesh/tests/decisions/gate.rs
+++ b/crates/mesh/tests/decisions/gate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::milliseconds;
-use quillhatch_mesh::gate::{Arrival, Gate, Load, Refusal};
+use quillhatch_mesh::gate::{Admission, Gate, Load, Refusal};
 use quillhatch_mesh::queue::Rank;
 use quillhatch_types::Timestamp;
 use test_case::test_case;
@@ -20,14 +20,14 @@
 fn full_gate() -> Gate {
     let mut gate = Gate::new(4);
     for _ in 0..4 {
-        assert_eq!(gate.arrive(ROOT, PATIENCE, Timestamp::ZERO).0, Arrival::Runs);
+        assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO).0, Admission::Runs);
     }
     gate
 }
 
 fn waits(gate: &mut Gate, rank: Rank) -> quillhatch_mesh::queue::Ticket {
-    match gate.arrive(rank, PATIENCE, Timestamp::ZERO).0 {
-        Arrival::Waits(ticket) => ticket,
+    match gate.admit(rank, PATIENCE, Timestamp::ZERO).0 {
+        Admission::Waits(ticket) => ticket,
         other => panic!("{other:?}"),
     }
 }
@@ -40,9 +40,9 @@
     let inner = waits(&mut gate, CALL_OF_A_TARGET);
     let mut order = Vec::new();
     for _ in 0..4 {
-        assert_eq!(gate.admit_next(), None, "no slot is free");
-        gate.finish();
-        order.extend(gate.admit_next());
+        assert_eq!(gate.admit_waiting(), None, "no slot is free");
+        gate.release_slot();
+        order.extend(gate.admit_waiting());
     }
     assert_eq!(order, [inner, important, roots[0], roots[1]]);
     assert_eq!(gate.load(), Load { running: 4, limit: 4, waiting: 0 });
@@ -57,8 +57,8 @@
     let early = waits(&mut gate, Rank { position: 100, ..CALL_OF_A_TARGET });
     let mut order = Vec::new();
     for _ in 0..3 {
-        gate.finish();
-        order.extend(gate.admit_next());
+        gate.release_slot();
+        order.extend(gate.admit_waiting());
     }
     assert_eq!(order, [early, root, late]);
 }
@@ -67,9 +67,9 @@
 fn a_full_queue_gives_the_place_of_the_least_important() {
     let mut gate = full_gate();
     let roots: Vec<_> = (0..16).map(|_| waits(&mut gate, ROOT)).collect();
-    assert_eq!(gate.arrive(ROOT, PATIENCE, Timestamp::ZERO), (Arrival::Refused(Refusal::Full), None));
-    let (arrival, displaced) = gate.arrive(IMPORTANT_ROOT, PATIENCE, Timestamp::ZERO);
-    assert!(matches!(arrival, Arrival::Waits(_)));
+    assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO), (Admission::Refused(Refusal::Overloaded), None));
+    let (arrival, displaced) = gate.admit(IMPORTANT_ROOT, PATIENCE, Timestamp::ZERO);
+    assert!(matches!(arrival, Admission::Waits(_)));
     assert!(displaced.is_some_and(|ticket| roots.contains(&ticket)));
 }
 
@@ -77,25 +77,25 @@
 fn waiting_calls_expire_and_leave() {
     let mut gate = full_gate();
     let (first, second) = (waits(&mut gate, ROOT), waits(&mut gate, ROOT));
-    assert!(gate.leave(second));
-    assert!(!gate.leave(second));
+    assert!(gate.cancel_waiting(second));
+    assert!(!gate.cancel_waiting(second));
     assert_eq!(gate.next_expiry(), Some(milliseconds(100)));
-    assert_eq!(gate.expire(milliseconds(99)), None);
-    assert_eq!(gate.expire(milliseconds(100)), Some(first));
-    assert_eq!(gate.arrive(ROOT, Duration::ZERO, Timestamp::ZERO).0, Arrival::Refused(Refusal::Full));
+    assert_eq!(gate.pop_expired(milliseconds(99)), None);
+    assert_eq!(gate.pop_expired(milliseconds(100)), Some(first));
+    assert_eq!(gate.admit(ROOT, Duration::ZERO, Timestamp::ZERO).0, Admission::Refused(Refusal::Overloaded));
 }
 
 #[test]
 fn a_closed_gate_refuses_and_sends_away_who_waits() {
     let mut gate = full_gate();
     let waiting = waits(&mut gate, ROOT);
-    assert_eq!(gate.evict(), None);
+    assert_eq!(gate.pop_refused(), None);
     gate.close();
-    assert_eq!(gate.arrive(ROOT, PATIENCE, Timestamp::ZERO).0, Arrival::Refused(Refusal::Closed));
-    assert_eq!((gate.evict(), gate.evict()), (Some(waiting), None));
+    assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO).0, Admission::Refused(Refusal::Closed));
+    assert_eq!((gate.pop_refused(), gate.pop_refused()), (Some(waiting), None));
     gate.open();
-    gate.finish();
-    assert_eq!(gate.arrive(ROOT, PATIENCE, Timestamp::ZERO).0, Arrival::Runs);
+    gate.release_slot();
+    assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO).0, Admission::Runs);
 }
 
 #[test_case(1, 1)]
--- a/crates/mesh/tests/decisions/health.rs
+++ b/crates/mesh/tests/decisions/health.rs
@@ -1,45 +1,45 @@
 //! Whether a target's answers are good.
 
 use crate::milliseconds;
-use quillhatch_mesh::health::AnswerHealth;
+use quillhatch_mesh::health::TargetHealth;
 use quillhatch_types::Timestamp;
 
 #[test]
 fn a_target_that_fails_a_part_of_its_calls_is_known_within_a_second_and_forgiven() {
-    let mut health = AnswerHealth::new(Timestamp::ZERO);
+    let mut health = TargetHealth::new(Timestamp::ZERO);
     for step in 0..100 {
         let now = milliseconds(step * 10);
         if step % 5 < 2 {
-            health.bad(now);
+            health.record_bad(now);
         } else {
-            health.good(now);
+            health.record_good(now);
         }
     }
-    let share = health.share(milliseconds(1_000));
+    let share = health.good_share(milliseconds(1_000));
     assert!((0.55..0.7).contains(&share), "{share}");
-    assert!(health.share(milliseconds(6_000)) > 0.95);
+    assert!(health.good_share(milliseconds(6_000)) > 0.95);
 }
 
 #[test]
 fn one_failure_among_few_answers_is_little_evidence() {
-    let mut health = AnswerHealth::new(Timestamp::ZERO);
-    health.bad(Timestamp::ZERO);
-    assert!(health.share(Timestamp::ZERO) > 0.8);
+    let mut health = TargetHealth::new(Timestamp::ZERO);
+    health.record_bad(Timestamp::ZERO);
+    assert!(health.good_share(Timestamp::ZERO) > 0.8);
 }
 
 #[test]
 fn errors_that_follow_from_failed_calls_are_not_the_targets() {
-    let mut health = AnswerHealth::new(Timestamp::ZERO);
+    let mut health = TargetHealth::new(Timestamp::ZERO);
     for step in 0..100 {
         let now = milliseconds(step * 10);
-        health.good(now);
-        health.call_failed(now);
-        health.error(now);
+        health.record_good(now);
+        health.record_downstream_failure(now);
+        health.record_error(now);
     }
-    assert!(health.share(milliseconds(1_000)) > 0.98);
+    assert!(health.good_share(milliseconds(1_000)) > 0.98);
     for step in 100..200 {
-        health.good(milliseconds(step * 10));
-        health.error(milliseconds(step * 10));
+        health.record_good(milliseconds(step * 10));
+        health.record_error(milliseconds(step * 10));
     }
-    assert!(health.share(milliseconds(2_000)) < 0.65);
+    assert!(health.good_share(milliseconds(2_000)) < 0.65);
 }
--- a/crates/mesh/tests/decisions/main.rs
+++ b/crates/mesh/tests/decisions/main.rs
@@ -1,9 +1,9 @@
 //! Decisions one by one, a module for each subject.
 
+mod admission_level;
 mod authentication;
 mod balance;
 mod capacity;
-mod cut;
 mod feed;
 mod freshness;
 mod gate;
--- a/crates/mesh/tests/decisions/retry_budget.rs
+++ b/crates/mesh/tests/decisions/retry_budget.rs
@@ -10,11 +10,11 @@
 fn a_budget_keeps_to_its_share_and_to_its_slack() {
     let window = Duration::from_secs(10);
     let mut budget = RetryBudget::new(0.2, window, 3.0, Timestamp::ZERO);
-    assert!(!budget.try_repeat(milliseconds(1)), "a new process does not know what was spent before it");
+    assert!(!budget.try_retry(milliseconds(1)), "a new process does not know what was spent before it");
     for _ in 0..100 {
-        budget.call(milliseconds(10));
+        budget.record_call(milliseconds(10));
     }
-    let allowed = |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_repeat(now)).count();
+    let allowed = |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_retry(now)).count();
     assert_eq!(allowed(&mut budget, milliseconds(20)), 15, "three quarters of the share");
     assert_eq!(allowed(&mut budget, milliseconds(10_015)), 3, "the calls are out of the window, the slack is there");
     assert_eq!(allowed(&mut budget, milliseconds(15_000)), 0, "the slack is not handed out twice in a window");
@@ -24,12 +24,12 @@
 fn what_arrives_again_since_a_call_above_was_repeated_is_taken_off_the_budget() {
     let mut budget = RetryBudget::new(0.2, Duration::from_secs(10), 0.0, Timestamp::ZERO);
     for _ in 0..100 {
-        budget.call(milliseconds(10));
+        budget.record_call(milliseconds(10));
     }
     for _ in 0..12 {
-        budget.inherited(milliseconds(15));
+        budget.record_inherited_retry(milliseconds(15));
     }
-    let granted = (0..100).filter(|_| budget.try_repeat(milliseconds(20))).count();
+    let granted = (0..100).filter(|_| budget.try_retry(milliseconds(20))).count();
     assert_eq!(granted, 3, "fifteen less the twelve that nobody could refuse");
 }
 
@@ -41,12 +41,12 @@
     for depth in 0..16 {
         let mut budget = RetryBudget::new(ratio, Duration::from_secs(10), 0.0, Timestamp::ZERO);
         for _ in 0..calls {
-            budget.call(milliseconds(10));
+            budget.record_call(milliseconds(10));
         }
         for _ in 0..arriving_again {
-            budget.inherited(milliseconds(10));
+            budget.record_inherited_retry(milliseconds(10));
         }
-        arriving_again += (0..calls).filter(|_| budget.try_repeat(milliseconds(20))).count();
+        arriving_again += (0..calls).filter(|_| budget.try_retry(milliseconds(20))).count();
         assert!(arriving_again as f64 <= ratio * f64::from(calls), "{arriving_again} at depth {depth}");
     }
 }
--- a/crates/mesh/tests/quarantine/fleet.rs
+++ b/crates/mesh/tests/quarantine/fleet.rs
@@ -206,14 +206,14 @@
             Event::Back { node } => self.nodes[node].is_up = true,
             Event::Datagram { to, records, cleared, from } => {
                 let quarantine = &mut self.nodes[to].quarantine;
-                quarantine.cleared(&cleared, self.now);
+                quarantine.record_cleared(&cleared, self.now);
                 let harmless = quarantine.merge(&records, self.now);
                 if !harmless.is_empty() {
                     self.send(to, from, Vec::new(), harmless);
                 }
             }
             Event::Round { node } => {
-                let records = self.nodes[node].quarantine.notable(self.now);
+                let records = self.nodes[node].quarantine.gossip_records(self.now);
                 if !records.is_empty() && self.play.telling == Telling::Datagrams {
                     let to = self.random.gen_range(0..self.play.nodes);
                     self.send(node, to, records, Vec::new());
@@ -231,7 +231,7 @@
         }
         // It asks another one, which answers with all that it knows.
         let asked = (node + 1) % self.play.nodes;
-        let records = self.nodes[asked].quarantine.all(self.now);
+        let records = self.nodes[asked].quarantine.all_records(self.now);
         self.send(asked, node, records, Vec::new());
     }
 
@@ -297,10 +297,10 @@
         gate.running.retain(|(running, ..)| *running != run);
         gate.runs.completed(run);
         let holder = if self.play.knowing == Knowing::Edges { edge } else { node };
-        let cleared = self.nodes[holder].quarantine.completed(&signature(request), self.now);
+        let cleared = self.nodes[holder].quarantine.record_completion(&signature(request), self.now);
         self.tell_all(holder, &[], &cleared);
         if self.play.telling == Telling::WithCalls && self.play.knowing == Knowing::Gates {
-            let known = self.nodes[node].quarantine.all(self.now);
+            let known = self.nodes[node].quarantine.all_records(self.now);
             self.carried[edge] = known;
         }
     }
@@ -318,21 +318,21 @@
         gate.is_up = false;
         let running = std::mem::take(&mut gate.running);
         for (run, ..) in &running {
-            gate.runs.lost(*run, Some(target.as_str().into()), self.now);
+            gate.runs.connection_lost(*run, Some(target.as_str().into()), self.now);
         }
-        let end = gate.runs.target_ended();
+        let end = gate.runs.target_crashed();
         match (self.play.knowing, end) {
             (Knowing::Gates, Some(end)) => {
-                let records = self.nodes[node].quarantine.target_ended(&end, self.now);
+                let records = self.nodes[node].quarantine.record_crash(&end, self.now);
                 self.tell_all(node, &records, &[]);
             }
             (Knowing::Edges, Some(end)) => {
                 for (_, request, edge, _) in &running {
-                    let own = quillhatch_mesh::quarantine::TargetEnd {
+                    let own = quillhatch_mesh::quarantine::TargetCrash {
                         target: end.target.clone(),
                         signatures: vec![signature(*request)],
                     };
-                    let records = self.nodes[*edge].quarantine.target_ended(&own, self.now);
+                    let records = self.nodes[*edge].quarantine.record_crash(&own, self.now);
                     self.tell_all(*edge, &records, &[]);
                 }
             }
--- a/crates/mesh/tests/shortage/fleet.rs
+++ b/crates/mesh/tests/shortage/fleet.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use quillhatch_mesh::admission_level::{AdmissionLevel, RouteAdmissionLevels};
 use quillhatch_mesh::capacity::CapacityMeter;
-use quillhatch_mesh::cut::{Cut, RouteCuts};
-use quillhatch_mesh::gate::{Arrival, Gate};
+use quillhatch_mesh::gate::{Admission, Gate};
 use quillhatch_mesh::mechanisms::Mechanisms;
 use quillhatch_mesh::queue::{Rank, Ticket};
 use quillhatch_types::Timestamp;
@@ -80,8 +80,8 @@
     pub totals: Totals,
     now: u64,
     route: Arc<str>,
-    entries: Vec<RouteCuts>,
-    between: Vec<RouteCuts>,
+    entries: Vec<RouteAdmissionLevels>,
+    between: Vec<RouteAdmissionLevels>,
     targets: Vec<Target>,
     open: usize,
     ends: BTreeMap<u64, Vec<(usize, Root)>>,
@@ -105,8 +105,8 @@
             totals: Totals::default(),
             now: 0,
             route: Arc::from("deep"),
-            entries: vec![RouteCuts::default(); entries],
-            between: vec![RouteCuts::default(); BETWEEN],
+            entries: vec![RouteAdmissionLevels::default(); entries],
+            between: vec![RouteAdmissionLevels::default(); BETWEEN],
             open: targets.len(),
             targets,
             ends: BTreeMap::new(),
@@ -150,7 +150,7 @@
         let entry = self.random.gen_range(0..self.entries.len());
         let between = self.random.gen_range(0..BETWEEN);
         let position = self.random.gen();
-        let share = self.entries[entry].cut(&self.route, self.time()).admitted_share(priority, PRIORITIES);
+        let share = self.entries[entry].level(&self.route, self.time()).admitted_share(priority, PRIORITIES);
         *self.totals.entered.entry(priority).or_default() += 1;
         if f64::from(position) / 256.0 >= share {
             *self.totals.refused.entry(priority).or_default() += 1;
@@ -166,17 +166,17 @@
         let busy = |number: usize| self.targets[number].gate.load().utilization();
         let number = if busy(one) <= busy(other) { one } else { other };
         let target = &mut self.targets[number];
-        target.meter.arrived(&self.route, root.priority, root.share, now);
-        target.meter.begun_arrived(root.priority);
+        target.meter.call_arrived(&self.route, root.priority, root.share, now);
+        target.meter.inner_call_arrived(root.priority);
         let rank = Rank { priority: root.priority, position: root.position, is_root: false };
-        let (arrival, displaced) = target.gate.arrive(rank, PATIENCE, now);
+        let (arrival, displaced) = target.gate.admit(rank, PATIENCE, now);
         let displaced = displaced.and_then(|ticket| target.waiting.remove(&ticket));
         match arrival {
-            Arrival::Runs => self.ends.entry(self.now + HELD).or_default().push((number, root)),
-            Arrival::Waits(ticket) => {
+            Admission::Runs => self.ends.entry(self.now + HELD).or_default().push((number, root)),
+            Admission::Waits(ticket) => {
                 target.waiting.insert(ticket, root);
             }
-            Arrival::Refused(_) => self.fail(number, root),
+            Admission::Refused(_) => self.fail(number, root),
         }
         if let Some(root) = displaced {
             self.fail(number, root);
@@ -187,9 +187,9 @@
         let now = self.time();
         for (number, mut root) in self.ends.remove(&self.now).unwrap_or_default() {
             let target = &mut self.targets[number];
-            target.meter.held(&self.route, Duration::from_millis(HELD), now);
-            target.gate.finish();
-            if let Some(next) = target.gate.admit_next().and_then(|ticket| target.waiting.remove(&ticket)) {
+            target.meter.record_slot_time(&self.route, Duration::from_millis(HELD), now);
+            target.gate.release_slot();
+            if let Some(next) = target.gate.admit_waiting().and_then(|ticket| target.waiting.remove(&ticket)) {
                 self.ends.entry(self.now + HELD).or_default().push((number, next));
             }
             self.report(number, &root);
@@ -206,7 +206,7 @@
     fn expire(&mut self) {
         let now = self.time();
         for number in 0..self.targets.len() {
-            while let Some(ticket) = self.targets[number].gate.expire(now) {
+            while let Some(ticket) = self.targets[number].gate.pop_expired(now) {
                 if let Some(root) = self.targets[number].waiting.remove(&ticket) {
                     self.fail(number, root);
                 }
@@ -215,7 +215,7 @@
     }
 
     fn fail(&mut self, number: usize, root: Root) {
-        self.targets[number].meter.begun_refused(root.priority);
+        self.targets[number].meter.inner_call_refused(root.priority);
         self.totals.failed += 1;
         self.report(number, &root);
         self.answer(&root);
@@ -225,15 +225,15 @@
     fn report(&mut self, number: usize, root: &Root) {
         let now = self.time();
         let target = &mut self.targets[number];
-        let shortage = target.meter.shortage(target.gate.load(), PRIORITIES, |_| Cut::OPEN, now);
-        let cut = shortage.map_or(Cut::OPEN, |shortage| shortage.cut_of(&self.route));
-        self.between[root.between].report(&self.route, cut, now);
+        let shortage = target.meter.shortage(target.gate.load(), PRIORITIES, |_| AdmissionLevel::FULL, now);
+        let cut = shortage.map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(&self.route));
+        self.between[root.between].record_report(&self.route, cut, now);
     }
 
     /// The answer of a root brings the cut of the node in between to the entry.
     fn answer(&mut self, root: &Root) {
         let now = self.time();
-        let cut = self.between[root.between].cut(&self.route, now);
-        self.entries[root.entry].report(&self.route, cut, now);
+        let cut = self.between[root.between].level(&self.route, now);
+        self.entries[root.entry].record_report(&self.route, cut, now);
     }
 }
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -72,7 +72,7 @@
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.node.balance.borrow_mut().ended(self.target);
+        self.node.balance.borrow_mut().attempt_ended(self.target);
     }
 }
 
@@ -91,7 +91,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
-    let patience = if !node.has(Mechanism::Patience) {
+    let patience = if !node.has(Mechanism::QueueTimeout) {
         left
     } else if call.is_inner {
         left.mul_f64(INNER_PATIENCE_PART)
@@ -115,7 +115,7 @@
         request.headers_mut().insert(name, value);
     }
     let address = SocketAddr::new(target.registration.address.ip(), node.settings.inbound.port());
-    node.balance.borrow_mut().sent(&target.id);
+    node.balance.borrow_mut().attempt_started(&target.id);
     let in_flight = InFlight { node, target: &target.id };
     let sent = SentFlag::default();
     let exchange = node.peers.exchange_noting(address, request, &sent);
@@ -124,12 +124,12 @@
         Exchanged::Late | Exchanged::Silent if !sent.is_set() => return Attempt::NotRun("no connection in time"),
         Exchanged::Late => {
             let now = node.now();
-            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(begun), now);
+            node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, now.since(begun), now);
             return Attempt::Late;
         }
         Exchanged::Left => {
             let now = node.now();
-            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(begun), now);
+            node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, now.since(begun), now);
             return Attempt::Left;
         }
         Exchanged::Silent => return Attempt::Broken("the node is silent".to_owned()),
@@ -140,11 +140,11 @@
     let report = response.headers().get(HOP).and_then(|value| value.to_str().ok()).and_then(Report::decode);
     let Some(report) = report else { return Attempt::Broken("an answer without a report".to_owned()) };
     let now = node.now();
-    node.balance.borrow_mut().reported(&target.id, report.load, report.health, now);
+    node.balance.borrow_mut().record_load(&target.id, report.load, report.health, now);
     if matches!(report.outcome, Outcome::Answered | Outcome::Full) {
-        node.cuts.borrow_mut().report(&call.route.name, report.cut, now);
+        node.cuts.borrow_mut().record_report(&call.route.name, report.cut, now);
     }
-    node.parents.borrow_mut().report(&call.route.name, report.called_by);
+    node.parents.borrow_mut().record_caller_kind(&call.route.name, report.called_by);
     reach::heard(node, target.registration.address.ip(), report.reach);
     if let Some(proof) = report.proof {
         node.tenancy.heard(proof, &node.configuration.borrow(), begun);
@@ -158,9 +158,9 @@
         Outcome::Answered => {
             let took = now.since(begun);
             if response.status().is_success() {
-                node.balance.borrow_mut().answered(&target.id, &call.route.name, took, now);
+                node.balance.borrow_mut().record_response_time(&target.id, &call.route.name, took, now);
             } else if response.status() == StatusCode::GATEWAY_TIMEOUT {
-                node.balance.borrow_mut().late(&target.id, &call.route.name, took, now);
+                node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, took, now);
             }
             drop(in_flight);
             relay(response, lease).await
@@ -191,7 +191,7 @@
             Attempt::Broken("broken at the target".to_owned())
         }
         Outcome::Late => {
-            node.balance.borrow_mut().late(&target.id, &call.route.name, now.since(begun), now);
+            node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, now.since(begun), now);
             finish(response, lease).await;
             Attempt::Late
         }
@@ -223,11 +223,11 @@
 /// answer would be its own.
 pub(super) fn is_worth_leaving(node: &Node, call: &Call) -> bool {
     let now = node.now();
-    let Some(mean) = node.balance.borrow().route_time(&call.route.name) else { return false };
-    node.has(Mechanism::SlowAttempts)
+    let Some(mean) = node.balance.borrow().mean_response_time(&call.route.name) else { return false };
+    node.has(Mechanism::SlowAttemptRetry)
         && !node.is_stopping()
         && call.is_inner
-        && node.cuts.borrow().cut(&call.route.name, now).share() >= ROOM_FROM
+        && node.cuts.borrow().level(&call.route.name, now).priority_share() >= ROOM_FROM
         && now.until(call.deadline) >= mean * TIMES_LEFT
 }
 
@@ -243,7 +243,7 @@
 ) -> Exchanged {
     let mut exchange = pin!(exchange);
     let end = call.deadline + DEADLINE_ALLOWANCE;
-    let suspicion = node.balance.borrow().suspicion_after(&call.route.name);
+    let suspicion = node.balance.borrow().liveness_probe_delay(&call.route.name);
     if suspicion < node.now().until(end) && call.route.repeatability == Repeatability::Repeatable {
         let suspicious_from = node.now() + suspicion;
         if let Ok(result) = node.clock.timeout_at(suspicious_from, &mut exchange).await {
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use quillhatch_mesh::configuration::{Configuration, Route};
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::parents::{Lineage, Origin, ALL_ADMITTED};
+use quillhatch_mesh::parents::{CallOrigin, InheritedContext, ALL_ADMITTED_PERMILLE};
 use quillhatch_platform::headers;
 use quillhatch_types::Timestamp;
 use rand::Rng;
@@ -15,18 +15,23 @@
 use crate::node::Node;
 
 /// What a call of this origin inherits from the call that entered the graph; one that enters here has `priority`.
-pub(super) fn lineage_of(node: &Node, priority: u8, origin: &Origin, id: &str) -> Lineage {
-    let own = Lineage { priority, position: position(id), is_repeat: false, admitted_permille: ALL_ADMITTED };
+pub(super) fn lineage_of(node: &Node, priority: u8, origin: &CallOrigin, id: &str) -> InheritedContext {
+    let own = InheritedContext {
+        priority,
+        position: position(id),
+        is_retry: false,
+        admitted_permille: ALL_ADMITTED_PERMILLE,
+    };
     match origin {
-        _ if !node.has(Mechanism::InheritedRank) => own,
-        Origin::Parent(_, lineage) => lineage.clone(),
-        Origin::Target(Some(likely)) => Lineage {
+        _ if !node.has(Mechanism::InheritedPriority) => own,
+        CallOrigin::KnownParent(_, lineage) => lineage.clone(),
+        CallOrigin::UnknownParent(Some(likely)) => InheritedContext {
             priority: likely.priority,
-            is_repeat: node.random.borrow_mut().gen_bool(likely.repeated_share.min(1.0)),
+            is_retry: node.random.borrow_mut().gen_bool(likely.retry_share.min(1.0)),
             admitted_permille: likely.admitted_permille,
             ..own
         },
-        Origin::Target(None) | Origin::Caller => own,
+        CallOrigin::UnknownParent(None) | CallOrigin::Caller => own,
     }
 }
 
@@ -45,12 +50,12 @@
     priority: u8,
     now: Timestamp,
 ) -> f64 {
-    node.cuts.borrow().cut(&route.name, now).admitted_share(priority, configuration.priorities())
+    node.cuts.borrow().level(&route.name, now).admitted_share(priority, configuration.priorities())
 }
 
 /// Whether a call that enters the graph here is refused. The same ones are let in everywhere and all the while, as long as the
 /// share does not change.
-pub(super) fn is_refused(lineage: &Lineage, share: f64) -> bool {
+pub(super) fn is_refused(lineage: &InheritedContext, share: f64) -> bool {
     f64::from(lineage.position) / 256.0 >= share
 }
 
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -19,7 +19,7 @@
 use quillhatch_mesh::authentication::Sender;
 use quillhatch_mesh::configuration::{Configuration, Route};
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::parents::{Lineage, Origin, ALL_ADMITTED};
+use quillhatch_mesh::parents::{CallOrigin, InheritedContext, ALL_ADMITTED_PERMILLE};
 use quillhatch_mesh::routing::find_route;
 use quillhatch_mesh::tenants::Tenant;
 use quillhatch_platform::headers;
@@ -48,7 +48,7 @@
     pub(super) uri: hyper::Uri,
     pub(super) headers: HeaderMap,
     pub(super) is_inner: bool,
-    pub(super) lineage: Lineage,
+    pub(super) lineage: InheritedContext,
     /// The tenant that sends it.
     pub(super) tenant: Option<Arc<Tenant>>,
     pub(super) arrived: Timestamp,
@@ -114,14 +114,14 @@
     let origin = origin(node, &route, shown, &sender, arrived);
     let priority = configuration.importance(&route, tenant.as_deref());
     let mut lineage = lineage_of(node, priority, &origin, &id);
-    let is_inner = origin != Origin::Caller;
+    let is_inner = origin != CallOrigin::Caller;
     if !is_inner && node.refuses_callers.get() {
         node.log_failure(|| {
             format!("\"event\":\"refused\",\"id\":{id:?},\"route\":\"{}\",\"why\":\"stopping\"", route.name)
         });
         return refuse(node, &id, "stopping", STOPPING_PAUSE, arrived);
     }
-    if !is_inner && node.has(Mechanism::EntryCut) {
+    if !is_inner && node.has(Mechanism::EntryAdmission) {
         if let Some(response) = cut_at_entry(node, &configuration, &route, &mut lineage, &id, arrived) {
             return response;
         }
@@ -148,7 +148,7 @@
     let _root = (!is_inner).then(|| Counted::new(&node.root_calls));
     let response = run::run(node, call, body).await;
     if is_inner && response.status().is_server_error() {
-        node.health.borrow_mut().call_failed(node.now());
+        node.health.borrow_mut().record_downstream_failure(node.now());
     }
     response
 }
@@ -159,12 +159,12 @@
     node: &Node,
     configuration: &Configuration,
     route: &Route,
-    lineage: &mut Lineage,
+    lineage: &mut InheritedContext,
     id: &str,
     arrived: Timestamp,
 ) -> Option<Response<Body>> {
     let share = admitted_share(node, configuration, route, lineage.priority, arrived);
-    lineage.admitted_permille = (share * f64::from(ALL_ADMITTED)).round() as u16;
+    lineage.admitted_permille = (share * f64::from(ALL_ADMITTED_PERMILLE)).round() as u16;
     if !is_refused(lineage, share) {
         return None;
     }
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use hyper::Response;
+use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_mesh::configuration::Repeatability;
-use quillhatch_mesh::cut::Cut;
 use quillhatch_mesh::routing::choose_service;
 use quillhatch_mesh::targets::{Target, TargetId};
 
@@ -55,7 +55,7 @@
     let Some(service) = service else {
         return refuse(node, &call.id, "no-destination", NO_DESTINATION_PAUSE, call.arrived);
     };
-    node.count_call(&service, call.lineage.is_repeat);
+    node.count_call(&service, call.lineage.is_retry);
     let offer_until = call.arrived + call.route.objective.mul_f64(super::attempt::UNOFFERED_PART);
     let mut call = call;
     let mut body = Some(body);
@@ -77,7 +77,7 @@
                 progress.tried.clear();
                 continue;
             }
-            node.cuts.borrow_mut().report(&call.route.name, Cut::after(0.0), now);
+            node.cuts.borrow_mut().record_report(&call.route.name, AdmissionLevel::from_priority_share(0.0), now);
             return give_up(&call, &progress, "no-target");
         };
         let runs_once = call.route.repeatability == Repeatability::AtMostOnce;
@@ -112,13 +112,13 @@
             }
             Attempt::NotRun(why) => {
                 node.log_failure(|| attempt_line(&call, &target, why));
-                node.balance.borrow_mut().refused(&target.id, node.now());
+                node.balance.borrow_mut().record_refusal(&target.id, node.now());
             }
             Attempt::Followed => {}
             Attempt::Rejected => {
                 node.log_failure(|| attempt_line(&call, &target, "rejected"));
                 // It refuses quickly and would attract calls, each of which costs a repeat.
-                node.balance.borrow_mut().refused(&target.id, node.now());
+                node.balance.borrow_mut().record_refusal(&target.id, node.now());
                 if !node.try_repeat(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
@@ -155,7 +155,7 @@
     let balance = node.balance.borrow();
     let now = node.now();
     let time = call.route.objective.min(now.until(call.deadline));
-    let place = balance.place(&node.settings.zone, &call.route.name, time);
+    let place = balance.zone_preference(&node.settings.zone, &call.route.name, time);
     balance.choose(members, tried, place, now, &mut *random)
 }
 
@@ -168,12 +168,12 @@
 
 /// Whether the services that calls of this route need are not short of room.
 fn has_room(node: &Node, call: &Call) -> bool {
-    node.cuts.borrow().cut(&call.route.name, node.now()).is_open()
+    node.cuts.borrow().level(&call.route.name, node.now()).admits_all()
 }
 
 /// The call is sent to a target once more; whatever is called below it is a repeat too.
 fn note_repeat(node: &Node, call: &mut Call) {
-    call.lineage.is_repeat = true;
+    call.lineage.is_retry = true;
     Counters::add(&node.counters.repeats);
 }
 
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -9,7 +9,7 @@
 use quillhatch_mesh::authentication::{authenticate, Credentials, Denial, Sender};
 use quillhatch_mesh::configuration::{Configuration, Route};
 use quillhatch_mesh::limits::OverLimit;
-use quillhatch_mesh::parents::Origin;
+use quillhatch_mesh::parents::CallOrigin;
 use quillhatch_mesh::tenants::Tenant;
 use quillhatch_platform::headers;
 use quillhatch_types::Timestamp;
@@ -58,7 +58,7 @@
     let key = key.map(|key| if has_more { b"".as_slice() } else { key.as_bytes() });
     let may_be_target = key.is_none()
         && shown.is_local(node)
-        && shown.given.is_some_and(|given| node.parents.borrow().may_call(&route.name, given, now));
+        && shown.given.is_some_and(|given| node.parents.borrow().may_originate(&route.name, given, now));
     authenticate(
         configuration,
         route,
@@ -78,7 +78,7 @@
         )
     });
     // A call without a key on a route of targets may be one whose parent has just ended.
-    let is_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_by_targets(name);
+    let is_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_only_by_targets(name);
     if denial == Denial::Stale || is_of_ended_parent {
         return refuse(node, id, why, STALE_PAUSE, now);
     }
@@ -116,25 +116,25 @@
 }
 
 /// Who makes a call; a call of this node's target is noted in the graph of calls.
-pub(super) fn origin(node: &Node, route: &Route, shown: Shown<'_>, sender: &Sender, now: Timestamp) -> Origin {
-    let Some(given) = shown.given.filter(|_| shown.is_local(node)) else { return Origin::Caller };
+pub(super) fn origin(node: &Node, route: &Route, shown: Shown<'_>, sender: &Sender, now: Timestamp) -> CallOrigin {
+    let Some(given) = shown.given.filter(|_| shown.is_local(node)) else { return CallOrigin::Caller };
     let origin = {
         let graph = node.graph.borrow();
         let rate = |parent: &Arc<str>| graph.rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
-            Sender::Tenant(_) => Origin::Caller,
-            Sender::Target => parents.origin_in_target(&route.name, given, now, rate),
+            Sender::Tenant(_) => CallOrigin::Caller,
+            Sender::Target => parents.target_call_origin(&route.name, given, now, rate),
             Sender::Anyone => parents.origin(&route.name, given, now, rate),
         }
     };
     match &origin {
-        Origin::Parent(parent, _) => node.graph.borrow_mut().called(&route.name, [(parent, 1.0)], now),
-        Origin::Target(Some(likely)) => {
-            let parents = likely.routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
-            node.graph.borrow_mut().called(&route.name, parents, now);
+        CallOrigin::KnownParent(parent, _) => node.graph.borrow_mut().record_call(&route.name, [(parent, 1.0)], now),
+        CallOrigin::UnknownParent(Some(likely)) => {
+            let parents = likely.parent_routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
+            node.graph.borrow_mut().record_call(&route.name, parents, now);
         }
-        Origin::Target(None) | Origin::Caller => {}
+        CallOrigin::UnknownParent(None) | CallOrigin::Caller => {}
     }
     origin
 }
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -13,10 +13,10 @@
 use hyper::header::{HeaderValue, CONTENT_ENCODING, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use quillhatch_mesh::callers::CalledBy;
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
+use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::gate::Refusal;
-use quillhatch_mesh::parents::Lineage;
+use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::quarantine::RequestSignature;
 use quillhatch_mesh::routing::find_route;
 use quillhatch_platform::headers;
@@ -80,7 +80,7 @@
         deadline: arrived + time,
     };
     if let (Some(route), Some(caller)) = (&call.route, text(headers, headers::CALLER_SERVICE)) {
-        node.callers.borrow_mut().count(route, caller);
+        node.callers.borrow_mut().count_call(route, caller);
     }
     let outcome = pass(&node, &call, &forwarded, parts, body).await;
     note_health(&node, &outcome);
@@ -112,7 +112,7 @@
 
 fn outcome_of(refusal: Refusal) -> Outcome {
     match refusal {
-        Refusal::Full => Outcome::Full,
+        Refusal::Overloaded => Outcome::Full,
         Refusal::Closed => Outcome::Closed,
     }
 }
@@ -123,9 +123,9 @@
     let mut health = node.health.borrow_mut();
     match outcome {
         Ok(response) if response.status() == StatusCode::GATEWAY_TIMEOUT => {}
-        Ok(response) if response.status().is_server_error() => health.error(now),
-        Ok(_) => health.good(now),
-        Err(Failure { outcome: Outcome::Rejected | Outcome::Broken, .. }) => health.bad(now),
+        Ok(response) if response.status().is_server_error() => health.record_error(now),
+        Ok(_) => health.record_good(now),
+        Err(Failure { outcome: Outcome::Rejected | Outcome::Broken, .. }) => health.record_bad(now),
         Err(_) => {}
     }
 }
@@ -144,18 +144,21 @@
 fn report(node: &Node, call: &Call, outcome: Outcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
-    let cut = call.route.as_ref().map_or(Cut::OPEN, |route| node.own_cut(route).lower(node.called_cut(route, now)));
+    let cut = call
+        .route
+        .as_ref()
+        .map_or(AdmissionLevel::FULL, |route| node.own_cut(route).lower_of(node.called_cut(route, now)));
     let present = match outcome {
         Outcome::Closed | Outcome::Rejected => {
             present_target::present(node).filter(|present| present.id != call.expected)
         }
         _ => None,
     };
-    let called_by = call.route.as_ref().map_or(CalledBy::Unknown, |route| {
+    let called_by = call.route.as_ref().map_or(CallerKind::Unknown, |route| {
         let targets = node.targets.borrow();
-        node.callers.borrow_mut().called_by(route, || targets.machine_shares())
+        node.callers.borrow_mut().caller_kind(route, || targets.machine_shares())
     });
-    let health = node.health.borrow_mut().share(now);
+    let health = node.health.borrow_mut().good_share(now);
     let (reach, proof) = (reach::own_reach(node), node.tenancy.proof(&node.configuration.borrow(), call.arrived));
     let report = Report { outcome, load, cut, health, called_by, reach, proof, present };
     if let Ok(value) = HeaderValue::from_str(&report.encode()) {
@@ -209,7 +212,7 @@
 
 /// What is noted of a call while it is at the target.
 struct Passing {
-    lineage: Lineage,
+    lineage: InheritedContext,
     signature: RequestSignature,
 }
 
--- a/crates/sidecar/src/gate/target_end.rs
+++ b/crates/sidecar/src/gate/target_end.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::quarantine::{RequestSignature, TargetEnd};
+use quillhatch_mesh::quarantine::{RequestSignature, TargetCrash};
 use quillhatch_mesh::targets::TargetId;
 use tokio::time::sleep;
 
@@ -29,16 +29,16 @@
     sleep(ALL_BREAK_WITHIN).await;
     node.is_probing_target.set(false);
     if node.runs.borrow().has_survivors() {
-        node.runs.borrow_mut().target_lives();
+        node.runs.borrow_mut().target_alive();
     }
-    if !node.runs.borrow().has_lost() {
+    if !node.runs.borrow().has_interrupted() {
         return;
     }
     match present_target::ask(&node).await {
         Identity::Known(id) => present_target::learn(&node, &id),
         Identity::Refused => {
             present_target::out_of_reach(&node);
-            let end = node.runs.borrow_mut().target_ended();
+            let end = node.runs.borrow_mut().target_crashed();
             if let Some(end) = end {
                 ended(&node, &end);
             }
@@ -50,7 +50,7 @@
 
 /// The identity of the target beside this node is known.
 pub fn identified(node: &Rc<Node>, id: &str) {
-    let end = node.runs.borrow_mut().identified(id);
+    let end = node.runs.borrow_mut().target_identified(id);
     if let Some(end) = end {
         ended(node, &end);
     }
@@ -58,16 +58,16 @@
 
 /// The target beside this node has started again under its identity `id`: the calls that broke off were running when it ended.
 pub fn target_restarted(node: &Rc<Node>, id: &TargetId) {
-    let end = node.runs.borrow_mut().restarted(id, node.now());
+    let end = node.runs.borrow_mut().target_restarted(id, node.now());
     if let Some(end) = end {
         ended(node, &end);
     }
 }
 
-fn ended(node: &Node, end: &TargetEnd) {
+fn ended(node: &Node, end: &TargetCrash) {
     log_end(node, end);
     if node.has(Mechanism::Quarantine) {
-        let suspects = node.quarantine.borrow_mut().target_ended(end, node.now());
+        let suspects = node.quarantine.borrow_mut().record_crash(end, node.now());
         node.quarantine_outbox.suspect(suspects);
     }
 }
@@ -77,7 +77,7 @@
     if !node.has(Mechanism::Quarantine) {
         return;
     }
-    let cleared = node.quarantine.borrow_mut().completed(signature, node.now());
+    let cleared = node.quarantine.borrow_mut().record_completion(signature, node.now());
     for key in &cleared {
         node.log(&format!("\"event\":\"request-cleared\",\"signature\":\"{key}\""));
     }
@@ -87,7 +87,7 @@
 /// The most signatures that one line names.
 const MOST_LOGGED: usize = 20;
 
-fn log_end(node: &Node, end: &TargetEnd) {
+fn log_end(node: &Node, end: &TargetCrash) {
     let named = end.signatures.iter().take(MOST_LOGGED);
     let named: Vec<String> = named.map(|signature| format!("\"{}\"", signature.narrow)).collect();
     let (target, count, named) = (&end.target, end.signatures.len(), named.join(","));
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -7,11 +7,11 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-use quillhatch_mesh::callers::CalledBy;
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
+use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::freshness::FreshnessProof;
 use quillhatch_mesh::gate::Load;
-use quillhatch_mesh::parents::Lineage;
+use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::replica::Position;
 
 /// The name of the header.
@@ -50,7 +50,7 @@
     /// Whether the call enters the graph at the edge, rather than being made by a target.
     pub is_root: bool,
     /// The importance and the position of the call that entered the graph.
-    pub lineage: Lineage,
+    pub lineage: InheritedContext,
     /// For how long it may wait at the gate.
     pub patience: Duration,
     /// How far the edge's view of the store reaches.
@@ -62,11 +62,11 @@
 impl Forwarded {
     /// The header's text.
     pub fn encode(&self) -> String {
-        let Lineage { priority, position, is_repeat, admitted_permille } = self.lineage;
-        let (is_root, is_repeat) = (u8::from(self.is_root), u8::from(is_repeat));
+        let InheritedContext { priority, position, is_retry, admitted_permille } = self.lineage;
+        let (is_root, is_retry) = (u8::from(self.is_root), u8::from(is_retry));
         let patience = self.patience.as_millis();
         let (reach, machine) = (self.reach.encode(), self.machine);
-        format!("{is_root};{priority};{position};{is_repeat};{admitted_permille};{patience};{reach};{machine}")
+        format!("{is_root};{priority};{position};{is_retry};{admitted_permille};{patience};{reach};{machine}")
     }
 
     /// Reads the header's text.
@@ -74,8 +74,8 @@
         let mut parts = text.split(';');
         let is_root = parts.next()? == "1";
         let (priority, position) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-        let (is_repeat, admitted_permille) = (parts.next()? == "1", parts.next()?.parse().ok()?);
-        let lineage = Lineage { priority, position, is_repeat, admitted_permille };
+        let (is_retry, admitted_permille) = (parts.next()? == "1", parts.next()?.parse().ok()?);
+        let lineage = InheritedContext { priority, position, is_retry, admitted_permille };
         let patience = Duration::from_millis(parts.next()?.parse().ok()?);
         let reach = Reach::decode(parts.next()?)?;
         let machine = parts.next()?.parse().ok()?;
@@ -153,11 +153,11 @@
     /// The gate's load.
     pub load: Load,
     /// Where the route's calls are to be cut where they enter.
-    pub cut: Cut,
+    pub cut: AdmissionLevel,
     /// The share of the target's answers that are good.
     pub health: f64,
     /// Who calls the route.
-    pub called_by: CalledBy,
+    pub called_by: CallerKind,
     /// How far the gate's view of the store reaches.
     pub reach: Reach,
     /// When the gate's configuration was known to be the newest, if that is needed and known.
@@ -175,19 +175,19 @@
     pub service: String,
 }
 
-fn encode_called_by(called_by: CalledBy) -> u8 {
+fn encode_called_by(called_by: CallerKind) -> u8 {
     match called_by {
-        CalledBy::Unknown => 0,
-        CalledBy::Targets => 1,
-        CalledBy::Callers => 2,
+        CallerKind::Unknown => 0,
+        CallerKind::TargetsOnly => 1,
+        CallerKind::IncludesCallers => 2,
     }
 }
 
-fn decode_called_by(number: u64) -> CalledBy {
+fn decode_called_by(number: u64) -> CallerKind {
     match number {
-        1 => CalledBy::Targets,
-        2 => CalledBy::Callers,
-        _ => CalledBy::Unknown,
+        1 => CallerKind::TargetsOnly,
+        2 => CallerKind::IncludesCallers,
+        _ => CallerKind::Unknown,
     }
 }
 
@@ -204,7 +204,7 @@
     /// The header's text.
     pub fn encode(&self) -> String {
         let Load { running, limit, waiting } = self.load;
-        let cut = (self.cut.share() * CUT_STEPS).round() as u32;
+        let cut = (self.cut.priority_share() * CUT_STEPS).round() as u32;
         let health = (self.health * HEALTH_STEPS).round() as u32;
         let called_by = encode_called_by(self.called_by);
         let letter = self.outcome.letter();
@@ -225,7 +225,7 @@
         let outcome = Outcome::of(parts.next()?)?;
         let mut number = || parts.next()?.parse::<u64>().ok();
         let load = Load { running: number()? as u32, limit: number()? as u32, waiting: number()? as u32 };
-        let cut = Cut::after(number()? as f64 / CUT_STEPS);
+        let cut = AdmissionLevel::from_priority_share(number()? as f64 / CUT_STEPS);
         let health = number()? as f64 / HEALTH_STEPS;
         let called_by = decode_called_by(number()?);
         let reach = Reach::decode(parts.next()?)?;
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -12,7 +12,7 @@
         ("gate_limit", f64::from(load.limit)),
         ("gate_waiting", f64::from(load.waiting)),
         ("gate_is_short", f64::from(u8::from(node.shortage().is_some()))),
-        ("target_health", node.health.borrow_mut().share(node.now())),
+        ("target_health", node.health.borrow_mut().good_share(node.now())),
         ("quarantine_suspects", node.quarantine.borrow().len() as f64),
         ("edge_running", node.edge_calls.get() as f64),
         ("tenants", node.current_configuration().map_or(0.0, |current| current.tenants.len() as f64)),
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillhatch_mesh::balance::Balance;
-use quillhatch_mesh::callers::CallerShares;
+use quillhatch_mesh::admission_level::{AdmissionLevel, RouteAdmissionLevels};
+use quillhatch_mesh::balance::LoadBalancer;
+use quillhatch_mesh::call_graph::CallGraph;
+use quillhatch_mesh::callers::RouteCallerCounts;
 use quillhatch_mesh::capacity::{CapacityMeter, Shortage};
 use quillhatch_mesh::configuration::{Configuration, ConfigurationInForce};
-use quillhatch_mesh::cut::{Cut, RouteCuts};
-use quillhatch_mesh::demand::CallGraph;
 use quillhatch_mesh::feed::LoneReadings;
 use quillhatch_mesh::gate::Gate;
-use quillhatch_mesh::health::AnswerHealth;
+use quillhatch_mesh::health::TargetHealth;
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::parents::Parents;
+use quillhatch_mesh::parents::ParentTracker;
 use quillhatch_mesh::quarantine::{Quarantine, RunTracker};
 use quillhatch_mesh::queue::Ticket;
 use quillhatch_mesh::replica::{Position, Replica};
@@ -83,21 +83,21 @@
     /// Whether the list of targets was read at least once.
     pub targets_known: Cell<bool>,
     /// What is known of other targets.
-    pub balance: RefCell<Balance>,
+    pub balance: RefCell<LoadBalancer>,
     /// Where the calls of routes are cut.
-    pub cuts: RefCell<RouteCuts>,
+    pub cuts: RefCell<RouteAdmissionLevels>,
     /// Which routes the calls of a route call.
     pub graph: RefCell<CallGraph>,
     /// The calls that run at this node's target.
-    pub parents: RefCell<Parents>,
+    pub parents: RefCell<ParentTracker>,
     /// From where the calls of this node's routes come.
-    pub callers: RefCell<CallerShares>,
+    pub callers: RefCell<RouteCallerCounts>,
     /// The gate before this node's target.
     pub gate: RefCell<Gate>,
     /// What is asked of this node's target.
     pub capacity: RefCell<CapacityMeter>,
     /// Whether this node's target gives good answers.
-    pub health: RefCell<AnswerHealth>,
+    pub health: RefCell<TargetHealth>,
     /// The calls that this node's target works on, and those that broke off.
     pub runs: RefCell<RunTracker>,
     /// Whether it is being found out if the target has ended.
@@ -205,14 +205,14 @@
             verifying: tokio::sync::Mutex::default(),
             kept_target: KeptTargetState::default(),
             targets_known: Cell::new(false),
-            balance: RefCell::new(Balance::new(settings.mechanisms)),
+            balance: RefCell::new(LoadBalancer::new(settings.mechanisms)),
             cuts: RefCell::default(),
             graph: RefCell::new(CallGraph::new(now)),
             parents: RefCell::default(),
             callers: RefCell::default(),
             gate: RefCell::new(Gate::new(FALLBACK_SLOTS)),
             capacity: RefCell::new(CapacityMeter::new(settings.mechanisms, now)),
-            health: RefCell::new(AnswerHealth::new(now)),
+            health: RefCell::new(TargetHealth::new(now)),
             runs: RefCell::default(),
             is_probing_target: Cell::new(false),
             quarantine: RefCell::new(Quarantine::new(rand::random())),
@@ -272,7 +272,7 @@
 
     /// Whether a mechanism is switched on.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        self.settings.mechanisms.has(mechanism)
+        self.settings.mechanisms.is_enabled(mechanism)
     }
 
     /// The configuration in force.
@@ -298,12 +298,12 @@
     }
 
     /// Where the calls of a route are to be cut for want of slots at this node's target.
-    pub fn own_cut(&self, route: &str) -> Cut {
-        self.shortage().map_or(Cut::OPEN, |shortage| shortage.cut_of(route))
+    pub fn own_cut(&self, route: &str) -> AdmissionLevel {
+        self.shortage().map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route))
     }
 
     /// The lowest cut of the routes that calls of `route` call.
-    pub fn called_cut(&self, route: &str, now: Timestamp) -> Cut {
+    pub fn called_cut(&self, route: &str, now: Timestamp) -> AdmissionLevel {
         self.cuts.borrow().lowest(self.graph.borrow().called_by(route), now)
     }
 
@@ -325,12 +325,15 @@
 
     /// Spends one repeat towards a service, if the budget has it.
     pub fn try_repeat(&self, service: &Arc<str>) -> bool {
-        self.has(Mechanism::Repeats) && self.with_budget(service, RetryBudget::try_repeat)
+        self.has(Mechanism::Retries) && self.with_budget(service, RetryBudget::try_retry)
     }
 
     /// Counts a call of a service for the budget of repeats; one below a repeated call is a repeat itself.
     pub fn count_call(&self, service: &Arc<str>, is_repeat: bool) {
-        self.with_budget(service, if is_repeat { RetryBudget::inherited } else { RetryBudget::call });
+        self.with_budget(
+            service,
+            if is_repeat { RetryBudget::record_inherited_retry } else { RetryBudget::record_call },
+        );
     }
 
     fn with_budget<T>(&self, service: &Arc<str>, action: impl FnOnce(&mut RetryBudget, Timestamp) -> T) -> T {
--- a/crates/sidecar/src/presence.rs
+++ b/crates/sidecar/src/presence.rs
@@ -36,12 +36,12 @@
 
 /// Whether the node beside `target`, of which nothing was heard since `since`, is there.
 pub async fn is_there(node: &Rc<Node>, target: &Target, since: Timestamp) -> bool {
-    if !node.has(Mechanism::PresenceProbes) {
+    if !node.has(Mechanism::LivenessProbes) {
         return true;
     }
     let peer = target.registration.address.ip();
     let _asking = node.asking_presence.lock(peer).await;
-    if node.balance.borrow().heard(&target.id) > since {
+    if node.balance.borrow().last_contact(&target.id) > since {
         return true;
     }
     let known = node.presences.borrow().get(&peer).copied();
@@ -52,10 +52,10 @@
     let presence = Presence { asked: node.now(), is_there };
     node.presences.borrow_mut().insert(peer, presence);
     if is_there {
-        node.balance.borrow_mut().answered_presence(&target.id, presence.asked);
+        node.balance.borrow_mut().record_contact(&target.id, presence.asked);
     } else {
         node.log(&format!("\"event\":\"node-silent\",\"peer\":\"{peer}\",\"target\":\"{}\"", target.id));
-        node.balance.borrow_mut().silent(&target.id, node.now());
+        node.balance.borrow_mut().record_unresponsive(&target.id, node.now());
     }
     is_there
 }
@@ -64,7 +64,7 @@
 ///
 /// A call that may run only once can't leave a node that turns out to be silent, so this comes before it is sent.
 pub async fn is_there_now(node: &Rc<Node>, target: &Target) -> bool {
-    let heard = node.balance.borrow().heard(&target.id);
+    let heard = node.balance.borrow().last_contact(&target.id);
     let now = node.now();
     now.since(heard) < HEARD_LATELY || is_there(node, target, now).await
 }
--- a/crates/sidecar/src/quarantine/messages.rs
+++ b/crates/sidecar/src/quarantine/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use quillhatch_mesh::quarantine::{EndId, SignatureKey, SuspectRecord};
+use quillhatch_mesh::quarantine::{CrashId, SignatureKey, SuspectRecord};
 use quillhatch_messages::generated::quarantine as wire;
 
 /// A message of the gate of a target of `service`.
@@ -18,7 +18,7 @@
 fn write_record(record: &SuspectRecord) -> wire::SuspectRecord {
     wire::SuspectRecord {
         key: record.key.0,
-        ends: record.ends.iter().map(|end| end.0).collect(),
+        ends: record.crashes.iter().map(|end| end.0).collect(),
         age_ms: record.age.as_millis() as u64,
     }
 }
@@ -27,7 +27,7 @@
 pub(super) fn read_record(record: &wire::SuspectRecord) -> SuspectRecord {
     SuspectRecord {
         key: SignatureKey(record.key),
-        ends: record.ends.iter().map(|end| EndId(*end)).collect(),
+        crashes: record.ends.iter().map(|end| CrashId(*end)).collect(),
         age: Duration::from_millis(record.age_ms),
     }
 }
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -79,7 +79,7 @@
     /// How long until something is due; `None` if nothing is.
     fn pause(&self) -> Option<Duration> {
         let now = self.node.now();
-        let has_round = self.node.quarantine_outbox.has_queries() || self.node.quarantine.borrow().has_notable();
+        let has_round = self.node.quarantine_outbox.has_queries() || self.node.quarantine.borrow().has_gossip();
         let round = has_round.then_some(self.next_round);
         let again = self.again.front().map(|(at, _)| *at);
         round.into_iter().chain(again).min().map(|at| now.until(at))
@@ -120,8 +120,8 @@
     async fn gossip(&self, now: Timestamp) {
         let records = {
             let mut quarantine = self.node.quarantine.borrow_mut();
-            quarantine.forget(now);
-            quarantine.notable(now)
+            quarantine.remove_expired(now);
+            quarantine.gossip_records(now)
         };
         if records.is_empty() {
             return;
@@ -153,13 +153,13 @@
         let cleared: Vec<SignatureKey> = received.cleared.iter().map(|key| SignatureKey(*key)).collect();
         let harmless = {
             let mut quarantine = node.quarantine.borrow_mut();
-            quarantine.cleared(&cleared, now);
+            quarantine.record_cleared(&cleared, now);
             quarantine.merge(&records, now)
         };
         if !received.asks {
             node.quarantine_outbox.answered();
         }
-        let known = if received.asks { node.quarantine.borrow().all(now) } else { Vec::new() };
+        let known = if received.asks { node.quarantine.borrow().all_records(now) } else { Vec::new() };
         if received.asks || !harmless.is_empty() {
             self.send_all(&message(&node.settings.service, &known, &harmless), &[from.ip()]).await;
         }
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -197,7 +197,7 @@
         settings.zone,
         settings.service,
         settings.outbound,
-        settings.mechanisms.names_off()
+        settings.mechanisms.disabled_names()
     ));
     let accepting = [accepting_callers, accepting_peers];
     Ok(Running { node, end_connections, open, leading_away, accepting, tasks })
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -123,7 +123,7 @@
 /// A target has started again under its identity: nothing that was learnt of it before holds.
 fn restarted(node: &Rc<Node>, id: &TargetId) {
     node.log(&format!("\"event\":\"target-restarted\",\"target\":\"{id}\""));
-    node.balance.borrow_mut().forget(id);
+    node.balance.borrow_mut().reset_target(id);
     if node.present.borrow().as_ref() == Some(id) {
         present_target::restarted(node, id);
     }
@@ -145,7 +145,7 @@
 fn remove_gone(node: &Node, gone: &[TargetId]) {
     let (now, until) = (node.now(), node.registered_again_by.get());
     let mut targets = node.targets.borrow_mut();
-    if !node.has(Mechanism::KeptTargets) {
+    if !node.has(Mechanism::RetainedTargets) {
         gone.iter().for_each(|id| targets.remove(id));
     } else if until > now {
         targets.remove_after_outage(gone, until, now);
@@ -199,7 +199,7 @@
 /// Lets the gate, the balance and the node's place among the others follow the list of targets.
 pub fn changed(node: &Rc<Node>) {
     let targets = node.targets.borrow();
-    node.balance.borrow_mut().retain(|id| targets.get(id).is_some());
+    node.balance.borrow_mut().retain_targets(|id| targets.get(id).is_some());
     let configuration = node.current_configuration();
     // An entry that names an unknown service may have come from anyone.
     let is_known = |service: &str| configuration.as_ref().is_none_or(|current| current.services.contains_key(service));
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -237,7 +237,7 @@
         }
         // Where one change is, more follow; each answer has its price. A change that comes while none was gathered is known at
         // once, since the watch waits for it.
-        if has_changes && node.has(Mechanism::GatheredChanges) {
+        if has_changes && node.has(Mechanism::BatchedReads) {
             sleep(node.settings.bounds.gather()).await;
         }
     }
--- a/crates/sidecar/src/tenancy.rs
+++ b/crates/sidecar/src/tenancy.rs
@@ -39,7 +39,7 @@
             coordinator: RefCell::new(LimitCoordinator::new(bounds.limits)),
             surge: Notify::new(),
             machines: Cell::new(0),
-            hears_others: settings.mechanisms.has(Mechanism::HeardFreshness),
+            hears_others: settings.mechanisms.is_enabled(Mechanism::PeerFreshness),
         }
     }
 
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_sidecar::node::Node;
 use quillhatch_sidecar::node::Stage;
 use support::caller::{call, request, Answer, Caller};
@@ -140,7 +140,11 @@
         let mut refused = 0;
         for number in 0..40 {
             let node = beta.node();
-            node.cuts.borrow_mut().report(&Arc::from("read"), Cut::after(0.0), node.now());
+            node.cuts.borrow_mut().record_report(
+                &Arc::from("read"),
+                AdmissionLevel::from_priority_share(0.0),
+                node.now(),
+            );
             let answer = call(beta.outbound(), &read(&format!("r{number}"))).await.expect("an answer");
             if answer.status == 503 {
                 assert!(IN_TIME.contains(&told_to_come_back(&answer)), "{}", told_to_come_back(&answer));
@@ -302,7 +306,8 @@
             assert_eq!(answer.status, 200);
         }
         let counted = || {
-            let repeats = |node: &Node| node.budgets.borrow().get("beta").map_or(0, |budget| budget.repeats());
+            let repeats =
+                |node: &Node| node.budgets.borrow().get("beta").map_or(0, |budget| budget.retries_in_window());
             alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -221,7 +221,7 @@
         alpha.sidecar.stop().await;
         let restarted = start_sidecar(address, "alpha", target, store);
         eventually("it is ready", || restarted.node.is_ready()).await;
-        eventually("it has learnt", || restarted.node.quarantine.borrow().has_notable()).await;
+        eventually("it has learnt", || restarted.node.quarantine.borrow().has_gossip()).await;
         let outbound = SocketAddr::from((address, OUTBOUND));
         for number in 0..20 {
             fleet.heartbeat();
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_sidecar::reach::{heard, own_reach};
 use support::caller::{call, request};
 use support::store::{Mode, StandInStore};
@@ -99,7 +99,11 @@
         assert!(lines_of("given-up", "load-").iter().any(|line| line["may_have_run"] == false));
         for route in ["read"] {
             for _ in 0..200 {
-                beta.node().cuts.borrow_mut().report(&route.into(), Cut::after(0.0), beta.node().now());
+                beta.node().cuts.borrow_mut().record_report(
+                    &route.into(),
+                    AdmissionLevel::from_priority_share(0.0),
+                    beta.node().now(),
+                );
             }
         }
         let mut number = 0;
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use proptest::prelude::{any, proptest};
-use quillhatch_mesh::callers::CalledBy;
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
+use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::freshness::FreshnessProof;
 use quillhatch_mesh::gate::Load;
-use quillhatch_mesh::parents::Lineage;
+use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::replica::Position;
 use quillhatch_messages::generated::limits::LimitMessage;
 use quillhatch_messages::generated::quarantine::QuarantineMessage;
@@ -22,7 +22,7 @@
 fn what_an_edge_tells_a_gate_is_read_as_it_was_written() {
     let forwarded = Forwarded {
         is_root: true,
-        lineage: Lineage { priority: 2, position: 255, is_repeat: true, admitted_permille: 250 },
+        lineage: InheritedContext { priority: 2, position: 255, is_retry: true, admitted_permille: 250 },
         patience: Duration::from_millis(330),
         reach: Reach { position: Position { era: 2, revision: 77 }, is_cut_off: true },
         machine: IpAddr::from([10, 1, 0, 8]),
@@ -41,9 +41,9 @@
             let report = Report {
                 outcome,
                 load: Load { running: 3, limit: 36, waiting: 144 },
-                cut: Cut::after(0.125),
+                cut: AdmissionLevel::from_priority_share(0.125),
                 health: 0.75,
-                called_by: CalledBy::Targets,
+                called_by: CallerKind::TargetsOnly,
                 reach: Reach { position: Position::default(), is_cut_off: false },
                 proof,
                 present,
