--- a/crates/mesh/src/balance.rs
+++ b/crates/mesh/src/balance.rs
@@ -207,7 +207,7 @@
     ///
     /// A target that is so slow that none of its calls ends in time shows in nothing else. The mean time of the route is
     /// left alone, since it is not known how long the call would have taken.
-    pub fn record_timeout(&mut self, target: &TargetId, route: &Arc<str>, after: Duration, now: Timestamp) {
+    pub fn record_unfinished(&mut self, target: &TargetId, route: &Arc<str>, after: Duration, now: Timestamp) {
         let Some(mean) = self.route_times.get(route).map(|time| time.seconds) else { return };
         let after = after.as_secs_f64();
         if after > mean {
--- a/crates/mesh/tests/decisions/balance.rs
+++ b/crates/mesh/tests/decisions/balance.rs
@@ -79,7 +79,7 @@
     let read: Arc<str> = Arc::from("read");
     for step in 0..5 {
         balance.record_response_time(&Arc::from("good"), &read, Duration::from_millis(100), milliseconds(step * 100));
-        balance.record_timeout(&Arc::from("slow"), &read, Duration::from_millis(1_000), milliseconds(step * 100));
+        balance.record_unfinished(&Arc::from("slow"), &read, Duration::from_millis(1_000), milliseconds(step * 100));
     }
     let mut picks = 0;
     for _ in 0..100 {
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -124,12 +124,12 @@
         Exchanged::Late | Exchanged::Silent if !sent.is_set() => return Attempt::NotRun("no connection in time"),
         Exchanged::Late => {
             let now = node.now();
-            node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, now.since(begun), now);
+            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(begun), now);
             return Attempt::Late;
         }
         Exchanged::Left => {
             let now = node.now();
-            node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, now.since(begun), now);
+            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(begun), now);
             return Attempt::Left;
         }
         Exchanged::Silent => return Attempt::Broken("the node is silent".to_owned()),
@@ -160,7 +160,7 @@
             if response.status().is_success() {
                 node.balance.borrow_mut().record_response_time(&target.id, &call.route.name, took, now);
             } else if response.status() == StatusCode::GATEWAY_TIMEOUT {
-                node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, took, now);
+                node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, took, now);
             }
             drop(in_flight);
             relay(response, lease).await
@@ -191,7 +191,7 @@
             Attempt::Broken("broken at the target".to_owned())
         }
         Outcome::Late => {
-            node.balance.borrow_mut().record_timeout(&target.id, &call.route.name, now.since(begun), now);
+            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(begun), now);
             finish(response, lease).await;
             Attempt::Late
         }
