--- a/crates/mesh/src/queue.rs
+++ b/crates/mesh/src/queue.rs
@@ -1,18 +1,19 @@
-//! Calls that wait for a slot of the target, the most important first, each with a time at which it stops waiting.
+//! The queue of calls that wait for a slot of the target: a priority queue in which each call has an expiry time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use quillhatch_types::Timestamp;
 
-/// The place of a call in the order of service; a lower one is served first.
+/// The order of service; a call with a lower rank is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank {
-    /// The importance of the call that entered the graph; 0 is the greatest.
+    /// The priority of the call that entered the graph; 0 is the highest.
     pub priority: u8,
-    /// The position of the call that entered the graph; all nodes serve the same ones first, so that little work is done for
-    /// calls that are refused further down.
+    /// The position of the call that entered the graph. All nodes serve the same positions first, so that little work
+    /// is done for calls that are refused further down.
     pub position: u8,
-    /// Whether the call enters the graph here; calls of a running parent go first, since work was already done for them.
+    /// Whether the call enters the graph here. Calls of a running parent are served before it, since work was already
+    /// done for them.
     pub is_root: bool,
 }
 
@@ -32,17 +33,17 @@
 }
 
 impl WaitingQueue {
-    /// The number of waiting calls.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.by_rank.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.by_rank.is_empty()
     }
 
-    /// The number of waiting calls that would leave before a newcomer of `rank`.
+    /// Returns the number of waiting calls that would be served before a new call of `rank`.
     pub fn count_ahead_of(&self, rank: Rank) -> usize {
         self.by_rank.range(..=Ticket { rank, sequence: u64::MAX }).count()
     }
@@ -56,27 +57,27 @@
         ticket
     }
 
-    /// Takes a call out, and says whether it was still waiting.
+    /// Removes a call; returns whether it was still waiting.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
         let Some(expires) = self.by_rank.remove(&ticket) else { return false };
         self.by_expiry.remove(&(expires, ticket));
         true
     }
 
-    /// Takes out the call that is served next.
+    /// Removes and returns the call that is served next.
     pub fn pop(&mut self) -> Option<Ticket> {
         let (ticket, expires) = self.by_rank.pop_first()?;
         self.by_expiry.remove(&(expires, ticket));
         Some(ticket)
     }
 
-    /// The least important of the waiting calls, if it is less important than `rank`.
-    pub fn lowest_ranked_behind(&self, rank: Rank) -> Option<Ticket> {
+    /// Returns the last waiting call in the order of service, if it ranks behind `rank`.
+    pub fn last_behind(&self, rank: Rank) -> Option<Ticket> {
         let (ticket, _) = self.by_rank.last_key_value()?;
         (ticket.rank > rank).then_some(*ticket)
     }
 
-    /// Takes out a call whose time to wait is over.
+    /// Removes and returns a call that has expired.
     pub fn pop_expired(&mut self, now: Timestamp) -> Option<Ticket> {
         let (expires, ticket) = *self.by_expiry.first()?;
         if expires > now {
@@ -86,7 +87,7 @@
         Some(ticket)
     }
 
-    /// When the next call stops waiting.
+    /// Returns when the next call expires.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         self.by_expiry.first().map(|(expires, _)| *expires)
     }
--- a/crates/mesh/tests/decisions/balance.rs
+++ b/crates/mesh/tests/decisions/balance.rs
@@ -1,4 +1,4 @@
-//! The choice among targets.
+//! The choice of a target by the load balancer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,41 +11,41 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// The least preference of the own zone.
-const HERE: ZonePreference<'_> = ZonePreference { local_zone: "here", cross_zone_cost: 0.15 };
+/// The local zone with the minimum cost of another zone.
+const LOCAL_ZONE: ZonePreference<'_> = ZonePreference { local_zone: "here", cross_zone_cost: 0.15 };
 
 #[test]
-fn the_own_zone_is_preferred_until_its_target_is_busy_or_slow() {
+fn the_local_zone_is_preferred_until_its_target_is_busy_or_slow() {
     let mut random = Pcg64::seed_from_u64(2);
-    let targets = [target("near", "here"), target("far", "there")];
-    let mut balance = LoadBalancer::default();
-    let mut chosen = |balance: &LoadBalancer, now| {
-        let choose = |_| balance.choose(&targets, &[], HERE, now, &mut random).expect("a target").id.to_string();
+    let targets = [target("local", "here"), target("remote", "there")];
+    let mut balancer = LoadBalancer::default();
+    let mut chosen = |balancer: &LoadBalancer, now| {
+        let choose = |_| balancer.choose(&targets, &[], LOCAL_ZONE, now, &mut random).expect("a target").id.to_string();
         let picks: Vec<String> = (0..100).map(choose).collect();
-        picks.iter().filter(|id| *id == "near").count()
+        picks.iter().filter(|id| *id == "local").count()
     };
-    assert_eq!(chosen(&balance, Timestamp::ZERO), 100);
-    let near: Arc<str> = Arc::from("near");
-    balance.record_load(&near, Load { running: 10, limit: 10, waiting: 3 }, 1.0, Timestamp::ZERO);
-    assert_eq!(chosen(&balance, milliseconds(10)), 0, "busy");
-    assert_eq!(chosen(&balance, milliseconds(2_000)), 100, "an old report is not believed");
+    assert_eq!(chosen(&balancer, Timestamp::ZERO), 100);
+    let local: Arc<str> = Arc::from("local");
+    balancer.record_load(&local, Load { running: 10, limit: 10, waiting: 3 }, 1.0, Timestamp::ZERO);
+    assert_eq!(chosen(&balancer, milliseconds(10)), 0, "busy");
+    assert_eq!(chosen(&balancer, milliseconds(2_000)), 100, "an old report has no effect");
     let read: Arc<str> = Arc::from("read");
     for step in 0..200 {
         let now = milliseconds(2_000 + step * 5);
-        balance.record_response_time(&near, &read, Duration::from_millis(200), now);
-        balance.record_response_time(&Arc::from("far"), &read, Duration::from_millis(50), now);
+        balancer.record_response_time(&local, &read, Duration::from_millis(200), now);
+        balancer.record_response_time(&Arc::from("remote"), &read, Duration::from_millis(50), now);
     }
-    assert_eq!(chosen(&balance, milliseconds(3_000)), 0, "slow");
+    assert_eq!(chosen(&balancer, milliseconds(3_000)), 0, "slow");
 }
 
 #[test]
-fn a_failed_target_is_left_out_for_a_moment_unless_there_is_no_other() {
+fn a_failed_target_is_avoided_for_a_moment_unless_there_is_no_other() {
     let mut random = Pcg64::seed_from_u64(3);
     let targets = [target("one", "here"), target("two", "here")];
-    let mut balance = LoadBalancer::default();
-    balance.record_refusal(&Arc::from("one"), Timestamp::ZERO);
+    let mut balancer = LoadBalancer::default();
+    balancer.record_refusal(&Arc::from("one"), Timestamp::ZERO);
     let mut choose = |tried: &[Arc<str>], now| {
-        balance.choose(&targets, tried, HERE, now, &mut random).map(|target| target.id.to_string())
+        balancer.choose(&targets, tried, LOCAL_ZONE, now, &mut random).map(|target| target.id.to_string())
     };
     for _ in 0..20 {
         assert_eq!(choose(&[], milliseconds(100)).as_deref(), Some("two"));
@@ -56,119 +56,129 @@
 }
 
 #[test]
-fn of_a_large_service_all_targets_are_used() {
+fn all_targets_of_a_large_service_are_used() {
     let mut random = Pcg64::seed_from_u64(4);
     let targets: Vec<_> = (0..500).map(|number| target(&format!("t{number}"), "here")).collect();
-    let balance = LoadBalancer::default();
+    let balancer = LoadBalancer::default();
     let mut chosen: HashMap<Arc<str>, u32> = HashMap::new();
     for _ in 0..20_000 {
-        let target = balance.choose(&targets, &[], HERE, Timestamp::ZERO, &mut random).expect("a target");
+        let target = balancer.choose(&targets, &[], LOCAL_ZONE, Timestamp::ZERO, &mut random).expect("a target");
         *chosen.entry(target.id.clone()).or_default() += 1;
     }
     assert_eq!(chosen.len(), 500);
-    assert!(chosen.values().all(|count| *count < 120), "40 each on the mean");
-    assert!(balance.choose(&[], &[], HERE, Timestamp::ZERO, &mut random).is_none());
+    assert!(chosen.values().all(|count| *count < 120), "40 each on average");
+    assert!(balancer.choose(&[], &[], LOCAL_ZONE, Timestamp::ZERO, &mut random).is_none());
 }
 
 #[test]
-fn a_target_whose_calls_all_end_late_is_used_less() {
-    // Found on the users' bench: a target that worked twelve times as long answered 504 to each call and got its full share.
+fn a_target_whose_calls_all_time_out_is_used_less() {
+    // A target that worked twelve times as long answered 504 to each call, and still received its full share of calls.
     let mut random = Pcg64::seed_from_u64(5);
     let targets = [target("slow", "here"), target("good", "here")];
-    let mut balance = LoadBalancer::default();
+    let mut balancer = LoadBalancer::default();
     let read: Arc<str> = Arc::from("read");
     for step in 0..5 {
-        balance.record_response_time(&Arc::from("good"), &read, Duration::from_millis(100), milliseconds(step * 100));
-        balance.record_unfinished(&Arc::from("slow"), &read, Duration::from_millis(1_000), milliseconds(step * 100));
+        balancer.record_response_time(&Arc::from("good"), &read, Duration::from_millis(100), milliseconds(step * 100));
+        balancer.record_unfinished(&Arc::from("slow"), &read, Duration::from_millis(1_000), milliseconds(step * 100));
     }
     let mut picks = 0;
     for _ in 0..100 {
-        let chosen = balance.choose(&targets, &[], HERE, milliseconds(600), &mut random).expect("a target");
+        let chosen = balancer.choose(&targets, &[], LOCAL_ZONE, milliseconds(600), &mut random).expect("a target");
         picks += usize::from(*chosen.id == *"slow");
     }
     assert_eq!(picks, 0);
-    assert!(balance.liveness_probe_delay(&read) < Duration::from_millis(500), "the route's own time stays as it was");
+    assert!(
+        balancer.liveness_probe_delay(&read) < Duration::from_millis(500),
+        "the mean response time of the route is unchanged"
+    );
 }
 
 #[test]
 fn a_target_that_joins_a_large_service_gets_calls_from_other_machines_within_seconds() {
-    // 95 edges send a service of 34 targets in five zones 2.5 calls a second each, less than one in ten seconds to each target.
+    // 95 edges send 2.5 calls a second each to a service of 34 targets in five zones: less than one in ten seconds to
+    // each target.
     const EDGES: u64 = 95;
     const CALLS_OF_AN_EDGE: u64 = 10;
     let zone = |number: u64| format!("zone-{}", number % 5);
     let mut targets: Vec<_> = (0..34).map(|number| target(&format!("t{number}"), &zone(number))).collect();
     let read: Arc<str> = Arc::from("read");
     let mut random = Pcg64::seed_from_u64(6);
-    let mut balances = vec![LoadBalancer::default(); EDGES as usize];
-    let mut calls_of = |targets: &[Arc<_>], balances: &mut [LoadBalancer], from: u64| {
-        let mut callers_of_joined = 0;
-        for (edge, balance) in balances.iter_mut().enumerate() {
-            let mut called = false;
+    let mut balancers = vec![LoadBalancer::default(); EDGES as usize];
+    let mut calls_of = |targets: &[Arc<_>], balancers: &mut [LoadBalancer], from: u64| {
+        let mut edges_calling_joined = 0;
+        for (edge, balancer) in balancers.iter_mut().enumerate() {
+            let mut has_called = false;
             for call in 0..CALLS_OF_AN_EDGE {
                 let now = milliseconds(from + call * 400);
-                let chosen = balance
-                    .choose(targets, &[], ZonePreference { local_zone: &zone(edge as u64), ..HERE }, now, &mut random)
+                let chosen = balancer
+                    .choose(
+                        targets,
+                        &[],
+                        ZonePreference { local_zone: &zone(edge as u64), ..LOCAL_ZONE },
+                        now,
+                        &mut random,
+                    )
                     .expect("a target");
-                balance.record_response_time(&chosen.id, &read, Duration::from_millis(200), now);
-                called |= *chosen.id == *"joined";
+                balancer.record_response_time(&chosen.id, &read, Duration::from_millis(200), now);
+                has_called |= *chosen.id == *"joined";
             }
-            callers_of_joined += usize::from(called);
+            edges_calling_joined += usize::from(has_called);
         }
-        callers_of_joined
+        edges_calling_joined
     };
     for round in 0..5 {
-        calls_of(&targets, &mut balances, round * 4_000);
+        calls_of(&targets, &mut balancers, round * 4_000);
     }
     targets.push(target("joined", "zone-0"));
-    let callers = calls_of(&targets, &mut balances, 20_000);
-    assert!(callers >= 10, "{callers} machines in four seconds");
+    let edges = calls_of(&targets, &mut balancers, 20_000);
+    assert!(edges >= 10, "{edges} machines in four seconds");
 }
 
-/// A call of 20 ms with an objective of 300 ms stays with a target of its zone that is three times as slow as another, until that one is busy; one
-/// with an objective of 60 ms does not stay.
+/// A call of 20 ms with a latency objective of 300 ms stays with a target of its zone that is three times as slow as a
+/// remote one, until the local target is busy; with an objective of 60 ms it does not stay.
 #[test]
-fn a_call_stays_in_its_zone_as_long_as_its_objective_allows() {
+fn a_call_stays_in_its_zone_if_its_latency_objective_allows() {
     let mut random = Pcg64::seed_from_u64(7);
-    let targets = [target("near", "here"), target("far", "there")];
-    let (near, far): (Arc<str>, Arc<str>) = (Arc::from("near"), Arc::from("far"));
+    let targets = [target("local", "here"), target("remote", "there")];
+    let (local, remote): (Arc<str>, Arc<str>) = (Arc::from("local"), Arc::from("remote"));
     let read: Arc<str> = Arc::from("read");
-    let mut balance = LoadBalancer::default();
+    let mut balancer = LoadBalancer::default();
     for step in 0..200 {
-        balance.record_response_time(&near, &read, Duration::from_millis(30), milliseconds(step * 5));
-        balance.record_response_time(&far, &read, Duration::from_millis(10), milliseconds(step * 5));
+        balancer.record_response_time(&local, &read, Duration::from_millis(30), milliseconds(step * 5));
+        balancer.record_response_time(&remote, &read, Duration::from_millis(10), milliseconds(step * 5));
     }
     let now = milliseconds(1_000);
-    let mut stays = |balance: &LoadBalancer, objective| {
-        let place = balance.zone_preference("here", "read", Duration::from_millis(objective));
-        let choose = |_| balance.choose(&targets, &[], place, now, &mut random).expect("a target").id.clone();
-        (0..100).map(choose).filter(|id| *id == near).count()
+    let mut stays = |balancer: &LoadBalancer, objective| {
+        let preference = balancer.zone_preference("here", "read", Duration::from_millis(objective));
+        let choose = |_| balancer.choose(&targets, &[], preference, now, &mut random).expect("a target").id.clone();
+        (0..100).map(choose).filter(|id| *id == local).count()
     };
-    assert_eq!(stays(&balance, 300), 100);
-    assert_eq!(stays(&balance, 60), 0);
-    balance.record_load(&near, Load { running: 10, limit: 10, waiting: 1 }, 1.0, now);
-    assert_eq!(stays(&balance, 300), 0, "busy");
+    assert_eq!(stays(&balancer, 300), 100);
+    assert_eq!(stays(&balancer, 60), 0);
+    balancer.record_load(&local, Load { running: 10, limit: 10, waiting: 1 }, 1.0, now);
+    assert_eq!(stays(&balancer, 300), 0, "busy");
 }
 
 #[test]
-fn a_target_whose_answers_are_bad_is_left_to_what_the_others_cannot_take() {
+fn a_target_with_bad_answers_only_gets_calls_that_the_others_cannot_serve() {
     let mut random = Pcg64::seed_from_u64(8);
     let targets = [target("bad", "here"), target("good", "here")];
     let (bad, good): (Arc<str>, Arc<str>) = (Arc::from("bad"), Arc::from("good"));
     let idle = Load { running: 1, limit: 10, waiting: 0 };
-    let mut balance = LoadBalancer::default();
+    let mut balancer = LoadBalancer::default();
     let read: Arc<str> = Arc::from("read");
     for _ in 0..100 {
-        balance.record_response_time(&bad, &read, Duration::from_millis(10), Timestamp::ZERO);
-        balance.record_response_time(&good, &read, Duration::from_millis(15), Timestamp::ZERO);
+        balancer.record_response_time(&bad, &read, Duration::from_millis(10), Timestamp::ZERO);
+        balancer.record_response_time(&good, &read, Duration::from_millis(15), Timestamp::ZERO);
     }
-    let mut chosen = |balance: &LoadBalancer, now| {
-        let choose = |_| balance.choose(&targets, &[], HERE, now, &mut random).expect("a target").id.clone();
+    let mut chosen = |balancer: &LoadBalancer, now| {
+        let choose = |_| balancer.choose(&targets, &[], LOCAL_ZONE, now, &mut random).expect("a target").id.clone();
         (0..100).map(choose).filter(|id| *id == bad).count()
     };
-    balance.record_load(&bad, idle, 0.6, Timestamp::ZERO);
-    balance.record_load(&good, idle, 1.0, Timestamp::ZERO);
-    assert_eq!(chosen(&balance, milliseconds(10)), 0);
-    balance.record_load(&good, Load { running: 10, limit: 10, waiting: 8 }, 1.0, milliseconds(10));
-    assert_eq!(chosen(&balance, milliseconds(20)), 100, "the good one is far too busy");
-    assert!(chosen(&balance, milliseconds(9_000)) > 50, "it is tried again");
+    balancer.record_load(&bad, idle, 0.6, Timestamp::ZERO);
+    balancer.record_load(&good, idle, 1.0, Timestamp::ZERO);
+    assert_eq!(chosen(&balancer, milliseconds(10)), 0);
+    balancer.record_load(&good, Load { running: 10, limit: 10, waiting: 8 }, 1.0, milliseconds(10));
+    assert_eq!(chosen(&balancer, milliseconds(20)), 100, "the good target is overloaded");
+    assert!(chosen(&balancer, milliseconds(9_000)) > 50, "the bad target is tried again");
 }
--- a/crates/mesh/tests/decisions/gate.rs
+++ b/crates/mesh/tests/decisions/gate.rs
@@ -8,36 +8,36 @@
 use quillhatch_types::Timestamp;
 use test_case::test_case;
 
-const CALL_OF_A_TARGET: Rank = Rank { is_root: false, priority: 0, position: 0 };
+const INNER_CALL: Rank = Rank { is_root: false, priority: 0, position: 0 };
 
 const IMPORTANT_ROOT: Rank = Rank { is_root: true, priority: 0, position: 0 };
 
 const ROOT: Rank = Rank { is_root: true, priority: 2, position: 0 };
 
-const PATIENCE: Duration = Duration::from_millis(100);
+const MAX_WAIT: Duration = Duration::from_millis(100);
 
 /// A gate of four slots that are all in use.
-fn full_gate() -> Gate {
+fn gate_without_free_slots() -> Gate {
     let mut gate = Gate::new(4);
     for _ in 0..4 {
-        assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO).0, Admission::Runs);
+        assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, Admission::Runs);
     }
     gate
 }
 
-fn waits(gate: &mut Gate, rank: Rank) -> quillhatch_mesh::queue::Ticket {
-    match gate.admit(rank, PATIENCE, Timestamp::ZERO).0 {
+fn expect_wait(gate: &mut Gate, rank: Rank) -> quillhatch_mesh::queue::Ticket {
+    match gate.admit(rank, MAX_WAIT, Timestamp::ZERO).0 {
         Admission::Waits(ticket) => ticket,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_gate_serves_work_already_begun_first_then_by_priority_then_in_order() {
-    let mut gate = full_gate();
-    let roots = [waits(&mut gate, ROOT), waits(&mut gate, ROOT)];
-    let important = waits(&mut gate, IMPORTANT_ROOT);
-    let inner = waits(&mut gate, CALL_OF_A_TARGET);
+fn inner_calls_are_served_first_then_by_priority_then_in_order_of_arrival() {
+    let mut gate = gate_without_free_slots();
+    let roots = [expect_wait(&mut gate, ROOT), expect_wait(&mut gate, ROOT)];
+    let important = expect_wait(&mut gate, IMPORTANT_ROOT);
+    let inner = expect_wait(&mut gate, INNER_CALL);
     let mut order = Vec::new();
     for _ in 0..4 {
         assert_eq!(gate.admit_waiting(), None, "no slot is free");
@@ -48,35 +48,35 @@
     assert_eq!(gate.load(), Load { running: 4, limit: 4, waiting: 0 });
 }
 
-/// In a shortage all gates serve the same roots first, whether their calls enter here or are made by targets.
+/// During a shortage all gates serve the same roots first, whether their calls enter here or are made by targets.
 #[test]
-fn of_one_importance_the_lower_positions_go_first() {
-    let mut gate = full_gate();
-    let late = waits(&mut gate, Rank { position: 200, ..CALL_OF_A_TARGET });
-    let root = waits(&mut gate, Rank { position: 100, ..IMPORTANT_ROOT });
-    let early = waits(&mut gate, Rank { position: 100, ..CALL_OF_A_TARGET });
+fn calls_of_one_priority_are_served_by_position() {
+    let mut gate = gate_without_free_slots();
+    let high_position = expect_wait(&mut gate, Rank { position: 200, ..INNER_CALL });
+    let root = expect_wait(&mut gate, Rank { position: 100, ..IMPORTANT_ROOT });
+    let inner = expect_wait(&mut gate, Rank { position: 100, ..INNER_CALL });
     let mut order = Vec::new();
     for _ in 0..3 {
         gate.release_slot();
         order.extend(gate.admit_waiting());
     }
-    assert_eq!(order, [early, root, late]);
+    assert_eq!(order, [inner, root, high_position]);
 }
 
 #[test]
-fn a_full_queue_gives_the_place_of_the_least_important() {
-    let mut gate = full_gate();
-    let roots: Vec<_> = (0..16).map(|_| waits(&mut gate, ROOT)).collect();
-    assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO), (Admission::Refused(Refusal::Overloaded), None));
-    let (arrival, displaced) = gate.admit(IMPORTANT_ROOT, PATIENCE, Timestamp::ZERO);
-    assert!(matches!(arrival, Admission::Waits(_)));
+fn a_full_queue_displaces_the_last_call_in_rank_order() {
+    let mut gate = gate_without_free_slots();
+    let roots: Vec<_> = (0..16).map(|_| expect_wait(&mut gate, ROOT)).collect();
+    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO), (Admission::Refused(Refusal::Overloaded), None));
+    let (admission, displaced) = gate.admit(IMPORTANT_ROOT, MAX_WAIT, Timestamp::ZERO);
+    assert!(matches!(admission, Admission::Waits(_)));
     assert!(displaced.is_some_and(|ticket| roots.contains(&ticket)));
 }
 
 #[test]
-fn waiting_calls_expire_and_leave() {
-    let mut gate = full_gate();
-    let (first, second) = (waits(&mut gate, ROOT), waits(&mut gate, ROOT));
+fn waiting_calls_expire_or_are_cancelled() {
+    let mut gate = gate_without_free_slots();
+    let (first, second) = (expect_wait(&mut gate, ROOT), expect_wait(&mut gate, ROOT));
     assert!(gate.cancel_waiting(second));
     assert!(!gate.cancel_waiting(second));
     assert_eq!(gate.next_expiry(), Some(milliseconds(100)));
@@ -86,16 +86,16 @@
 }
 
 #[test]
-fn a_closed_gate_refuses_and_sends_away_who_waits() {
-    let mut gate = full_gate();
-    let waiting = waits(&mut gate, ROOT);
+fn a_closed_gate_refuses_new_and_waiting_calls() {
+    let mut gate = gate_without_free_slots();
+    let waiting = expect_wait(&mut gate, ROOT);
     assert_eq!(gate.pop_refused(), None);
     gate.close();
-    assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO).0, Admission::Refused(Refusal::Closed));
+    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, Admission::Refused(Refusal::Closed));
     assert_eq!((gate.pop_refused(), gate.pop_refused()), (Some(waiting), None));
     gate.open();
     gate.release_slot();
-    assert_eq!(gate.admit(ROOT, PATIENCE, Timestamp::ZERO).0, Admission::Runs);
+    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, Admission::Runs);
 }
 
 #[test_case(1, 1)]
@@ -106,7 +106,7 @@
 #[test_case(20, 19)]
 #[test_case(38, 36)]
 #[test_case(500, 475)]
-fn a_gate_leaves_the_last_slots_of_large_targets_free(slots: u32, limit: u32) {
+fn the_last_slots_of_large_targets_stay_free(slots: u32, limit: u32) {
     let mut gate = Gate::new(9);
     gate.set_slots(slots);
     assert_eq!(gate.limit(), limit);
