--- a/crates/mesh/src/capacity.rs
+++ b/crates/mesh/src/capacity.rs
@@ -1,14 +1,17 @@
-//! What is asked of a target, against what its slots can do, and the cut that follows from both.
+//! Compares the demand for a target's slots with their capacity, and derives the admission levels of its routes.
 //!
-//! Each call carries the share with which calls like its root were let in. A call that was one of ten stands for ten, so what
-//! arrives tells how much would arrive if nothing were refused at entry (the Horvitz-Thompson estimator), whatever cut was in force
-//! when it entered. The cut is computed from that and needs no controller that tries higher and lower ones: a cut that takes a second
-//! to reach the entries does not swing. Calls whose route is cut lower for want of another service, further down, count only with the
-//! share that will arrive: slots that they can't use are left to others. A root fails with the first of its calls that is refused, and
-//! the calls that it would have made after that don't arrive; so what arrives is divided by the share that was not refused.
+//! Each call carries the share with which calls like its root were admitted. A call that was one of ten counts as ten,
+//! so what arrives shows the demand that would arrive if nothing were refused at entry (the Horvitz-Thompson
+//! estimator), whatever level was in force when the call entered. The level follows from that demand and needs no
+//! feedback controller that tries higher and lower ones: it does not oscillate, even if it takes a second to reach the
+//! entries. Calls whose route has a lower level because of another service, further down, count only with the share
+//! that will arrive: slots that they can't use are left to others. A root fails with the first of its calls that is
+//! refused, and the calls that it would have made after that don't arrive; so what arrives is divided by the share that
+//! was not refused.
 //!
-//! Routes of one priority share the slots' time that is left to it by max-min fairness: one whose calls take little of it is served
-//! whole, one that asks for more than its part is cut. Equal shares of calls would refuse ten short calls to let one long call in.
+//! Routes of one priority share the slot time that is left to it by max-min fairness: a route whose calls take little
+//! of it is served in full, and one that demands more than its part is limited. Equal shares of calls would refuse ten
+//! short calls to admit one long call.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -20,248 +23,255 @@
 use crate::gate::Load;
 use crate::mechanisms::{Mechanism, Mechanisms};
 
-/// The time in seconds over which demand is measured: some dozens of calls at a gate with a hundred calls a second.
-const MEASURED_OVER: f64 = 0.5;
-/// The time in seconds in which calls that wait are to be worked off besides those that arrive. One waiting call a slot takes a few hundredths of
-/// the slots' time away, so a queue stays short.
-const WORKED_OFF_IN: f64 = 0.25;
-/// The share of the slots' time that may be asked for. What waits is taken off it, so the whole may be shared out.
-const USED_PART: f64 = 1.0;
-/// The least part of the slots' time that is shared out, however many calls wait.
-const LEAST_PART: f64 = 0.05;
-/// The time in seconds over which it is measured how many slots are in use.
-const BUSY_OVER: f64 = 0.3;
-/// The share of slots in use up to which nothing is cut, and the one from which the cut holds whole. Demand is an estimate from some dozens
-/// of calls; where slots are free nothing is short, however high it is.
-const BUSY_BOUNDS: (f64, f64) = (0.8, 0.92);
-/// The share of slots in use that a cut aims at.
-const BUSY_AIM: f64 = 0.97;
-/// By how much the capacity is corrected in a second for each part of the slots that a cut leaves unused.
-const CORRECTION_RATE: f64 = 1.0;
-/// The time in seconds in which a correction is forgotten by two thirds while nothing is cut.
-const CORRECTION_MEMORY: f64 = 1.0;
-/// The bounds of the correction.
+/// The time constant, in seconds, over which demand is measured: some dozens of calls at a gate with a hundred calls a
+/// second.
+const DEMAND_TIME_CONSTANT_S: f64 = 0.5;
+/// The time, in seconds, in which waiting calls are to be served in addition to those that arrive. One waiting call per
+/// slot takes a few hundredths of the slots' time, so a queue stays short.
+const BACKLOG_CLEAR_TIME_S: f64 = 0.25;
+/// The fraction of the slots' time that may be used. Waiting calls are subtracted from it, so all of it may be
+/// assigned.
+const MAX_USED_FRACTION: f64 = 1.0;
+/// The minimum fraction of the slots' time that is assigned, however many calls wait.
+const MIN_ASSIGNED_FRACTION: f64 = 0.05;
+/// The time constant, in seconds, over which utilization is measured.
+const UTILIZATION_TIME_CONSTANT_S: f64 = 0.3;
+/// The utilization up to which nothing is limited, and the one from which a level applies in full. Demand is an
+/// estimate from some dozens of calls; while slots are free there is no shortage, however high the estimate is.
+const EVIDENCE_UTILIZATION_BOUNDS: (f64, f64) = (0.8, 0.92);
+/// The utilization that an admission level aims for; the capacity is corrected by the difference.
+const DESIRED_UTILIZATION: f64 = 0.97;
+/// The correction of the capacity per second, as a multiple of the fraction of slots that a level leaves unused.
+const CORRECTION_RATE_PER_S: f64 = 1.0;
+/// The time constant, in seconds, with which a correction decays while nothing is limited.
+const CORRECTION_DECAY_S: f64 = 1.0;
+/// The minimum and maximum of the correction.
 const CORRECTION_BOUNDS: (f64, f64) = (1.0, 1.5);
-/// The least weight of one call in the time that calls of its route hold a slot.
-const TIME_GAIN: f64 = 0.02;
-/// The greatest share of refused calls that is made up for.
-const MOST_REFUSED: f64 = 0.8;
-/// The calls that must have been seen for the share of refused ones to be believed wholly.
-const REFUSED_AMONG: f64 = 10.0;
+/// The minimum weight of one call in the mean slot time of its route.
+const MIN_SLOT_TIME_GAIN: f64 = 0.02;
+/// The maximum share of refused calls that demand is corrected for.
+const MAX_REFUSED_SHARE: f64 = 0.8;
+/// The number of calls from which the share of refused ones counts in full; with fewer calls it counts for less.
+const MIN_REFUSAL_SAMPLES: f64 = 10.0;
 
-/// Calls of targets with one priority, fading.
+/// Calls made by targets, of one priority, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
-struct Begun {
+struct InnerCalls {
     arrived: f64,
     refused: f64,
 }
 
-impl Begun {
-    /// The share that was not refused.
-    fn taken(self) -> f64 {
-        1.0 - (self.refused / self.arrived.max(REFUSED_AMONG)).clamp(0.0, MOST_REFUSED)
+impl InnerCalls {
+    /// Returns the share that was not refused.
+    fn accepted_share(self) -> f64 {
+        1.0 - (self.refused / self.arrived.max(MIN_REFUSAL_SAMPLES)).clamp(0.0, MAX_REFUSED_SHARE)
     }
 }
 
-/// The time for which calls of a route hold a slot.
+/// The mean time for which calls of a route hold a slot.
 #[derive(Clone, Copy, Debug)]
-struct HeldTime {
+struct SlotTime {
     seconds: f64,
     measured: Timestamp,
 }
 
-/// The slots that routes ask for at a time.
-type RouteDemands = BTreeMap<Arc<str>, f64>;
+/// The demand of each route, as the mean number of slots in use at a time.
+type SlotDemands = BTreeMap<Arc<str>, f64>;
 
-/// The most slots that one route gets of `slots`, if those that ask for less get what they ask for and the others the same (max-min
-/// fairness; Bertsekas and Gallager, Data Networks, 6.5).
-fn fair_most(routes: &RouteDemands, slots: f64) -> f64 {
-    let mut asked: Vec<f64> = routes.values().copied().collect();
-    asked.sort_by(f64::total_cmp);
-    let (mut left, mut most) = (slots, 0.0);
-    for (served, asked) in asked.iter().enumerate() {
-        most = left / (routes.len() - served) as f64;
-        if *asked >= most {
+/// Returns the maximum number of slots for one route if `slots` are shared by max-min fairness: routes that demand less
+/// get what they demand, and the others equal parts (Bertsekas and Gallager, Data Networks, 6.5).
+fn max_min_fair_limit(route_demands: &SlotDemands, slots: f64) -> f64 {
+    let mut demands: Vec<f64> = route_demands.values().copied().collect();
+    demands.sort_by(f64::total_cmp);
+    let (mut left, mut route_limit) = (slots, 0.0);
+    for (served, demand) in demands.iter().enumerate() {
+        route_limit = left / (route_demands.len() - served) as f64;
+        if *demand >= route_limit {
             break;
         }
-        left -= asked;
+        left -= demand;
     }
-    most
+    route_limit
 }
 
-/// What a target can't serve of what arrives.
+/// The demand that exceeds the capacity of a target.
 #[derive(Clone, Debug)]
 pub struct Shortage {
-    /// The priorities that are served whole.
-    whole: usize,
-    /// What routes ask for of the priority that comes next; that is served in part.
-    routes: RouteDemands,
-    /// The most slots that one of them gets.
-    most: f64,
-    /// How sure it is, from zero to one.
+    /// The number of priorities that are served in full, from the highest on.
+    full_priorities: usize,
+    /// The demand of each route of the next priority, which is served in part.
+    route_demands: SlotDemands,
+    /// The maximum number of slots for one of these routes.
+    route_limit: f64,
+    /// The certainty of the shortage, from zero to one.
     evidence: f64,
     priorities: u32,
 }
 
 impl Shortage {
-    /// Where the calls of a route are to be cut.
+    /// Returns the admission level for the calls of a route.
     pub fn admission_level(&self, route: &str) -> AdmissionLevel {
-        let asked = self.routes.get(route).copied().unwrap_or(0.0);
-        let share = if asked > self.most { self.most / asked } else { 1.0 };
-        let cut = (self.whole as f64 + share) / f64::from(self.priorities.max(1));
-        AdmissionLevel::from_priority_share(1.0 - (1.0 - cut) * self.evidence)
+        let demand = self.route_demands.get(route).copied().unwrap_or(0.0);
+        let share = if demand > self.route_limit { self.route_limit / demand } else { 1.0 };
+        let level = (self.full_priorities as f64 + share) / f64::from(self.priorities.max(1));
+        AdmissionLevel::from_priority_share(1.0 - (1.0 - level) * self.evidence)
     }
 }
 
-/// Demand and capacity of one gate's target.
+/// Measures the demand for the slots of one gate's target, and their capacity.
 #[derive(Clone, Debug)]
 pub struct CapacityMeter {
-    held: HashMap<Arc<str>, HeldTime>,
-    mean: f64,
-    /// Seconds of slots that were asked for, by route and priority; fading.
-    asked: BTreeMap<Arc<str>, BTreeMap<u8, f64>>,
-    /// Calls for which work was already done, by priority.
-    begun: BTreeMap<u8, Begun>,
-    /// The share of slots in use.
-    busy: f64,
-    /// What the slots do in truth, as a multiple of what was worked out: calls that hold slots for less time, or do not come.
+    slot_times: HashMap<Arc<str>, SlotTime>,
+    mean_slot_seconds: f64,
+    /// The slot time that was demanded, in seconds, by route and priority, with exponential decay.
+    demand_seconds: BTreeMap<Arc<str>, BTreeMap<u8, f64>>,
+    /// Calls that targets make, by priority: work was already done for them.
+    inner_calls: BTreeMap<u8, InnerCalls>,
+    /// The fraction of slots in use.
+    utilization: f64,
+    /// The ratio of the actual capacity to the computed one: some calls hold slots for less time than on average, or
+    /// don't arrive.
     correction: f64,
-    observed: Timestamp,
-    faded: Timestamp,
-    started: Option<Timestamp>,
+    observed_at: Timestamp,
+    decayed_at: Timestamp,
+    first_call_at: Option<Timestamp>,
     mechanisms: Mechanisms,
 }
 
 impl CapacityMeter {
-    /// A meter that has seen nothing, with the mechanisms that are on.
+    /// A meter without measurements.
     pub fn new(mechanisms: Mechanisms, now: Timestamp) -> Self {
         CapacityMeter {
-            held: HashMap::new(),
-            mean: 0.0,
-            asked: BTreeMap::new(),
-            begun: BTreeMap::new(),
-            busy: 0.0,
+            slot_times: HashMap::new(),
+            mean_slot_seconds: 0.0,
+            demand_seconds: BTreeMap::new(),
+            inner_calls: BTreeMap::new(),
+            utilization: 0.0,
             correction: 1.0,
-            observed: now,
-            faded: now,
-            started: None,
+            observed_at: now,
+            decayed_at: now,
+            first_call_at: None,
             mechanisms,
         }
     }
 
-    /// A call arrives whose root was let in with `admitted_share` of those like it.
+    /// Records that a call arrives whose root was admitted with `admitted_share` of the calls like it.
     pub fn call_arrived(&mut self, route: &Arc<str>, priority: u8, admitted_share: f64, now: Timestamp) {
-        self.fade(now);
-        let Some(held) = self.held.get(route) else { return };
-        self.started.get_or_insert(now);
-        let asked = self.asked.entry(route.clone()).or_default().entry(priority).or_default();
-        *asked += held.seconds / admitted_share.clamp(MIN_ADMITTED_SHARE, 1.0);
+        self.decay(now);
+        let Some(slot_time) = self.slot_times.get(route) else { return };
+        self.first_call_at.get_or_insert(now);
+        let demand_seconds = self.demand_seconds.entry(route.clone()).or_default().entry(priority).or_default();
+        *demand_seconds += slot_time.seconds / admitted_share.clamp(MIN_ADMITTED_SHARE, 1.0);
     }
 
-    /// A call that a target makes arrives.
+    /// Records that a call made by a target arrives.
     pub fn inner_call_arrived(&mut self, priority: u8) {
-        self.begun.entry(priority).or_default().arrived += 1.0;
+        self.inner_calls.entry(priority).or_default().arrived += 1.0;
     }
 
-    /// A call that a target makes was refused for want of a slot.
+    /// Records that a call made by a target was refused because no slot was free.
     pub fn inner_call_refused(&mut self, priority: u8) {
-        self.begun.entry(priority).or_default().refused += 1.0;
+        self.inner_calls.entry(priority).or_default().refused += 1.0;
     }
 
-    /// A call has held its slot for `time`.
+    /// Records that a call has held its slot for `time`.
     pub fn record_slot_time(&mut self, route: &Arc<str>, time: Duration, now: Timestamp) {
         let seconds = time.as_secs_f64();
-        let held = self.held.entry(route.clone()).or_insert(HeldTime { seconds, measured: now });
-        let replaced = 1.0 - (-now.since(held.measured).as_secs_f64() / MEASURED_OVER).exp();
-        held.seconds += replaced.max(TIME_GAIN) * (seconds - held.seconds);
-        held.measured = now;
-        if self.mean == 0.0 {
-            self.mean = seconds;
+        let slot_time = self.slot_times.entry(route.clone()).or_insert(SlotTime { seconds, measured: now });
+        let replaced = 1.0 - (-now.since(slot_time.measured).as_secs_f64() / DEMAND_TIME_CONSTANT_S).exp();
+        slot_time.seconds += replaced.max(MIN_SLOT_TIME_GAIN) * (seconds - slot_time.seconds);
+        slot_time.measured = now;
+        if self.mean_slot_seconds == 0.0 {
+            self.mean_slot_seconds = seconds;
         }
-        self.mean += TIME_GAIN * (seconds - self.mean);
+        self.mean_slot_seconds += MIN_SLOT_TIME_GAIN * (seconds - self.mean_slot_seconds);
     }
 
-    /// The slots that are asked for at a time, by priority and route, if of the calls of each route those above `cut_of` it arrive.
-    fn demand(&self, priorities: u32, cut_of: impl Fn(&str) -> AdmissionLevel, now: Timestamp) -> Vec<RouteDemands> {
-        let span = self.measured_span(now);
-        let mut demand = vec![RouteDemands::new(); priorities as usize];
-        for (route, asked) in &self.asked {
-            let cut = cut_of(route);
-            for (priority, seconds) in asked {
-                let Some(routes) = demand.get_mut(usize::from(*priority)) else { continue };
-                let begun =
-                    self.begun.get(priority).filter(|_| self.mechanisms.is_enabled(Mechanism::MissingCallEstimate));
-                let taken = begun.map_or(1.0, |begun| begun.taken());
-                let slots = seconds * cut.admitted_share(*priority, priorities) / taken / span;
-                routes.insert(route.clone(), slots);
+    /// Returns the slots that are demanded, by priority and route, if only calls within the `level_of` their route
+    /// arrive.
+    fn demand(&self, priorities: u32, level_of: impl Fn(&str) -> AdmissionLevel, now: Timestamp) -> Vec<SlotDemands> {
+        let span = self.measured_seconds(now);
+        let mut demand = vec![SlotDemands::new(); priorities as usize];
+        for (route, demand_seconds) in &self.demand_seconds {
+            let level = level_of(route);
+            for (priority, seconds) in demand_seconds {
+                let Some(route_demands) = demand.get_mut(usize::from(*priority)) else { continue };
+                let inner_calls = self
+                    .inner_calls
+                    .get(priority)
+                    .filter(|_| self.mechanisms.is_enabled(Mechanism::MissingCallEstimate));
+                let accepted_share = inner_calls.map_or(1.0, |inner_calls| inner_calls.accepted_share());
+                let slots = seconds * level.admitted_share(*priority, priorities) / accepted_share / span;
+                route_demands.insert(route.clone(), slots);
             }
         }
         demand
     }
 
-    fn observe(&mut self, load: Load, is_cut: bool, now: Timestamp) {
-        let elapsed = now.since(self.observed).as_secs_f64();
-        self.observed = now;
-        let busy = f64::from(load.running) / f64::from(load.limit.max(1));
-        self.busy += (1.0 - (-elapsed / BUSY_OVER).exp()) * (busy.min(1.0) - self.busy);
-        if is_cut && self.busy > BUSY_BOUNDS.0 {
-            let (least, most) = CORRECTION_BOUNDS;
-            let step = elapsed.min(BUSY_OVER) * CORRECTION_RATE;
-            self.correction = (self.correction + step * (BUSY_AIM - self.busy)).clamp(least, most);
+    fn observe_utilization(&mut self, load: Load, is_limited: bool, now: Timestamp) {
+        let elapsed = now.since(self.observed_at).as_secs_f64();
+        self.observed_at = now;
+        let utilization = f64::from(load.running) / f64::from(load.limit.max(1));
+        self.utilization +=
+            (1.0 - (-elapsed / UTILIZATION_TIME_CONSTANT_S).exp()) * (utilization.min(1.0) - self.utilization);
+        if is_limited && self.utilization > EVIDENCE_UTILIZATION_BOUNDS.0 {
+            let (min, max) = CORRECTION_BOUNDS;
+            let step = elapsed.min(UTILIZATION_TIME_CONSTANT_S) * CORRECTION_RATE_PER_S;
+            self.correction = (self.correction + step * (DESIRED_UTILIZATION - self.utilization)).clamp(min, max);
         } else {
-            self.correction += (1.0 - (-elapsed / CORRECTION_MEMORY).exp()) * (1.0 - self.correction);
+            self.correction += (1.0 - (-elapsed / CORRECTION_DECAY_S).exp()) * (1.0 - self.correction);
         }
     }
 
-    /// What the target can't serve of what arrives, if `priorities` are in use and calls of each route below `cut_of` it do not arrive.
-    /// `None` if it can serve everything.
+    /// Returns the demand that the target can't serve, or `None` if it can serve everything. `priorities` is the number
+    /// of priorities in use; calls beyond the `level_of` their route don't arrive.
     pub fn shortage(
         &mut self,
         load: Load,
         priorities: u32,
-        cut_of: impl Fn(&str) -> AdmissionLevel,
+        level_of: impl Fn(&str) -> AdmissionLevel,
         now: Timestamp,
     ) -> Option<Shortage> {
-        self.fade(now);
-        let by_priority = self.demand(priorities, cut_of, now);
-        let demand: f64 = by_priority.iter().flat_map(BTreeMap::values).sum();
+        self.decay(now);
+        let demand_by_priority = self.demand(priorities, level_of, now);
+        let demand: f64 = demand_by_priority.iter().flat_map(BTreeMap::values).sum();
         let slots = f64::from(load.limit);
-        let waiting = f64::from(load.waiting) * self.mean / WORKED_OFF_IN;
-        let capacity = (slots * USED_PART * self.correction - waiting).max(slots * LEAST_PART);
-        self.observe(load, demand > capacity, now);
-        let (free_up_to, full_from) = BUSY_BOUNDS;
-        let evidence = ((self.busy - free_up_to) / (full_from - free_up_to)).clamp(0.0, 1.0);
+        let backlog = f64::from(load.waiting) * self.mean_slot_seconds / BACKLOG_CLEAR_TIME_S;
+        let capacity = (slots * MAX_USED_FRACTION * self.correction - backlog).max(slots * MIN_ASSIGNED_FRACTION);
+        self.observe_utilization(load, demand > capacity, now);
+        let (free_up_to, full_from) = EVIDENCE_UTILIZATION_BOUNDS;
+        let evidence = ((self.utilization - free_up_to) / (full_from - free_up_to)).clamp(0.0, 1.0);
         if demand <= capacity || evidence == 0.0 {
             return None;
         }
         let mut left = (capacity - MIN_ADMITTED_SHARE * demand).max(0.0) / (1.0 - MIN_ADMITTED_SHARE);
-        for (whole, routes) in by_priority.into_iter().enumerate() {
-            let asked: f64 = routes.values().sum();
-            if asked > left {
-                let most = fair_most(&routes, left);
-                return Some(Shortage { whole, routes, most, evidence, priorities });
+        for (full_priorities, route_demands) in demand_by_priority.into_iter().enumerate() {
+            let priority_demand: f64 = route_demands.values().sum();
+            if priority_demand > left {
+                let route_limit = max_min_fair_limit(&route_demands, left);
+                return Some(Shortage { full_priorities, route_demands, route_limit, evidence, priorities });
             }
-            left -= asked;
+            left -= priority_demand;
         }
         None
     }
 
-    fn measured_span(&self, now: Timestamp) -> f64 {
-        let age = self.started.map_or(0.0, |started| now.since(started).as_secs_f64());
-        MEASURED_OVER * (1.0 - (-age.max(0.05) / MEASURED_OVER).exp())
+    fn measured_seconds(&self, now: Timestamp) -> f64 {
+        let age = self.first_call_at.map_or(0.0, |first_call_at| now.since(first_call_at).as_secs_f64());
+        DEMAND_TIME_CONSTANT_S * (1.0 - (-age.max(0.05) / DEMAND_TIME_CONSTANT_S).exp())
     }
 
-    fn fade(&mut self, now: Timestamp) {
-        let elapsed = now.since(self.faded).as_secs_f64();
+    fn decay(&mut self, now: Timestamp) {
+        let elapsed = now.since(self.decayed_at).as_secs_f64();
         if elapsed <= 0.0 {
             return;
         }
-        self.faded = now;
-        let kept = (-elapsed / MEASURED_OVER).exp();
-        self.asked.values_mut().flat_map(BTreeMap::values_mut).for_each(|asked| *asked *= kept);
-        for begun in self.begun.values_mut() {
-            begun.arrived *= kept;
-            begun.refused *= kept;
+        self.decayed_at = now;
+        let remaining = (-elapsed / DEMAND_TIME_CONSTANT_S).exp();
+        self.demand_seconds.values_mut().flat_map(BTreeMap::values_mut).for_each(|seconds| *seconds *= remaining);
+        for inner_calls in self.inner_calls.values_mut() {
+            inner_calls.arrived *= remaining;
+            inner_calls.refused *= remaining;
         }
     }
 }
--- a/crates/mesh/tests/decisions/admission_level.rs
+++ b/crates/mesh/tests/decisions/admission_level.rs
@@ -1,4 +1,4 @@
-//! Cuts of the order of importance, and who is refused by them.
+//! Admission levels by priority, and the calls that they refuse.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,42 +8,42 @@
 use quillhatch_types::Timestamp;
 
 #[test]
-fn the_least_important_are_refused_first_and_none_starves() {
-    let share = |cut, priority| AdmissionLevel::from_priority_share(cut).admitted_share(priority, 3);
+fn the_lowest_priorities_are_refused_first_and_none_starves() {
+    let share = |level, priority| AdmissionLevel::from_priority_share(level).admitted_share(priority, 3);
     assert!((share(1.0, 2) - 1.0).abs() < f64::EPSILON);
-    assert!((share(0.5, 0) - 1.0).abs() < 1e-9, "the most important pass whole");
+    assert!((share(0.5, 0) - 1.0).abs() < 1e-9, "all calls of the highest priority are admitted");
     assert!((0.4..0.6).contains(&share(0.5, 1)), "{}", share(0.5, 1));
     assert!((share(0.5, 2) - MIN_ADMITTED_SHARE).abs() < 1e-9);
     assert!((share(0.0, 0) - MIN_ADMITTED_SHARE).abs() < 1e-9);
 }
 
 #[test]
-fn a_cut_without_reports_returns_to_open() {
+fn a_level_without_reports_rises_to_full() {
     let route: Arc<str> = Arc::from("read");
-    let mut cuts = RouteAdmissionLevels::default();
+    let mut levels = RouteAdmissionLevels::default();
     for step in 0..50 {
-        cuts.record_report(&route, AdmissionLevel::from_priority_share(0.2), milliseconds(step));
+        levels.record_report(&route, AdmissionLevel::from_priority_share(0.2), milliseconds(step));
     }
-    let share = |now| cuts.level("read", milliseconds(now)).priority_share();
+    let share = |now| levels.level("read", milliseconds(now)).priority_share();
     assert!(share(50) < 0.25);
     assert!(share(2_100) > 0.55, "{}", share(2_100));
     assert!(share(12_000) > 0.99);
-    assert!(cuts.level("other", milliseconds(50)).admits_all());
+    assert!(levels.level("other", milliseconds(50)).admits_all());
 }
 
-/// A cut passes three nodes, each of which hears of it some times a second, and the last one once in 0.7 s.
+/// A level passes three nodes: the first two receive several reports a second, and the last one a report each 0.75 s.
 #[test]
-fn a_shortage_reaches_where_calls_enter_undiminished_though_reports_are_few() {
+fn a_low_level_reaches_the_entry_unchanged_though_reports_are_rare() {
     let route: Arc<str> = Arc::from("deep");
     let mut hops = vec![RouteAdmissionLevels::default(); 3];
     for report in 0..40 {
         let now = milliseconds(report * 125);
-        let mut cut = AdmissionLevel::from_priority_share(0.1);
+        let mut level = AdmissionLevel::from_priority_share(0.1);
         for (number, hop) in hops.iter_mut().enumerate() {
             if number < 2 || report % 6 == 0 {
-                hop.record_report(&route, cut, now);
+                hop.record_report(&route, level, now);
             }
-            cut = hop.level(&route, now + Duration::from_millis(120));
+            level = hop.level(&route, now + Duration::from_millis(120));
         }
     }
     let entry = hops[2].level(&route, milliseconds(40 * 125)).priority_share();
--- a/crates/mesh/tests/decisions/capacity.rs
+++ b/crates/mesh/tests/decisions/capacity.rs
@@ -1,4 +1,4 @@
-//! Demand, capacity, and the cut that follows.
+//! Demand, capacity and the admission levels derived from them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use test_case::test_case;
 
 const PRIORITIES: u32 = 3;
-const FULL: Load = Load { running: 20, limit: 20, waiting: 0 };
-/// How long a call holds its slot.
-const HELD: Duration = Duration::from_millis(20);
+const FULL_LOAD: Load = Load { running: 20, limit: 20, waiting: 0 };
+/// The time for which a call holds its slot.
+const SLOT_TIME: Duration = Duration::from_millis(20);
 
-/// Calls that arrive at a rate, of those of a priority that were let in with a share.
+/// Calls that arrive at a rate; only a share of the calls of their priority was admitted.
 struct Stream<'a> {
     route: &'a Arc<str>,
     priority: u8,
@@ -24,11 +24,11 @@
     share: f64,
 }
 
-/// A meter at which the streams arrive for two seconds, 100 steps a second.
+/// A meter at which the streams arrive for two seconds, in 100 steps a second.
 fn meter_of(streams: &[Stream<'_>]) -> CapacityMeter {
     let mut meter = CapacityMeter::new(Mechanisms::default(), Timestamp::ZERO);
     for stream in streams {
-        meter.record_slot_time(stream.route, HELD, Timestamp::ZERO);
+        meter.record_slot_time(stream.route, SLOT_TIME, Timestamp::ZERO);
     }
     let mut due = vec![0.0; streams.len()];
     for step in 0..200 {
@@ -39,49 +39,49 @@
                 *due -= 1.0;
             }
         }
-        // All slots are in use all the while.
-        meter.shortage(FULL, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
+        // All slots stay in use.
+        meter.shortage(FULL_LOAD, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
     }
     meter
 }
 
-fn cut(meter: &mut CapacityMeter, load: Load) -> f64 {
-    cut_of(meter, "read", load, 2_000)
+fn level(meter: &mut CapacityMeter, load: Load) -> f64 {
+    level_of(meter, "read", load, 2_000)
 }
 
-/// The cut of a route at a moment, in priorities.
-fn cut_of(meter: &mut CapacityMeter, route: &str, load: Load, now: u64) -> f64 {
+/// Returns the admission level of a route at a moment, as a number of priorities.
+fn level_of(meter: &mut CapacityMeter, route: &str, load: Load, now: u64) -> f64 {
     let shortage = meter.shortage(load, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(now));
     shortage.map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route)).priority_share()
         * f64::from(PRIORITIES)
 }
 
-/// Work of the greatest importance takes 12 of 20 slots, the rest asks for 16.
+/// Calls of the highest priority take 12 of 20 slots, the others demand 16.
 #[test_case(1.0; "nothing was refused yet")]
-#[test_case(0.4; "as much was refused as must be")]
+#[test_case(0.4; "the right share was refused")]
 #[test_case(0.1; "too much was refused")]
-fn the_cut_follows_from_demand_whatever_cut_was_in_force(share: f64) {
+fn the_level_follows_from_demand_whatever_level_was_in_force(share: f64) {
     let route: Arc<str> = Arc::from("read");
-    let first = Stream { route: &route, priority: 0, each_second: 600, share: 1.0 };
-    let last = Stream { route: &route, priority: 2, each_second: 800, share };
-    let cut = cut(&mut meter_of(&[first, last]), FULL);
-    assert!((2.4..2.6).contains(&cut), "the greatest whole, of the rest a half: {cut}");
+    let high = Stream { route: &route, priority: 0, each_second: 600, share: 1.0 };
+    let low = Stream { route: &route, priority: 2, each_second: 800, share };
+    let level = level(&mut meter_of(&[high, low]), FULL_LOAD);
+    assert!((2.4..2.6).contains(&level), "all of the highest priority and half of the others: {level}");
 }
 
 #[test]
-fn nothing_is_cut_while_all_of_it_fits() {
+fn all_calls_are_admitted_while_demand_fits() {
     let route: Arc<str> = Arc::from("read");
     let mut meter = meter_of(&[Stream { route: &route, priority: 2, each_second: 800, share: 1.0 }]);
-    assert!((cut(&mut meter, FULL) - f64::from(PRIORITIES)).abs() < f64::EPSILON);
-    let behind = Load { waiting: 200, ..FULL };
-    assert!(cut(&mut meter, behind) < 2.8, "what waits is to be worked off as well");
+    assert!((level(&mut meter, FULL_LOAD) - f64::from(PRIORITIES)).abs() < f64::EPSILON);
+    let with_backlog = Load { waiting: 200, ..FULL_LOAD };
+    assert!(level(&mut meter, with_backlog) < 2.8, "waiting calls must be served as well");
 }
 
 #[test]
-fn nothing_is_cut_while_slots_are_free_whatever_demand_seems_to_be() {
+fn all_calls_are_admitted_while_slots_are_free_whatever_the_estimated_demand() {
     let route: Arc<str> = Arc::from("read");
     let mut meter = meter_of(&[Stream { route: &route, priority: 2, each_second: 2_000, share: 1.0 }]);
-    assert!(cut(&mut meter, FULL) < 2.6);
+    assert!(level(&mut meter, FULL_LOAD) < 2.6);
     let half = Load { running: 10, limit: 20, waiting: 0 };
     for step in 200..300 {
         meter.call_arrived(&route, 2, 0.05, milliseconds(step * 10));
@@ -90,12 +90,12 @@
     assert!(meter.shortage(half, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(3_000)).is_none());
 }
 
-/// A cut that leaves a tenth of the slots unused rises, though demand still seems to be as great.
+/// A level that leaves a tenth of the slots unused rises, though the estimated demand stays as high.
 #[test]
-fn a_cut_that_leaves_slots_unused_rises() {
+fn a_level_that_leaves_slots_unused_rises() {
     let route: Arc<str> = Arc::from("read");
     let stream = || Stream { route: &route, priority: 2, each_second: 2_000, share: 1.0 };
-    let before = cut(&mut meter_of(&[stream()]), FULL);
+    let before = level(&mut meter_of(&[stream()]), FULL_LOAD);
     let mut meter = meter_of(&[stream()]);
     let unused = Load { running: 18, limit: 20, waiting: 0 };
     let mut due = 0.0;
@@ -107,22 +107,22 @@
         }
         meter.shortage(unused, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
     }
-    let after = cut_of(&mut meter, "read", unused, 5_000);
+    let after = level_of(&mut meter, "read", unused, 5_000);
     assert!(after > before + 0.1, "{before} to {after}");
 }
 
 #[test]
-fn the_most_important_are_shared_out_if_they_alone_are_too_many() {
+fn the_highest_priority_is_served_in_part_if_it_alone_exceeds_capacity() {
     let route: Arc<str> = Arc::from("read");
-    let first = Stream { route: &route, priority: 0, each_second: 2_000, share: 1.0 };
-    let last = Stream { route: &route, priority: 2, each_second: 800, share: MIN_ADMITTED_SHARE };
-    let cut = cut(&mut meter_of(&[first, last]), FULL);
-    assert!((0.4..0.6).contains(&cut), "{cut}");
+    let high = Stream { route: &route, priority: 0, each_second: 2_000, share: 1.0 };
+    let low = Stream { route: &route, priority: 2, each_second: 800, share: MIN_ADMITTED_SHARE };
+    let level = level(&mut meter_of(&[high, low]), FULL_LOAD);
+    assert!((0.4..0.6).contains(&level), "{level}");
 }
 
-/// Roots of which every second fails with its first refused call leave out the calls that they would have made after it.
+/// Every second root fails with its first refused call, and leaves out the calls that it would have made after it.
 #[test]
-fn calls_that_do_not_come_since_others_were_refused_are_made_up_for() {
+fn demand_includes_calls_that_are_missing_after_a_refusal() {
     let route: Arc<str> = Arc::from("read");
     let stream = || Stream { route: &route, priority: 2, each_second: 800, share: 1.0 };
     let mut meter = meter_of(&[stream()]);
@@ -132,29 +132,29 @@
             meter.inner_call_refused(2);
         }
     }
-    let cut = cut(&mut meter, FULL);
-    assert!((2.4..2.8).contains(&cut), "twice what arrives is asked for: {cut}");
+    let level = level(&mut meter, FULL_LOAD);
+    assert!((2.4..2.8).contains(&level), "demand is twice what arrives: {level}");
 }
 
-/// Calls that another service's cut keeps away leave their slots to others.
+/// Calls that another service's level refuses leave their slots to others.
 #[test]
-fn what_another_cut_keeps_away_counts_only_with_the_share_that_comes() {
-    let routes: [Arc<str>; 2] = ["parent of a scarce one", "other"].map(Arc::from);
+fn calls_refused_by_another_level_count_only_with_the_share_that_arrives() {
+    let routes: [Arc<str>; 2] = ["parent of a scarce route", "other"].map(Arc::from);
     let parent = Stream { route: &routes[0], priority: 2, each_second: 2_000, share: MIN_ADMITTED_SHARE };
     let other = Stream { route: &routes[1], priority: 2, each_second: 700, share: 1.0 };
     let mut meter = meter_of(&[parent, other]);
-    let cut_of = |route: &str| {
+    let level_of = |route: &str| {
         if route == &*routes[0] {
             AdmissionLevel::from_priority_share(0.5)
         } else {
             AdmissionLevel::FULL
         }
     };
-    assert!(meter.shortage(FULL, PRIORITIES, cut_of, milliseconds(2_000)).is_none());
-    assert!(meter.shortage(FULL, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(2_000)).is_some());
+    assert!(meter.shortage(FULL_LOAD, PRIORITIES, level_of, milliseconds(2_000)).is_none());
+    assert!(meter.shortage(FULL_LOAD, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(2_000)).is_some());
 }
 
-/// Short calls that take a fifth of the slots' time, and long ones that ask for all of it.
+/// Short calls that take a fifth of the slots' time, and long ones that demand all of it.
 #[test]
 fn routes_of_one_priority_share_the_time_and_not_the_number_of_calls() {
     let routes: [Arc<str>; 2] = ["short", "long"].map(Arc::from);
@@ -167,10 +167,10 @@
             meter.call_arrived(&routes[0], 2, 1.0, now);
         }
         meter.call_arrived(&routes[1], 2, 1.0, now);
-        meter.shortage(FULL, PRIORITIES, |_| AdmissionLevel::FULL, now);
+        meter.shortage(FULL_LOAD, PRIORITIES, |_| AdmissionLevel::FULL, now);
     }
-    let cut = |meter: &mut CapacityMeter, route| cut_of(meter, route, FULL, 2_000);
-    assert!(cut(&mut meter, "short") > 2.99);
-    let long = cut(&mut meter, "long");
+    let level = |meter: &mut CapacityMeter, route| level_of(meter, route, FULL_LOAD, 2_000);
+    assert!(level(&mut meter, "short") > 2.99);
+    let long = level(&mut meter, "long");
     assert!((2.7..2.95).contains(&long), "{long}");
 }
--- a/crates/mesh/tests/shortage/main.rs
+++ b/crates/mesh/tests/shortage/main.rs
@@ -1,7 +1,9 @@
-//! A service three hops down loses a third of its targets, then two thirds, on a virtual clock over the decisions that run.
+//! A service three hops down loses a third of its targets, then two thirds. The simulation runs the decision code on a
+//! virtual clock.
 //!
-//! Roots enter at many entries and make four calls of the scarce service one after the other. Each gate's cut goes to a node in between with each
-//! answer, and on to the entry with the answer of the root, as in the program.
+//! Roots enter at many entries and make four calls of the scarce service one after the other. Each gate's admission
+//! level goes to a node in between with each answer, and on to the entry with the answer of the root, as in the
+//! sidecar.
 
 mod fleet;
 
@@ -10,13 +12,14 @@
 
 /// Targets of the scarce service, with [`fleet::SLOTS`] slots each.
 const TARGETS: usize = 6;
-/// The share of the whole service that calls of the greatest importance ask for.
-const GREATEST: f64 = 0.28;
-/// The share that calls of the least importance ask for.
-const LEAST: f64 = 0.52;
+/// The demand of calls of the highest priority, as a share of the capacity of the whole service.
+const HIGH_PRIORITY_DEMAND: f64 = 0.28;
+/// The demand of calls of the lowest priority, as a share of that capacity.
+const LOW_PRIORITY_DEMAND: f64 = 0.52;
 
-/// Plays the seconds from `from` to `to` and returns what became of the roots that entered after the first two of them.
-fn play(fleet: &mut Fleet, open: usize, seconds: u64) -> Totals {
+/// Runs the fleet for some seconds with `open` targets and returns the outcomes of the roots that entered after the
+/// first two seconds.
+fn run(fleet: &mut Fleet, open: usize, seconds: u64) -> Totals {
     fleet.open_targets(open);
     fleet.run(2_000);
     fleet.totals = Totals::default();
@@ -28,18 +31,18 @@
 #[test_case(15; "at fifteen entries")]
 #[test_case(95; "at ninety-five entries")]
 #[test_case(300; "at three hundred entries")]
-fn what_fits_is_served_whole_and_the_rest_is_refused_where_it_enters(entries: usize) {
-    let mut fleet = Fleet::new(entries, TARGETS, [GREATEST, LEAST], 17);
-    let calm = play(&mut fleet, TARGETS, 6);
-    assert!(calm.refused_share(2) < 0.01, "calm: {calm:?}");
+fn demand_that_fits_is_served_and_the_rest_is_refused_at_entry(entries: usize) {
+    let mut fleet = Fleet::new(entries, TARGETS, [HIGH_PRIORITY_DEMAND, LOW_PRIORITY_DEMAND], 17);
+    let normal = run(&mut fleet, TARGETS, 6);
+    assert!(normal.refused_share(2) < 0.01, "normal: {normal:?}");
     for (open, capacity) in [(TARGETS * 2 / 3, 2.0 / 3.0), (TARGETS / 3, 1.0 / 3.0)] {
-        let short = play(&mut fleet, open, 12);
-        assert!(short.served_share(0) > 0.99, "{open} targets, the greatest importance fits: {short:?}");
+        let short = run(&mut fleet, open, 12);
+        assert!(short.served_share(0) > 0.99, "{open} targets, the highest priority fits: {short:?}");
         assert!(short.wasted_share() < 0.05, "{open} targets: {short:?}");
-        let fits = f64::min(GREATEST + LEAST, capacity);
-        let served = GREATEST * short.served_share(0) + LEAST * short.served_share(2);
+        let fits = f64::min(HIGH_PRIORITY_DEMAND + LOW_PRIORITY_DEMAND, capacity);
+        let served = HIGH_PRIORITY_DEMAND * short.served_share(0) + LOW_PRIORITY_DEMAND * short.served_share(2);
         assert!(served > 0.9 * fits, "{open} targets: {served} of {fits}, {short:?}");
     }
-    let after = play(&mut fleet, TARGETS, 6);
+    let after = run(&mut fleet, TARGETS, 6);
     assert!(after.served_share(2) > 0.99, "two seconds after the targets are back: {after:?}");
 }
