--- a/crates/mesh/src/call_graph.rs
+++ b/crates/mesh/src/call_graph.rs
@@ -78,12 +78,12 @@
     }
 
     /// How often a running call of `parent` makes a call of `called`, each second.
-    pub fn rate(&self, parent: &str, called: &str) -> f64 {
+    pub fn call_rate(&self, parent: &str, called: &str) -> f64 {
         self.parents.get(parent).map_or(PRIOR_RATE, |parent| parent.rate(called))
     }
 
     /// The routes that calls of `route` call.
-    pub fn called_by<'a>(&'a self, route: &str) -> impl Iterator<Item = &'a Arc<str>> {
+    pub fn callees<'a>(&'a self, route: &str) -> impl Iterator<Item = &'a Arc<str>> {
         let parent = self.parents.get(route).filter(|parent| parent.runs >= RUNS_NEEDED);
         parent.into_iter().flat_map(|parent| {
             let linked = parent.calls.iter().filter(|(_, calls)| **calls / parent.runs >= LINKED_FROM);
--- a/crates/mesh/tests/decisions/graph.rs
+++ b/crates/mesh/tests/decisions/graph.rs
@@ -27,7 +27,7 @@
             graph.call_started(parent, milliseconds(now + 10));
             let running_parent =
                 parents.call_started(milliseconds(now + 10) + PARENT_TIME, parent.clone(), lineage(0, 0));
-            let rate = |parent: &Arc<str>| graph.rate(parent, called);
+            let rate = |parent: &Arc<str>| graph.call_rate(parent, called);
             let origin = parents.origin(called, CALLED_TIME, milliseconds(now + 20), rate);
             let CallOrigin::UnknownParent(Some(likely)) = origin else { panic!("{origin:?}") };
             let likely = likely.parent_routes.iter().map(|(route, likelihood)| (route, *likelihood));
@@ -39,8 +39,8 @@
         parents.call_ended(running_leaf);
         now += 70;
     }
-    assert_eq!(graph.called_by("parent").collect::<Vec<_>>(), [called]);
-    assert_eq!(graph.called_by("leaf").count(), 0);
+    assert_eq!(graph.callees("parent").collect::<Vec<_>>(), [called]);
+    assert_eq!(graph.callees("leaf").count(), 0);
 }
 
 const PARENT_TIME: Duration = Duration::from_secs(5);
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -120,7 +120,7 @@
     let Some(given) = shown.given.filter(|_| shown.is_local(node)) else { return CallOrigin::Caller };
     let origin = {
         let graph = node.graph.borrow();
-        let rate = |parent: &Arc<str>| graph.rate(parent, &route.name);
+        let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
             Sender::Tenant(_) => CallOrigin::Caller,
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -304,7 +304,7 @@
 
     /// The lowest cut of the routes that calls of `route` call.
     pub fn called_cut(&self, route: &str, now: Timestamp) -> AdmissionLevel {
-        self.cuts.borrow().lowest(self.graph.borrow().called_by(route), now)
+        self.cuts.borrow().lowest(self.graph.borrow().callees(route), now)
     }
 
     /// Whether the node can serve callers.
