--- a/crates/mesh/src/call_graph.rs
+++ b/crates/mesh/src/call_graph.rs
@@ -1,8 +1,9 @@
 //! Learns which routes the calls of a route call in turn.
 //!
-//! Where it is not known for which of its running calls a target makes one of its own, the call is shared out among the routes of
-//! those that it may be for ([`crate::parents`]), by how many of them run and by how often calls of the route were made before; the
-//! shares settle on the true ones, since routes that never call also run while nothing is called.
+//! Where it is unknown for which of its running calls a target makes a call of its own, that call is divided among the
+//! routes of the possible parents ([`crate::parents`]), by the number of their running calls and by the rate at which
+//! they made such calls before. The shares converge to the true ones, since routes that never make the call also run
+//! while it is not made.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,44 +11,44 @@
 
 use quillhatch_types::Timestamp;
 
-/// Calls for each run below which a route does not count as calling another.
-const LINKED_FROM: f64 = 0.25;
-/// The runs of a route from which its links are believed.
-const RUNS_NEEDED: f64 = 4.0;
-/// The time after which half of what was learnt is forgotten.
-const MEMORY: Duration = Duration::from_secs(15);
-/// What a route without history is taken to call each second while it runs.
-const PRIOR_RATE: f64 = 0.05;
+/// The minimum number of calls per run for a route to count as calling another.
+const MIN_CALLS_PER_RUN: f64 = 0.25;
+/// The minimum number of runs of a route before its callees are used.
+const MIN_RUNS: f64 = 4.0;
+/// The half-life of all counts.
+const COUNT_HALF_LIFE: Duration = Duration::from_secs(15);
+/// The rate of calls per second of running time that is assumed for a route without history.
+const PRIOR_CALLS_PER_SECOND: f64 = 0.05;
 
 #[derive(Clone, Debug, Default)]
-struct Parent {
+struct ParentStatistics {
     running: u32,
-    exposure: f64,
+    running_seconds: f64,
     runs: f64,
-    calls: HashMap<Arc<str>, f64>,
+    calls_by_route: HashMap<Arc<str>, f64>,
 }
 
-impl Parent {
-    fn rate(&self, called: &str) -> f64 {
-        let calls = self.calls.get(called).copied().unwrap_or(0.0);
-        (calls + PRIOR_RATE) / (self.exposure + 1.0)
+impl ParentStatistics {
+    fn call_rate(&self, callee: &str) -> f64 {
+        let calls = self.calls_by_route.get(callee).copied().unwrap_or(0.0);
+        (calls + PRIOR_CALLS_PER_SECOND) / (self.running_seconds + 1.0)
     }
 }
 
 /// The calls between routes, as seen at one target.
 #[derive(Clone, Debug)]
 pub struct CallGraph {
-    parents: HashMap<Arc<str>, Parent>,
+    parents: HashMap<Arc<str>, ParentStatistics>,
     updated: Timestamp,
 }
 
 impl CallGraph {
-    /// Nothing is known yet.
+    /// An empty graph.
     pub fn new(now: Timestamp) -> Self {
         CallGraph { parents: HashMap::new(), updated: now }
     }
 
-    /// A call of `route` begins to run at the target.
+    /// Records that a call of `route` starts to run at the target.
     pub fn call_started(&mut self, route: &Arc<str>, now: Timestamp) {
         self.advance(now);
         let parent = self.parents.entry(route.clone()).or_default();
@@ -55,7 +56,7 @@
         parent.runs += 1.0;
     }
 
-    /// A call of `route` has ended at the target.
+    /// Records that a call of `route` has ended at the target.
     pub fn call_ended(&mut self, route: &str, now: Timestamp) {
         self.advance(now);
         if let Some(parent) = self.parents.get_mut(route) {
@@ -63,31 +64,32 @@
         }
     }
 
-    /// The target makes a call of route `called` for a call of one of these routes, with the likelihood of each.
+    /// Records that the target makes a call of route `callee` for a call of one of these routes, with the likelihood of
+    /// each.
     pub fn record_call<'a>(
         &mut self,
-        called: &Arc<str>,
+        callee: &Arc<str>,
         parents: impl IntoIterator<Item = (&'a Arc<str>, f64)>,
         now: Timestamp,
     ) {
         self.advance(now);
         for (route, likelihood) in parents {
             let Some(parent) = self.parents.get_mut(route) else { continue };
-            *parent.calls.entry(called.clone()).or_default() += likelihood;
+            *parent.calls_by_route.entry(callee.clone()).or_default() += likelihood;
         }
     }
 
-    /// How often a running call of `parent` makes a call of `called`, each second.
-    pub fn call_rate(&self, parent: &str, called: &str) -> f64 {
-        self.parents.get(parent).map_or(PRIOR_RATE, |parent| parent.rate(called))
+    /// Returns how many calls of `callee` one running call of `parent` makes per second.
+    pub fn call_rate(&self, parent: &str, callee: &str) -> f64 {
+        self.parents.get(parent).map_or(PRIOR_CALLS_PER_SECOND, |parent| parent.call_rate(callee))
     }
 
-    /// The routes that calls of `route` call.
+    /// Returns the routes that calls of `route` call.
     pub fn callees<'a>(&'a self, route: &str) -> impl Iterator<Item = &'a Arc<str>> {
-        let parent = self.parents.get(route).filter(|parent| parent.runs >= RUNS_NEEDED);
+        let parent = self.parents.get(route).filter(|parent| parent.runs >= MIN_RUNS);
         parent.into_iter().flat_map(|parent| {
-            let linked = parent.calls.iter().filter(|(_, calls)| **calls / parent.runs >= LINKED_FROM);
-            linked.map(|(called, _)| called)
+            let callees = parent.calls_by_route.iter().filter(|(_, calls)| **calls / parent.runs >= MIN_CALLS_PER_RUN);
+            callees.map(|(callee, _)| callee)
         })
     }
 
@@ -97,11 +99,11 @@
             return;
         }
         self.updated = now;
-        let kept = 0.5_f64.powf(elapsed / MEMORY.as_secs_f64());
+        let remaining = 0.5_f64.powf(elapsed / COUNT_HALF_LIFE.as_secs_f64());
         for parent in self.parents.values_mut() {
-            parent.exposure = parent.exposure * kept + f64::from(parent.running) * elapsed;
-            parent.runs *= kept;
-            parent.calls.values_mut().for_each(|calls| *calls *= kept);
+            parent.running_seconds = parent.running_seconds * remaining + f64::from(parent.running) * elapsed;
+            parent.runs *= remaining;
+            parent.calls_by_route.values_mut().for_each(|calls| *calls *= remaining);
         }
     }
 }
