--- a/crates/mesh/tests/feed/main.rs
+++ b/crates/mesh/tests/feed/main.rs
@@ -15,7 +15,7 @@
 const RESERVE: Duration = Duration::from_millis(500);
 
 fn in_time() -> Duration {
-    BOUNDS.least() - RESERVE
+    BOUNDS.shortest() - RESERVE
 }
 
 /// `count` changes, one each 200 ms; returns the calls of the store meanwhile.
@@ -46,7 +46,7 @@
     for number in 0..5 {
         fleet.drain(number, true, 2);
         let took = fleet.catch_up(in_time());
-        assert!(took <= BOUNDS.least() / 2, "{took:?}");
+        assert!(took <= BOUNDS.shortest() / 2, "{took:?}");
         fleet.play(333);
     }
 }
@@ -105,7 +105,7 @@
 #[test_case(Ailment::Dead, Access::Served; "killed")]
 #[test_case(Ailment::Silent, Access::Served; "frozen")]
 fn a_change_reaches_all_within_a_short_bound_though_all_readers_fail(ailment: Ailment, access: Access) {
-    let bound = SHORT_BOUNDS.least();
+    let bound = SHORT_BOUNDS.shortest();
     for (nodes, zones) in [(12, 3), (15, 3), (100, 5)] {
         for phase in (0..2_000).step_by(100) {
             let mut fleet = Fleet::with_bounds(nodes, zones, 12, SHORT_BOUNDS);
@@ -144,7 +144,7 @@
 #[test_case(Ailment::Silent; "silent")]
 fn a_node_that_nobody_answers_reads_the_store_itself(ailment: Ailment) {
     let mut fleet = Fleet::new(300, 5, 8);
-    let alone = (0..300).max_by_key(|number| fleet.nodes[*number].place.ahead).expect("nodes");
+    let alone = (0..300).max_by_key(|number| fleet.nodes[*number].place.nodes_ahead).expect("nodes");
     let candidates = fleet.candidates(alone);
     strike(&mut fleet, &candidates, ailment, Access::Served);
     fleet.play(4_000);
@@ -161,11 +161,11 @@
     fleet.play(8_000);
     let calls = fleet.store.calls;
     assert!(calls <= 3 * 8 + 60 * zones, "{calls} calls of {nodes} nodes in 8 s");
-    assert!(fleet.nodes.iter().all(|node| node.loss.is_cut_off(fleet.now)), "all know that the store is away");
+    assert!(fleet.nodes.iter().all(|node| node.loss.is_partitioned(fleet.now)), "all know that the store is away");
     fleet.drain(0, true, 2);
     fleet.set_down(false);
-    let took = fleet.catch_up(BOUNDS.contact);
-    assert!(took <= BOUNDS.contact, "{took:?}");
+    let took = fleet.catch_up(BOUNDS.recovery);
+    assert!(took <= BOUNDS.recovery, "{took:?}");
     fleet.play(3_000);
     assert!(fleet.nodes.iter().all(|node| node.loss.since().is_none()), "all know that it is back");
 }
@@ -181,7 +181,7 @@
         let failed = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
         let calls = fleet.store.calls;
         fleet.set_down(false);
-        fleet.play(BOUNDS.contact.as_millis() as u64);
+        fleet.play(BOUNDS.recovery.as_millis() as u64);
         let still = fleet.nodes.iter().filter(|node| node.own_call_failed).count();
         assert_eq!(still, 0, "of {failed} after {outage} ms");
         let verified = fleet.store.calls - calls;
@@ -197,7 +197,7 @@
     strike(&mut fleet, &readers, Ailment::None, Access::Refused);
     fleet.play(4_000);
     let turned_away: Vec<usize> = (0..300).filter(|number| fleet.nodes[*number].own_call_failed).collect();
-    let (before, longest_pause) = (fleet.store.calls, BOUNDS.contact / 2);
+    let (before, longest_pause) = (fleet.store.calls, BOUNDS.recovery / 2);
     fleet.play(20_000);
     let calls = fleet.store.calls - before;
     let often = Duration::from_secs(20).div_duration_f64(longest_pause / 2) as usize;
@@ -216,13 +216,13 @@
     fleet.play(1_500);
     fleet.restore(5);
     fleet.set_down(false);
-    fleet.catch_up(BOUNDS.contact);
+    fleet.catch_up(BOUNDS.recovery);
     assert!(fleet.nodes.iter().all(|node| node.position().era == 1));
     // Revisions are given out again.
     fleet.drain(50, true, 2);
     fleet.catch_up(in_time());
     for node in &fleet.nodes {
-        let update = node.replica.since(Default::default(), fleet.now).expect("everything");
+        let update = node.replica.update_since(Default::default(), fleet.now).expect("everything");
         let draining = update.changes.iter().filter(|revised| match &revised.change {
             quillhatch_mesh::replica::Change::Target(_, registration) => registration.draining,
             _ => false,
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -1,4 +1,4 @@
-//! What a call inherits, and whether it may enter the graph.
+//! The lineage of a call, the admission of root calls, and checks of malformed requests.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -14,35 +14,36 @@
 
 use crate::node::Node;
 
-/// What a call of this origin inherits from the call that entered the graph; one that enters here has `priority`.
+/// The lineage of a call with this origin. A nested call inherits it from its root call; a root call starts one with
+/// `priority`.
 pub(super) fn lineage_of(node: &Node, priority: u8, origin: &CallOrigin, id: &str) -> InheritedContext {
-    let own = InheritedContext {
+    let new_root = InheritedContext {
         priority,
         position: position(id),
         is_retry: false,
         admitted_permille: ALL_ADMITTED_PERMILLE,
     };
     match origin {
-        _ if !node.has(Mechanism::InheritedPriority) => own,
+        _ if !node.has(Mechanism::InheritedPriority) => new_root,
         CallOrigin::KnownParent(_, lineage) => lineage.clone(),
         CallOrigin::UnknownParent(Some(likely)) => InheritedContext {
             priority: likely.priority,
             is_retry: node.random.borrow_mut().gen_bool(likely.retry_share.min(1.0)),
             admitted_permille: likely.admitted_permille,
-            ..own
+            ..new_root
         },
-        CallOrigin::UnknownParent(None) | CallOrigin::Caller => own,
+        CallOrigin::UnknownParent(None) | CallOrigin::Caller => new_root,
     }
 }
 
-/// The position of a call that enters the graph, drawn from its identity.
+/// The position of a root call, a hash of its identity.
 fn position(id: &str) -> u8 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish() as u8
 }
 
-/// The share of calls like this one that enter the graph here.
+/// The share of root calls of this route and priority that are admitted.
 pub(super) fn admitted_share(
     node: &Node,
     configuration: &Configuration,
@@ -50,17 +51,21 @@
     priority: u8,
     now: Timestamp,
 ) -> f64 {
-    node.cuts.borrow().level(&route.name, now).admitted_share(priority, configuration.priorities())
+    node.cuts.borrow().level(&route.name, now).admitted_share(priority, configuration.priority_count())
 }
 
-/// Whether a call that enters the graph here is refused. The same ones are let in everywhere and all the while, as long as the
-/// share does not change.
+/// Whether a root call is refused at this admitted share. While the share does not change, every node and every retry
+/// decides alike for the same call.
 pub(super) fn is_refused(lineage: &InheritedContext, share: f64) -> bool {
     f64::from(lineage.position) / 256.0 >= share
 }
 
-/// The status with which a request is refused that no target should see.
-pub(super) fn malformed(configuration: &Configuration, parts: &Parts, body: Option<&Incoming>) -> Option<StatusCode> {
+/// The status with which a malformed or oversized request is refused before it reaches a target.
+pub(super) fn malformed_status(
+    configuration: &Configuration,
+    parts: &Parts,
+    body: Option<&Incoming>,
+) -> Option<StatusCode> {
     let limits = &configuration.limits;
     let head: usize = parts.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
     if head + parts.uri.path().len() > limits.header_bytes {
--- a/crates/sidecar/src/feed/answer.rs
+++ b/crates/sidecar/src/feed/answer.rs
@@ -6,16 +6,16 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode};
-use quillhatch_mesh::feed::hold_time;
+use quillhatch_mesh::feed::long_poll_timeout;
 use quillhatch_mesh::replica::Position;
-use quillhatch_mesh::targets::KEPT_AFTER_CUT;
+use quillhatch_mesh::targets::PARTITION_GRACE;
 use quillhatch_messages::generated::replica as wire;
 use quillhatch_messages::{decode, encode};
 use quillhatch_types::Timestamp;
 use tokio::time::timeout;
 
 use super::codec::{decode_position, encode_kept, encode_update};
-use crate::body::{read_up_to, Body, Read};
+use crate::body::{read_up_to, Body, ReadBody};
 use crate::node::Node;
 use crate::present_target;
 use crate::reach::own_reach;
@@ -36,7 +36,7 @@
     let arrived = node.now();
     let Some(question) = read_question(body).await else { return refusal(StatusCode::BAD_REQUEST) };
     let from = question.position.as_ref().map(decode_position).unwrap_or_default();
-    let hold = Duration::from_millis(u64::from(question.hold_ms)).min(hold_time(false, &node.settings.bounds));
+    let hold = Duration::from_millis(u64::from(question.hold_ms)).min(long_poll_timeout(false, &node.settings.bounds));
     if node.position().is_known() && !node.is_stopping() {
         // Over its time there is nothing new, which is the answer.
         let _ = timeout(hold, reach_beyond(node, from)).await;
@@ -45,11 +45,11 @@
         return refusal(StatusCode::SERVICE_UNAVAILABLE);
     }
     let kept = if question.wants_kept { unregistered(node) } else { Vec::new() };
-    Response::new(Body::Whole(render(node, from, arrived, kept)))
+    Response::new(Body::Buffered(render(node, from, arrived, kept)))
 }
 
 async fn read_question(body: Option<Incoming>) -> Option<wire::ReplicaQuestion> {
-    let Ok(Read::Whole(bytes)) = read_up_to(body?, LARGEST_QUESTION).await else { return None };
+    let Ok(ReadBody::Complete(bytes)) = read_up_to(body?, LARGEST_QUESTION).await else { return None };
     decode(&bytes).ok()
 }
 
@@ -95,9 +95,9 @@
     let now = node.now();
     let targets = node.targets.borrow();
     let present = node.present.borrow();
-    let own = present.as_ref().filter(|_| own_reach(node).is_cut_off).and_then(|present| targets.get(present));
-    let own = own.map(|target| (target, now + KEPT_AFTER_CUT));
-    let all = own.into_iter().chain(targets.kept()).filter(|(target, _)| !present_target::leaves(node, &target.id));
+    let own = present.as_ref().filter(|_| own_reach(node).store_unreachable).and_then(|present| targets.get(present));
+    let own = own.map(|target| (target, now + PARTITION_GRACE));
+    let all = own.into_iter().chain(targets.retained()).filter(|(target, _)| !present_target::leaves(node, &target.id));
     all.map(|(target, until)| encode_kept(target, now.until(until))).collect()
 }
 
@@ -115,7 +115,7 @@
     }
     let mut last = node.feed.encoded.borrow_mut();
     if (last.from, last.to) != (from, to) {
-        let update = node.replica.borrow().since(from, node.now())?;
+        let update = node.replica.borrow().update_since(from, node.now())?;
         *last = EncodedUpdate { from, to, message: encode_update(&update) };
     }
     Some(last.message.clone())
--- a/crates/sidecar/src/feed/question.rs
+++ b/crates/sidecar/src/feed/question.rs
@@ -8,7 +8,7 @@
 use derive_more::Display;
 use http_body_util::BodyExt;
 use hyper::{Request, StatusCode};
-use quillhatch_mesh::feed::{answer_timeout, Supply};
+use quillhatch_mesh::feed::{response_timeout, SourceStatus};
 use quillhatch_mesh::freshness::FreshnessProof;
 use quillhatch_mesh::replica::UpdateError;
 use quillhatch_messages::generated::replica as wire;
@@ -59,7 +59,7 @@
 }
 
 /// Asks the node at `peer` and takes over what it tells.
-pub(super) async fn ask(node: &Rc<Node>, peer: IpAddr, asked: Asked) -> Result<Supply, QuestionError> {
+pub(super) async fn ask(node: &Rc<Node>, peer: IpAddr, asked: Asked) -> Result<SourceStatus, QuestionError> {
     let sent = node.now();
     let answer = exchange(node, peer, asked).await?;
     if let Some(update) = &answer.update {
@@ -72,7 +72,7 @@
             Err(error) => return Err(QuestionError::Update(error)),
         }
     }
-    keep_unregistered(node, &answer.kept);
+    retain_unregistered(node, &answer.kept);
     if let Some(proof) = &answer.proof {
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
         node.tenancy.learnt(proof, &node.configuration.borrow(), sent);
@@ -80,7 +80,7 @@
     let lost = Duration::from_millis(answer.lost_ms);
     let now = node.now();
     let lost_since = (answer.lost_ms > 0).then(|| Timestamp::ZERO + now.since(Timestamp::ZERO).saturating_sub(lost));
-    Ok(Supply { read_at: read_at(sent, answer.read_ms), lost_since })
+    Ok(SourceStatus { store_read_at: read_at(sent, answer.read_ms), lost_since })
 }
 
 /// When the store was read that was read `age_ms` before this node's question, sent at `sent`, has arrived. What was read before this
@@ -92,7 +92,7 @@
 }
 
 /// Lists targets that serve without a registration. One that can't be read is left out.
-fn keep_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
+fn retain_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
     if kept.is_empty() {
         return;
     }
@@ -101,7 +101,7 @@
         let Some(target) = target else { continue };
         let Ok(registration) = decode_target(target) else { continue };
         let (id, left) = (Arc::from(target.id.as_str()), Duration::from_millis(u64::from(*left_ms)));
-        node.targets.borrow_mut().keep_unregistered(id, registration, left, now);
+        node.targets.borrow_mut().retain_unregistered(id, registration, left, now);
     }
     node.grace_changed.notify_one();
     changed(node);
@@ -118,7 +118,8 @@
         hold_ms: hold.as_millis() as u32,
         wants_kept: asked == Asked::Unregistered,
     };
-    let request = Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Whole(encode(&question).into()));
+    let request =
+        Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Buffered(encode(&question).into()));
     let request = request.expect("the path and the host are made of plain characters");
     let address = SocketAddr::new(peer, node.settings.inbound.port());
     let exchange = async {
@@ -126,12 +127,12 @@
         let status = response.status();
         let body = response.into_body().collect().await;
         let bytes = body.map_err(|_| QuestionError::Unreadable)?.to_bytes();
-        lease.keep();
+        lease.release();
         if status != StatusCode::OK {
             return Err(QuestionError::Status(status));
         }
         decode(&bytes).map_err(|_| QuestionError::Unreadable)
     };
-    let longest = answer_timeout(hold, &node.settings.bounds);
+    let longest = response_timeout(hold, &node.settings.bounds);
     timeout(longest, exchange).await.unwrap_or(Err(QuestionError::TimedOut))
 }
