--- a/crates/mesh/src/health.rs
+++ b/crates/mesh/src/health.rs
@@ -1,76 +1,77 @@
-//! Whether a target's answers are good, as the gate before it sees them.
+//! The share of good answers of a target, as measured by the gate in front of it.
 //!
-//! A target may refuse, lose or spoil a part of its calls while it is fast and its health check is good, and its short queue attracts
-//! more of them. Its gate sees all of its calls, an edge only its own, which in a large service are less than one a second for each
-//! target; so the gate counts, and its reports carry the share of good answers.
+//! A target may refuse, lose or corrupt a part of its calls while it is fast and its health check is good, and its
+//! short queue attracts more of them. Its gate sees all of its calls; an edge sees only its own, in a large service
+//! less than one a second for each target. So the gate counts, and its reports carry the share of good answers.
 //!
-//! A target also answers with an error when a call that it needs has failed. The gate's node sees those calls fail at its edge, so
-//! as many errors are laid on them and not on the target.
+//! A target also answers with an error when a call that it makes itself has failed. The gate's node sees those calls
+//! fail at its edge, and doesn't count as many of the target's errors against it.
 
 use quillhatch_types::Timestamp;
 
-/// The time in seconds over which answers are counted: some dozens at a target with thirty calls a second.
-const COUNTED_OVER: f64 = 1.0;
-/// Good answers that a target is taken to have given before the first one. Few answers are no evidence.
-const ASSUMED_GOOD: f64 = 5.0;
+/// The time constant, in seconds, over which answers are counted: some dozens at a target with thirty calls a second.
+const COUNT_TIME_CONSTANT_S: f64 = 1.0;
+/// The number of good answers assumed before the first one. Few answers are no evidence.
+const ASSUMED_GOOD_ANSWERS: f64 = 5.0;
 
-/// The answers of one target, fading.
+/// The answers of one target, with exponential decay.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetHealth {
     good: f64,
     bad: f64,
-    /// Failed calls of the target on which its errors are laid.
-    failed_calls: f64,
-    faded: Timestamp,
+    /// Failed calls of the target that excuse errors in its answers.
+    downstream_failures: f64,
+    decayed_at: Timestamp,
 }
 
 impl TargetHealth {
-    /// A target that is taken to be good.
+    /// A target without any answers, which counts as healthy.
     pub fn new(now: Timestamp) -> Self {
-        TargetHealth { good: 0.0, bad: 0.0, failed_calls: 0.0, faded: now }
+        TargetHealth { good: 0.0, bad: 0.0, downstream_failures: 0.0, decayed_at: now }
     }
 
-    /// The target has given a good answer.
+    /// Records a good answer.
     pub fn record_good(&mut self, now: Timestamp) {
-        self.fade(now);
+        self.decay(now);
         self.good += 1.0;
     }
 
-    /// The target has refused, lost or spoiled a call.
+    /// Records that the target refused, lost or corrupted a call.
     pub fn record_bad(&mut self, now: Timestamp) {
-        self.fade(now);
+        self.decay(now);
         self.bad += 1.0;
     }
 
-    /// A call that the target made has failed.
+    /// Records that a call made by the target has failed.
     pub fn record_downstream_failure(&mut self, now: Timestamp) {
-        self.fade(now);
-        self.failed_calls += 1.0;
+        self.decay(now);
+        self.downstream_failures += 1.0;
     }
 
-    /// The target has answered with an error: its own, unless a call that it made has failed.
+    /// Records that the target answered with an error. It counts as bad unless a call made by the target has failed
+    /// before.
     pub fn record_error(&mut self, now: Timestamp) {
-        self.fade(now);
-        if self.failed_calls >= 0.5 {
-            self.failed_calls = (self.failed_calls - 1.0).max(0.0);
+        self.decay(now);
+        if self.downstream_failures >= 0.5 {
+            self.downstream_failures = (self.downstream_failures - 1.0).max(0.0);
         } else {
             self.bad += 1.0;
         }
     }
 
-    /// The share of good answers.
+    /// Returns the share of good answers.
     pub fn good_share(&mut self, now: Timestamp) -> f64 {
-        self.fade(now);
-        let good = self.good + ASSUMED_GOOD;
+        self.decay(now);
+        let good = self.good + ASSUMED_GOOD_ANSWERS;
         good / (good + self.bad)
     }
 
-    fn fade(&mut self, now: Timestamp) {
-        let elapsed = now.since(self.faded).as_secs_f64();
-        self.faded = now;
-        let kept = (-elapsed / COUNTED_OVER).exp();
-        self.good *= kept;
-        self.bad *= kept;
-        self.failed_calls *= kept;
+    fn decay(&mut self, now: Timestamp) {
+        let elapsed = now.since(self.decayed_at).as_secs_f64();
+        self.decayed_at = now;
+        let remaining = (-elapsed / COUNT_TIME_CONSTANT_S).exp();
+        self.good *= remaining;
+        self.bad *= remaining;
+        self.downstream_failures *= remaining;
     }
 }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions of a sidecar: which target a call goes to, whether it runs, waits or is refused, and what is repeated.
+//! The decisions of a sidecar: which target a call is sent to, whether it runs, waits or is refused, and whether it is
+//! retried.
 //!
-//! Everything here is free of input and output: the time is an argument, random numbers come from a generator that the
-//! caller owns. A sidecar has an **edge**, which takes calls from callers and from its own target, and a **gate**, which
-//! stands before its own target; no agreement between nodes is needed for either.
+//! This crate does no input or output: the current time is an argument, and random numbers come from a generator that
+//! the caller owns. A sidecar has an **edge**, which takes calls from callers and from its own target, and a **gate**
+//! in front of its own target. Neither needs agreement between nodes.
 
 pub mod admission_level;
 pub mod authentication;
--- a/crates/mesh/src/mechanisms.rs
+++ b/crates/mesh/src/mechanisms.rs
@@ -1,60 +1,60 @@
-//! Which of a sidecar's mechanisms are switched on.
+//! The mechanisms of a sidecar that can be switched off.
 //!
-//! All are, unless the command line names some that are not. That is for measurements of what each is worth, and for operators who
-//! suspect one of them; the start line of the log names what is off.
+//! All are on, unless the command line names some to switch off. That is for measurements of the effect of each
+//! mechanism, and for operators who suspect one of them; the start line of the log names the mechanisms that are off.
 
 use derive_more::{Display, Error};
 
-/// A mechanism that can be switched off by itself.
+/// A mechanism that can be switched off on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Calls are refused where they enter when a service that they need is short of slots.
+    /// Calls are refused where they enter when a service that they need is out of capacity.
     EntryAdmission,
-    /// Calls that don't come since others were refused are made up for in the demand.
+    /// Demand includes the calls that don't arrive because earlier ones were refused.
     MissingCallEstimate,
-    /// Calls that wait at a gate are served in the order of importance.
+    /// Calls that wait at a gate are served by priority.
     GatePriority,
-    /// In a shortage all gates serve the calls of the same roots first.
+    /// During a shortage all gates serve the calls of the same roots first.
     SharedRootOrder,
-    /// Calls of targets inherit the importance of the call that entered.
+    /// Calls made by targets inherit the priority of the call that entered the graph.
     InheritedPriority,
-    /// Calls wait at a gate no longer than they can bear.
+    /// Calls wait at a gate only for a part of their time limit.
     QueueTimeout,
     /// Slower targets get fewer calls.
     LatencyBalancing,
     /// Busier targets get fewer calls.
     LoadBalancing,
-    /// Targets whose answers are bad get fewer calls.
+    /// Targets with bad answers get fewer calls.
     HealthBalancing,
-    /// Targets of the own zone are preferred.
+    /// Targets in the local zone are preferred.
     ZoneBalancing,
     /// Targets that have just started get fewer calls.
     SlowStart,
-    /// Calls of targets leave a slow target for another one.
+    /// Calls made by targets are sent to another target if the first one is slow.
     SlowAttemptRetry,
-    /// Calls are sent to a second target after an attempt that failed.
+    /// Calls are sent to a second target after a failed attempt.
     Retries,
-    /// Nodes that are silent are asked whether they are there.
+    /// Nodes that don't answer are probed for liveness.
     LivenessProbes,
-    /// Changes in the store are gathered before they are read.
+    /// Changes in the store are collected for a moment before they are read.
     BatchedReads,
     /// Few nodes read the store and the others follow them; without it each node reads for itself.
     SharedReads,
-    /// Targets whose registrations are missing are kept where that may be the store's fault.
+    /// Targets whose registrations are missing are retained where that may be the store's fault.
     RetainedTargets,
-    /// Nodes share the limits of tenants by demand; without it each lets in its equal part.
+    /// Nodes share the limits of tenants by demand; without it each admits an equal part.
     SharedLimits,
-    /// Nodes take the word of others for how recent their configuration is; without it each asks the store.
+    /// Nodes accept proof from other nodes that their configuration is recent; without it each queries the store.
     PeerFreshness,
     /// Requests that crash targets are refused.
     Quarantine,
 }
 
-/// A name that no mechanism has.
+/// A name that is not that of a mechanism.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("there is no mechanism {name:?}; there are {}", Mechanism::names())]
+#[display("unknown mechanism {name:?}; the mechanisms are {}", Mechanism::names())]
 pub struct UnknownMechanism {
-    /// The name that was given.
+    /// The unknown name.
     pub name: String,
 }
 
@@ -83,7 +83,7 @@
         Mechanism::Quarantine,
     ];
 
-    /// Its name on the command line and in logs.
+    /// Returns the name on the command line and in logs.
     pub fn name(self) -> &'static str {
         match self {
             Mechanism::EntryAdmission => "entry-cut",
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The names of all mechanisms, for messages.
+    /// Returns the names of all mechanisms, for messages.
     pub fn names() -> String {
         Self::ALL.map(Mechanism::name).join(", ")
     }
@@ -119,36 +119,36 @@
     }
 }
 
-/// The mechanisms that are switched off.
+/// The mechanisms that are switched on or off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
-    off: u32,
+    disabled: u32,
 }
 
 impl Mechanisms {
-    /// All mechanisms but those that `text` names, separated by commas.
+    /// All mechanisms except those that `text` names, separated by commas.
     ///
     /// # Errors
     ///
-    /// Returns the first name that no mechanism has.
+    /// Returns the first name that is not that of a mechanism.
     pub fn without(text: &str) -> Result<Self, UnknownMechanism> {
-        let mut off = 0;
+        let mut disabled = 0;
         for name in text.split(',').map(str::trim) {
             let found = Mechanism::ALL.into_iter().find(|mechanism| mechanism.name() == name);
             let mechanism = found.ok_or_else(|| UnknownMechanism { name: name.to_owned() })?;
-            off |= mechanism.bit();
+            disabled |= mechanism.bit();
         }
-        Ok(Mechanisms { off })
+        Ok(Mechanisms { disabled })
     }
 
-    /// Whether a mechanism is on.
+    /// Returns whether a mechanism is switched on.
     pub fn is_enabled(self, mechanism: Mechanism) -> bool {
-        self.off & mechanism.bit() == 0
+        self.disabled & mechanism.bit() == 0
     }
 
-    /// The names of those that are off, separated by commas.
+    /// Returns the names of the mechanisms that are switched off, separated by commas.
     pub fn disabled_names(self) -> String {
-        let off = Mechanism::ALL.into_iter().filter(|mechanism| !self.is_enabled(*mechanism));
-        off.map(Mechanism::name).collect::<Vec<_>>().join(",")
+        let disabled = Mechanism::ALL.into_iter().filter(|mechanism| !self.is_enabled(*mechanism));
+        disabled.map(Mechanism::name).collect::<Vec<_>>().join(",")
     }
 }
--- a/crates/mesh/src/routing.rs
+++ b/crates/mesh/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which of the route's services serves it.
+//! Selects the route of a request, and the service of the route that serves it.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::configuration::{Configuration, Route};
 
-/// The host of an authority without its port, in lower case if it was not.
+/// Returns the host of an authority in lower case, without its port.
 pub fn host_name(authority: &str) -> std::borrow::Cow<'_, str> {
     let host = match authority.rsplit_once(':') {
         Some((host, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => host,
@@ -18,14 +18,14 @@
     host.into()
 }
 
-/// The route of the host whose prefix is the longest that begins `path`.
+/// Returns the route of the host with the longest prefix of `path`.
 pub fn find_route<'a>(configuration: &'a Configuration, authority: &str, path: &str) -> Option<&'a Arc<Route>> {
     let routes = configuration.hosts.get(host_name(authority).as_ref())?;
     let matching = routes.iter().filter(|route| path.starts_with(&route.prefix));
     matching.max_by_key(|route| route.prefix.len())
 }
 
-/// Draws one of the route's services by weight; `None` if no service has any weight.
+/// Picks one of the route's services at random, by weight; `None` if no service has any weight.
 pub fn choose_service<'a>(route: &'a Route, random: &mut impl Rng) -> Option<&'a Arc<str>> {
     let total: f64 = route.destinations.iter().map(|destination| destination.weight.max(0.0)).sum();
     if total <= 0.0 {
--- a/crates/mesh/tests/decisions/health.rs
+++ b/crates/mesh/tests/decisions/health.rs
@@ -1,11 +1,11 @@
-//! Whether a target's answers are good.
+//! The share of good answers of a target.
 
 use crate::milliseconds;
 use quillhatch_mesh::health::TargetHealth;
 use quillhatch_types::Timestamp;
 
 #[test]
-fn a_target_that_fails_a_part_of_its_calls_is_known_within_a_second_and_forgiven() {
+fn failures_of_a_target_are_detected_within_a_second_and_decay() {
     let mut health = TargetHealth::new(Timestamp::ZERO);
     for step in 0..100 {
         let now = milliseconds(step * 10);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn errors_that_follow_from_failed_calls_are_not_the_targets() {
+fn errors_after_failed_calls_are_not_counted_against_the_target() {
     let mut health = TargetHealth::new(Timestamp::ZERO);
     for step in 0..100 {
         let now = milliseconds(step * 10);
--- a/crates/mesh/tests/decisions/retry_budget.rs
+++ b/crates/mesh/tests/decisions/retry_budget.rs
@@ -1,4 +1,4 @@
-//! How many repeats are sent.
+//! The limit on retries.
 
 use std::time::Duration;
 
@@ -7,21 +7,25 @@
 use quillhatch_types::Timestamp;
 
 #[test]
-fn a_budget_keeps_to_its_share_and_to_its_slack() {
+fn a_budget_grants_its_share_and_its_slack() {
     let window = Duration::from_secs(10);
     let mut budget = RetryBudget::new(0.2, window, 3.0, Timestamp::ZERO);
-    assert!(!budget.try_retry(milliseconds(1)), "a new process does not know what was spent before it");
+    assert!(!budget.try_retry(milliseconds(1)), "a new process does not know what the previous one has spent");
     for _ in 0..100 {
         budget.record_call(milliseconds(10));
     }
-    let allowed = |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_retry(now)).count();
-    assert_eq!(allowed(&mut budget, milliseconds(20)), 15, "three quarters of the share");
-    assert_eq!(allowed(&mut budget, milliseconds(10_015)), 3, "the calls are out of the window, the slack is there");
-    assert_eq!(allowed(&mut budget, milliseconds(15_000)), 0, "the slack is not handed out twice in a window");
+    let granted = |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_retry(now)).count();
+    assert_eq!(granted(&mut budget, milliseconds(20)), 15, "three quarters of the share");
+    assert_eq!(
+        granted(&mut budget, milliseconds(10_015)),
+        3,
+        "the calls are out of the window, the slack is available"
+    );
+    assert_eq!(granted(&mut budget, milliseconds(15_000)), 0, "the slack is granted once per window");
 }
 
 #[test]
-fn what_arrives_again_since_a_call_above_was_repeated_is_taken_off_the_budget() {
+fn calls_that_arrive_again_after_a_retry_above_are_subtracted_from_the_budget() {
     let mut budget = RetryBudget::new(0.2, Duration::from_secs(10), 0.0, Timestamp::ZERO);
     for _ in 0..100 {
         budget.record_call(milliseconds(10));
@@ -30,23 +34,23 @@
         budget.record_inherited_retry(milliseconds(15));
     }
     let granted = (0..100).filter(|_| budget.try_retry(milliseconds(20))).count();
-    assert_eq!(granted, 3, "fifteen less the twelve that nobody could refuse");
+    assert_eq!(granted, 3, "fifteen minus the twelve inherited ones");
 }
 
 /// A chain of services, each called once for a call of the one above; every call at every level fails once.
 #[test]
-fn repeats_stay_within_their_share_at_every_depth_of_a_chain() {
+fn retries_stay_within_their_share_at_every_depth_of_a_chain() {
     let (ratio, calls) = (0.2, 1_000);
-    let mut arriving_again = 0;
+    let mut retries = 0;
     for depth in 0..16 {
         let mut budget = RetryBudget::new(ratio, Duration::from_secs(10), 0.0, Timestamp::ZERO);
         for _ in 0..calls {
             budget.record_call(milliseconds(10));
         }
-        for _ in 0..arriving_again {
+        for _ in 0..retries {
             budget.record_inherited_retry(milliseconds(10));
         }
-        arriving_again += (0..calls).filter(|_| budget.try_retry(milliseconds(20))).count();
-        assert!(arriving_again as f64 <= ratio * f64::from(calls), "{arriving_again} at depth {depth}");
+        retries += (0..calls).filter(|_| budget.try_retry(milliseconds(20))).count();
+        assert!(retries as f64 <= ratio * f64::from(calls), "{retries} at depth {depth}");
     }
 }
--- a/crates/mesh/tests/decisions/routing.rs
+++ b/crates/mesh/tests/decisions/routing.rs
@@ -11,7 +11,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_configuration_only_moves_to_a_newer_version() {
+fn a_configuration_is_replaced_only_by_a_newer_version() {
     let version = |version| Configuration { version, ..Configuration::default() };
     let mut in_force = ConfigurationInForce::default();
     assert!(in_force.offer(version(7)));
@@ -23,10 +23,10 @@
 }
 
 #[test_case("shop.example", "/a/x", Some("/a/"))]
-#[test_case("SHOP.example:8080", "/a/b/x", Some("/a/b/"); "case and port of the host do not matter")]
+#[test_case("SHOP.example:8080", "/a/b/x", Some("/a/b/"); "case and port of the host are ignored")]
 #[test_case("shop.example", "/a", None; "the slash belongs to the prefix")]
 #[test_case("other.example", "/a/x", None)]
-fn the_longest_prefix_of_the_host_is_taken(authority: &str, path: &str, expected: Option<&str>) {
+fn the_longest_matching_prefix_of_the_host_is_selected(authority: &str, path: &str, expected: Option<&str>) {
     let routes = vec![route("/a/", &[("alpha", 1.0)]), route("/a/b/", &[("alpha", 1.0)])];
     let hosts = HashMap::from([("shop.example".to_owned(), routes)]);
     let configuration = Configuration { hosts, ..Configuration::default() };
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn a_host_keeps_a_colon_that_begins_no_port() {
+fn a_host_keeps_a_colon_without_a_port() {
     assert_eq!(host_name("a:b"), "a:b");
     assert_eq!(host_name("a:80"), "a");
 }
 
 #[test]
-fn services_of_a_split_get_their_shares() {
+fn services_are_chosen_by_weight() {
     let mut random = Pcg64::seed_from_u64(1);
     let split = route("/a/", &[("alpha", 90.0), ("beta", 10.0), ("gamma", 0.0)]);
     let mut drawn: HashMap<Arc<str>, u32> = HashMap::new();
