--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -15,8 +15,8 @@
 use super::Call;
 use crate::body::Body;
 use crate::counters::Counters;
+use crate::liveness;
 use crate::node::Node;
-use crate::presence;
 
 /// The minimum time until the deadline with which an attempt is started.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(4);
@@ -82,7 +82,7 @@
             return give_up(&call, &progress, "no-target");
         };
         let runs_once = call.route.retryability == Retryability::AtMostOnce;
-        if runs_once && !presence::is_there_now(node, &target).await {
+        if runs_once && !liveness::is_live_now(node, &target).await {
             node.log_failure(|| {
                 failed_attempt_line(&call, &target, "node did not answer the liveness probe; not sent")
             });
@@ -97,7 +97,7 @@
             can_be_retried
                 && has_other_target(node, &service, &target, &progress.tried)
                 && should_abandon(node, &call)
-                && node.try_repeat(&service)
+                && node.try_retry(&service)
         };
         let ended = attempt(node, &call, &target, sent, may_abandon).await;
         progress.tried.push(target.id.clone());
@@ -122,7 +122,7 @@
                 node.log_failure(|| failed_attempt_line(&call, &target, "rejected"));
                 // The target refuses quickly, so it would attract calls, each of which costs a retry.
                 node.balance.borrow_mut().record_refusal(&target.id, node.now());
-                if !node.try_repeat(&service) {
+                if !node.try_retry(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
                 note_retry(node, &mut call);
@@ -132,7 +132,7 @@
             Attempt::NoResponse(why) => {
                 node.log_failure(|| failed_attempt_line(&call, &target, &why));
                 progress.runs += 1;
-                if !progress.may_retry(&call) || !node.try_repeat(&service) {
+                if !progress.may_retry(&call) || !node.try_retry(&service) {
                     return give_up(&call, &progress, "broken");
                 }
                 note_retry(node, &mut call);
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -127,7 +127,7 @@
 ) -> CallOrigin {
     let Some(given_time) = evidence.given_time.filter(|_| evidence.is_local(node)) else { return CallOrigin::Caller };
     let origin = {
-        let graph = node.graph.borrow();
+        let graph = node.call_graph.borrow();
         let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
@@ -137,10 +137,12 @@
         }
     };
     match &origin {
-        CallOrigin::KnownParent(parent, _) => node.graph.borrow_mut().record_call(&route.name, [(parent, 1.0)], now),
+        CallOrigin::KnownParent(parent, _) => {
+            node.call_graph.borrow_mut().record_call(&route.name, [(parent, 1.0)], now)
+        }
         CallOrigin::UnknownParent(Some(likely)) => {
             let parents = likely.parent_routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
-            node.graph.borrow_mut().record_call(&route.name, parents, now);
+            node.call_graph.borrow_mut().record_call(&route.name, parents, now);
         }
         CallOrigin::UnknownParent(None) | CallOrigin::Caller => {}
     }
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -13,8 +13,8 @@
 
 use super::{target_end, Call};
 use crate::hop::HopContext;
+use crate::local_target;
 use crate::node::{Admitted, Node};
-use crate::present_target;
 
 /// A slot of the target that a call holds. It is released when dropped.
 pub struct Slot {
@@ -28,14 +28,14 @@
 impl Slot {
     fn new(node: &Rc<Node>, route: Option<Arc<str>>) -> Self {
         if let Some(route) = &route {
-            node.graph.borrow_mut().call_started(route, node.now());
+            node.call_graph.borrow_mut().call_started(route, node.now());
         }
         Slot { node: Rc::clone(node), route, running: None, run: None, acquired_at: node.now() }
     }
 
     /// Records that the call is sent to the target with `deadline`.
     pub(super) fn start_run(&mut self, deadline: Timestamp, lineage: InheritedContext, signature: RequestSignature) {
-        self.run = Some(self.node.runs.borrow_mut().begin(signature, self.node.now()));
+        self.run = Some(self.node.run_tracker.borrow_mut().begin(signature, self.node.now()));
         if let Some(route) = self.route.clone() {
             self.running = Some(self.node.parents.borrow_mut().call_started(deadline, route, lineage));
         }
@@ -44,7 +44,7 @@
     /// Releases the slot after a complete response of the target.
     pub fn complete(mut self) {
         if let Some(run) = self.run.take() {
-            let signature = self.node.runs.borrow_mut().completed(run);
+            let signature = self.node.run_tracker.borrow_mut().completed(run);
             if let Some(signature) = signature {
                 target_end::request_completed(&self.node, &signature);
             }
@@ -54,8 +54,8 @@
     /// Releases the slot after the connection to the target ended before its response did.
     pub fn connection_lost(mut self) {
         if let Some(run) = self.run.take() {
-            let target = self.node.present.borrow().clone();
-            self.node.runs.borrow_mut().connection_lost(run, target, self.node.now());
+            let target = self.node.local_target_id.borrow().clone();
+            self.node.run_tracker.borrow_mut().connection_lost(run, target, self.node.now());
             target_end::probe_target(&self.node);
         }
     }
@@ -64,7 +64,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if let Some(run) = self.run.take() {
-            self.node.runs.borrow_mut().abandoned(run);
+            self.node.run_tracker.borrow_mut().abandoned(run);
         }
         if let Some(running) = self.running.take() {
             let held_for = self.node.now().since(self.acquired_at);
@@ -74,7 +74,7 @@
             self.node.parents.borrow_mut().call_ended(running);
         }
         if let Some(route) = &self.route {
-            self.node.graph.borrow_mut().call_ended(route, self.node.now());
+            self.node.call_graph.borrow_mut().call_ended(route, self.node.now());
         }
         self.node.gate.borrow_mut().release_slot();
         admit_waiting_calls(&self.node);
@@ -86,7 +86,7 @@
     loop {
         let next = node.gate.borrow_mut().admit_waiting();
         let Some(ticket) = next else { return };
-        let waiting = node.waiting.borrow_mut().remove(&ticket);
+        let waiting = node.waiting_calls.borrow_mut().remove(&ticket);
         if waiting.is_none_or(|waiting| waiting.send(true).is_err()) {
             node.gate.borrow_mut().release_slot();
         }
@@ -107,7 +107,7 @@
 }
 
 fn refuse_waiting(node: &Node, ticket: Ticket) {
-    if let Some(waiting) = node.waiting.borrow_mut().remove(&ticket) {
+    if let Some(waiting) = node.waiting_calls.borrow_mut().remove(&ticket) {
         // The caller may have gone away.
         let _ = waiting.send(false);
     }
@@ -135,7 +135,7 @@
                 admit_waiting_calls(self.node);
             }
             Err(oneshot::error::TryRecvError::Empty) => {
-                self.node.waiting.borrow_mut().remove(&self.ticket);
+                self.node.waiting_calls.borrow_mut().remove(&self.ticket);
                 self.node.gate.borrow_mut().cancel_waiting(self.ticket);
             }
             // It was refused, or has received its result.
@@ -161,10 +161,10 @@
 ) -> Result<Slot, Refusal> {
     // The edge treats a call as possibly run if the gate does not respond by the deadline, so the call is refused by
     // then.
-    if node.clock.timeout_at(call.deadline, present_target::verify(node)).await.is_err() {
+    if node.clock.timeout_at(call.deadline, local_target::verify_identity(node)).await.is_err() {
         return Err(Refusal::Overloaded);
     }
-    if !present_target::takes(node, &call.expected) {
+    if !local_target::accepts_calls_for(node, &call.expected) {
         return Err(Refusal::Closed);
     }
     let InheritedContext { priority, position, admitted_permille, .. } = forwarded.lineage;
@@ -194,7 +194,7 @@
         }
         Admission::Waits(ticket) => {
             let (sender, receiver) = oneshot::channel();
-            node.waiting.borrow_mut().insert(ticket, sender);
+            node.waiting_calls.borrow_mut().insert(ticket, sender);
             node.gate_changed.notify_one();
             if !(WaitingCall { node, ticket, receiver }).admitted().await {
                 let refusal = if node.gate.borrow().is_closed() { Refusal::Closed } else { Refusal::Overloaded };
@@ -202,7 +202,7 @@
                 return Err(refusal);
             }
             let slot = Slot::new(node, call.route.clone());
-            if present_target::takes(node, &call.expected) {
+            if local_target::accepts_calls_for(node, &call.expected) {
                 Ok(slot)
             } else {
                 Err(Refusal::Closed)
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -117,9 +117,9 @@
 pub struct Running {
     /// Its state.
     pub node: Rc<Node>,
-    pub(crate) end_connections: watch::Sender<bool>,
-    pub(crate) open: Rc<Cell<usize>>,
-    pub(crate) leading_away: Rc<Cell<bool>>,
+    pub(crate) close_connections: watch::Sender<bool>,
+    pub(crate) open_connections: Rc<Cell<usize>>,
+    pub(crate) draining: Rc<Cell<bool>>,
     pub(crate) accepting: [AbortHandle; 2],
     pub(crate) tasks: JoinSet<()>,
 }
@@ -131,16 +131,16 @@
 /// Returns which address can't be used.
 pub fn start(node: Rc<Node>) -> Result<Running, StartError> {
     let settings = node.settings.clone();
-    let (end_connections, ending) = watch::channel(false);
-    let open = Rc::new(Cell::new(0));
-    let leading_away: Rc<Cell<bool>> = Rc::default();
+    let (close_connections, shutdown) = watch::channel(false);
+    let open_connections = Rc::new(Cell::new(0));
+    let draining: Rc<Cell<bool>> = Rc::default();
     let for_limits = Rc::clone(&node);
     let callers = ConnectionConfig {
         limits: Rc::new(move || for_limits.current_configuration().map(|in_force| in_force.limits).unwrap_or_default()),
-        shutdown: ending,
-        open_connections: Rc::clone(&open),
+        shutdown,
+        open_connections: Rc::clone(&open_connections),
         keep_alive_limit: settings.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2,
-        draining: Rc::clone(&leading_away),
+        draining: Rc::clone(&draining),
         concurrent_pipelining: true,
     };
     let peers = ConnectionConfig {
@@ -186,7 +186,7 @@
     tasks.spawn_local(feed::catch_up(Rc::clone(&node)));
     tasks.spawn_local(feed::find_unregistered(Rc::clone(&node)));
     tasks.spawn_local(gate::watch_retained_target(Rc::clone(&node)));
-    tasks.spawn_local(store::drop_expired(Rc::clone(&node)));
+    tasks.spawn_local(store::drop_expired_targets(Rc::clone(&node)));
     if node.has(Mechanism::SharedReads) {
         tasks.spawn_local(store::watch_access(Rc::clone(&node)));
     }
@@ -200,7 +200,7 @@
         settings.mechanisms.disabled_names()
     ));
     let accepting = [accepting_callers, accepting_peers];
-    Ok(Running { node, end_connections, open, leading_away, accepting, tasks })
+    Ok(Running { node, close_connections, open_connections, draining, accepting, tasks })
 }
 
 /// Looks at the changed settings file. Addresses can't change while the process runs, so what differs is only told.
@@ -234,10 +234,10 @@
 async fn sweep(node: Rc<Node>) {
     loop {
         sleep(SWEEP).await;
-        node.notice_suspension();
+        node.detect_suspension();
         node.peers.close_expired();
         node.target.close_expired();
-        node.asking_presence.sweep();
+        node.probe_locks.sweep();
     }
 }
 
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -140,7 +140,7 @@
         let store = StandInStore::start().await;
         store.configure(&document(1));
         let alpha = Machine::start(&store, "alpha", 4).await;
-        let address = support::machine();
+        let address = support::unused_address();
         let settings = SidecarSettings {
             max_descriptors: 204,
             ..support::settings(address, "beta", (address, 1).into(), store.address)
@@ -169,7 +169,7 @@
 fn a_call_whose_node_accepts_no_connection_in_time_has_not_run() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        let unresponsive = FullListener::start((support::machine(), alpha.inbound().port()).into()).await;
+        let unresponsive = FullListener::start((support::unused_address(), alpha.inbound().port()).into()).await;
         store.unlist(&alpha.target.id());
         let entry = format!(
             r#"{{"service":"alpha","address":"{}:9","zone":"zone-a","version":"v1","slots":4,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
@@ -195,7 +195,7 @@
         alpha.target.end();
         let _full = FullListener::start(address).await;
         if !is_known {
-            quillhatch_sidecar::present_target::out_of_reach(alpha.node());
+            quillhatch_sidecar::local_target::mark_unverified(alpha.node());
         }
         let answer = call(beta.outbound(), &request("POST", HOST, "/pay/", "one", SHORT_MS, "amount=7")).await;
         assert_eq!(answer.expect("a response").status, 503);
--- a/crates/sidecar/tests/draining_targets.rs
+++ b/crates/sidecar/tests/draining_targets.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use quillhatch_sidecar::reach::own_reach;
+use quillhatch_sidecar::store_view::own_store_view;
 use support::caller::call;
 use support::shop::{document, read};
 use support::store::{Mode, StandInStore};
@@ -50,7 +50,7 @@
         self.addresses.iter().for_each(|address| address.set_mode(Mode::Silent));
         let has_failed = |machine: &Machine| {
             let node = machine.node();
-            !node.feed.place.borrow().is_head && node.own_access_lost.get()
+            !node.feed.role.borrow().is_head && node.store_access_lost.get()
         };
         eventually("a follower has queried the store", || self.machines.iter().any(has_failed)).await;
         let last = self.machines.iter().position(has_failed).expect("one has");
@@ -59,7 +59,7 @@
                 address.set_mode(Mode::Normal);
             }
         }
-        let follows = |machine: &Machine| machine.node().feed.loss.get().since().is_none();
+        let follows = |machine: &Machine| machine.node().feed.store_loss.get().since().is_none();
         eventually("all have access to the store", || self.machines.iter().all(follows)).await;
         sleep(STORE_REQUEST_TIME).await;
         eventually("all still have access", || self.machines.iter().all(follows)).await;
@@ -85,7 +85,7 @@
 
 /// The index of a node that no other node uses as its source of store updates.
 fn follower_index(fleet: &Fleet) -> usize {
-    let follows = |machine: &Machine| !machine.node().feed.place.borrow().is_head;
+    let follows = |machine: &Machine| !machine.node().feed.role.borrow().is_head;
     fleet.machines.iter().position(follows).expect("few nodes are heads")
 }
 
@@ -148,7 +148,7 @@
         let number = fleet.run_outage().await;
         fleet.keep_calling("recovery", BOUNDS.recovery).await;
         let draining = &fleet.machines[number];
-        let reports_loss = own_reach(draining.node()).store_unreachable;
+        let reports_loss = own_store_view(draining.node()).store_unreachable;
 
         fleet.store.unlist(&draining.target.id());
         fleet.keep_calling("draining", BOUNDS.drain).await;
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -14,7 +14,7 @@
 use quillhatch_messages::generated::quarantine::QuarantineMessage;
 use quillhatch_sidecar::counters::Counters;
 use quillhatch_sidecar::hop::{GateOutcome, HopContext, HopReport, LocalTarget, StoreView};
-use quillhatch_sidecar::logging::LineRate;
+use quillhatch_sidecar::logging::LineRateLimit;
 use quillhatch_sidecar::pipeline::{parse_next_request, NextRequest};
 use test_case::test_case;
 
@@ -105,7 +105,7 @@
 
 #[test]
 fn the_rate_of_log_lines_is_bounded() {
-    let mut rate = LineRate::new(5.0);
+    let mut rate = LineRateLimit::new(5.0);
     let allowed = (0..1_000).filter(|_| rate.allows()).count();
     assert!((5..=6).contains(&allowed), "{allowed}");
     std::thread::sleep(Duration::from_millis(450));
