--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use quillhatch_mesh::configuration::{Configuration, Route};
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::parents::{Lineage, Origin, ALL_ADMITTED};
+use quillhatch_mesh::parents::{CallOrigin, InheritedContext, ALL_ADMITTED_PERMILLE};
 use quillhatch_platform::headers;
 use quillhatch_types::Timestamp;
 use rand::Rng;
@@ -16,18 +16,23 @@
 
 /// The lineage of a call with this origin. A nested call inherits it from its root call; a root call starts one with
 /// `priority`.
-pub(super) fn lineage_of(node: &Node, priority: u8, origin: &Origin, id: &str) -> Lineage {
-    let new_root = Lineage { priority, position: position(id), is_repeat: false, admitted_permille: ALL_ADMITTED };
+pub(super) fn lineage_of(node: &Node, priority: u8, origin: &CallOrigin, id: &str) -> InheritedContext {
+    let new_root = InheritedContext {
+        priority,
+        position: position(id),
+        is_retry: false,
+        admitted_permille: ALL_ADMITTED_PERMILLE,
+    };
     match origin {
-        _ if !node.has(Mechanism::InheritedRank) => new_root,
-        Origin::Parent(_, lineage) => lineage.clone(),
-        Origin::Target(Some(likely)) => Lineage {
+        _ if !node.has(Mechanism::InheritedPriority) => new_root,
+        CallOrigin::KnownParent(_, lineage) => lineage.clone(),
+        CallOrigin::UnknownParent(Some(likely)) => InheritedContext {
             priority: likely.priority,
-            is_repeat: node.random.borrow_mut().gen_bool(likely.repeated_share.min(1.0)),
+            is_retry: node.random.borrow_mut().gen_bool(likely.retry_share.min(1.0)),
             admitted_permille: likely.admitted_permille,
             ..new_root
         },
-        Origin::Target(None) | Origin::Caller => new_root,
+        CallOrigin::UnknownParent(None) | CallOrigin::Caller => new_root,
     }
 }
 
@@ -46,12 +51,12 @@
     priority: u8,
     now: Timestamp,
 ) -> f64 {
-    node.cuts.borrow().cut(&route.name, now).admitted_share(priority, configuration.priority_count())
+    node.cuts.borrow().level(&route.name, now).admitted_share(priority, configuration.priority_count())
 }
 
 /// Whether a root call is refused at this admitted share. While the share does not change, every node and every retry
 /// decides alike for the same call.
-pub(super) fn is_refused(lineage: &Lineage, share: f64) -> bool {
+pub(super) fn is_refused(lineage: &InheritedContext, share: f64) -> bool {
     f64::from(lineage.position) / 256.0 >= share
 }
 
--- a/crates/sidecar/src/gate/target_end.rs
+++ b/crates/sidecar/src/gate/target_end.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::quarantine::{RequestSignature, TargetEnd};
+use quillhatch_mesh::quarantine::{RequestSignature, TargetCrash};
 use quillhatch_mesh::targets::TargetId;
 use tokio::time::sleep;
 
@@ -30,16 +30,16 @@
     sleep(LOSS_SETTLE_TIME).await;
     node.is_probing_target.set(false);
     if node.run_tracker.borrow().has_survivors() {
-        node.run_tracker.borrow_mut().target_lives();
+        node.run_tracker.borrow_mut().target_alive();
     }
-    if !node.run_tracker.borrow().has_lost() {
+    if !node.run_tracker.borrow().has_interrupted() {
         return;
     }
     match local_target::query_identity(&node).await {
         Identity::Known(id) => local_target::record_identity(&node, &id),
         Identity::Refused => {
             local_target::mark_unverified(&node);
-            let end = node.run_tracker.borrow_mut().target_ended();
+            let end = node.run_tracker.borrow_mut().target_crashed();
             if let Some(end) = end {
                 target_ended(&node, &end);
             }
@@ -51,7 +51,7 @@
 
 /// Handles a response of the local target that shows its identity.
 pub fn target_identified(node: &Rc<Node>, id: &str) {
-    let end = node.run_tracker.borrow_mut().identified(id);
+    let end = node.run_tracker.borrow_mut().target_identified(id);
     if let Some(end) = end {
         target_ended(node, &end);
     }
@@ -60,17 +60,17 @@
 /// Handles a restart of the local target under the same identity `id`: the calls that lost their connections were
 /// running when it ended.
 pub fn target_restarted(node: &Rc<Node>, id: &TargetId) {
-    let end = node.run_tracker.borrow_mut().restarted(id, node.now());
+    let end = node.run_tracker.borrow_mut().target_restarted(id, node.now());
     if let Some(end) = end {
         target_ended(node, &end);
     }
 }
 
 /// Logs the end of a target and makes the calls that were running suspects of the quarantine.
-fn target_ended(node: &Node, end: &TargetEnd) {
+fn target_ended(node: &Node, end: &TargetCrash) {
     log_end(node, end);
     if node.has(Mechanism::Quarantine) {
-        let suspects = node.quarantine.borrow_mut().target_ended(end, node.now());
+        let suspects = node.quarantine.borrow_mut().record_crash(end, node.now());
         node.quarantine_outbox.queue_suspects(suspects);
     }
 }
@@ -80,7 +80,7 @@
     if !node.has(Mechanism::Quarantine) {
         return;
     }
-    let cleared = node.quarantine.borrow_mut().completed(signature, node.now());
+    let cleared = node.quarantine.borrow_mut().record_completion(signature, node.now());
     for key in &cleared {
         node.log(&format!("\"event\":\"request-cleared\",\"signature\":\"{key}\""));
     }
@@ -90,7 +90,7 @@
 /// The maximum number of signatures in one log line.
 const MAX_LOGGED_SIGNATURES: usize = 20;
 
-fn log_end(node: &Node, end: &TargetEnd) {
+fn log_end(node: &Node, end: &TargetCrash) {
     let named = end.signatures.iter().take(MAX_LOGGED_SIGNATURES);
     let named: Vec<String> = named.map(|signature| format!("\"{}\"", signature.narrow)).collect();
     let (target, count, named) = (&end.target, end.signatures.len(), named.join(","));
--- a/crates/sidecar/src/liveness.rs
+++ b/crates/sidecar/src/liveness.rs
@@ -37,12 +37,12 @@
 /// Whether the node beside `target`, from which nothing was received since `since`, is live. Probes it unless a recent
 /// probe failed.
 pub async fn is_live(node: &Rc<Node>, target: &Target, since: Timestamp) -> bool {
-    if !node.has(Mechanism::PresenceProbes) {
+    if !node.has(Mechanism::LivenessProbes) {
         return true;
     }
     let peer = target.registration.address.ip();
     let _guard = node.probe_locks.lock(peer).await;
-    if node.balance.borrow().heard(&target.id) > since {
+    if node.balance.borrow().last_contact(&target.id) > since {
         return true;
     }
     let last = node.probe_results.borrow().get(&peer).copied();
@@ -53,10 +53,10 @@
     let result = ProbeResult { finished_at: node.now(), is_live };
     node.probe_results.borrow_mut().insert(peer, result);
     if is_live {
-        node.balance.borrow_mut().answered_presence(&target.id, result.finished_at);
+        node.balance.borrow_mut().record_contact(&target.id, result.finished_at);
     } else {
         node.log(&format!("\"event\":\"node-silent\",\"peer\":\"{peer}\",\"target\":\"{}\"", target.id));
-        node.balance.borrow_mut().silent(&target.id, node.now());
+        node.balance.borrow_mut().record_unresponsive(&target.id, node.now());
     }
     is_live
 }
@@ -66,7 +66,7 @@
 /// A call that may run only once can't be retried elsewhere after it was sent to a node that doesn't respond, so this
 /// check precedes it.
 pub async fn is_live_now(node: &Rc<Node>, target: &Target) -> bool {
-    let last_contact = node.balance.borrow().heard(&target.id);
+    let last_contact = node.balance.borrow().last_contact(&target.id);
     let now = node.now();
     now.since(last_contact) < RECENT_CONTACT || is_live(node, target, now).await
 }
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quillhatch_mesh::balance::Balance;
-use quillhatch_mesh::callers::CallerShares;
+use quillhatch_mesh::admission_level::{AdmissionLevel, RouteAdmissionLevels};
+use quillhatch_mesh::balance::LoadBalancer;
+use quillhatch_mesh::call_graph::CallGraph;
+use quillhatch_mesh::callers::RouteCallerCounts;
 use quillhatch_mesh::capacity::{CapacityMeter, Shortage};
 use quillhatch_mesh::configuration::{Configuration, ConfigurationInForce};
-use quillhatch_mesh::cut::{Cut, RouteCuts};
-use quillhatch_mesh::demand::CallGraph;
 use quillhatch_mesh::feed::SoloReads;
 use quillhatch_mesh::gate::Gate;
-use quillhatch_mesh::health::AnswerHealth;
+use quillhatch_mesh::health::TargetHealth;
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::parents::Parents;
+use quillhatch_mesh::parents::ParentTracker;
 use quillhatch_mesh::quarantine::{Quarantine, RunTracker};
 use quillhatch_mesh::queue::Ticket;
 use quillhatch_mesh::replica::{Position, Replica};
@@ -84,21 +84,21 @@
     /// Whether the list of targets was received at least once.
     pub targets_known: Cell<bool>,
     /// Load and latency of other targets, for load balancing.
-    pub balance: RefCell<Balance>,
+    pub balance: RefCell<LoadBalancer>,
     /// The admission cuts of routes, as other nodes reported them.
-    pub cuts: RefCell<RouteCuts>,
+    pub cuts: RefCell<RouteAdmissionLevels>,
     /// Which routes are called by the calls of each route.
     pub call_graph: RefCell<CallGraph>,
     /// The calls that run at the local target, as parents of the calls that it makes.
-    pub parents: RefCell<Parents>,
+    pub parents: RefCell<ParentTracker>,
     /// The origins of the calls of each route.
-    pub caller_shares: RefCell<CallerShares>,
+    pub caller_shares: RefCell<RouteCallerCounts>,
     /// The gate of the local target.
     pub gate: RefCell<Gate>,
     /// The load on the local target.
     pub capacity: RefCell<CapacityMeter>,
     /// The share of successful responses of the local target.
-    pub health: RefCell<AnswerHealth>,
+    pub health: RefCell<TargetHealth>,
     /// The calls that are running at the local target, and those that were aborted.
     pub run_tracker: RefCell<RunTracker>,
     /// Whether a probe is running that shows whether the local target has crashed.
@@ -208,14 +208,14 @@
             identity_query_lock: tokio::sync::Mutex::default(),
             retained_target: RetainedTargetState::default(),
             targets_known: Cell::new(false),
-            balance: RefCell::new(Balance::new(settings.mechanisms)),
+            balance: RefCell::new(LoadBalancer::new(settings.mechanisms)),
             cuts: RefCell::default(),
             call_graph: RefCell::new(CallGraph::new(now)),
             parents: RefCell::default(),
             caller_shares: RefCell::default(),
             gate: RefCell::new(Gate::new(FALLBACK_SLOTS)),
             capacity: RefCell::new(CapacityMeter::new(settings.mechanisms, now)),
-            health: RefCell::new(AnswerHealth::new(now)),
+            health: RefCell::new(TargetHealth::new(now)),
             run_tracker: RefCell::default(),
             is_probing_target: Cell::new(false),
             quarantine: RefCell::new(Quarantine::new(rand::random())),
@@ -275,7 +275,7 @@
 
     /// Whether a mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        self.settings.mechanisms.has(mechanism)
+        self.settings.mechanisms.is_enabled(mechanism)
     }
 
     /// The configuration in force.
@@ -301,13 +301,13 @@
     }
 
     /// The cut for calls of a route where they enter, because the local target is out of capacity.
-    pub fn own_cut(&self, route: &str) -> Cut {
-        self.shortage().map_or(Cut::OPEN, |shortage| shortage.cut_of(route))
+    pub fn own_cut(&self, route: &str) -> AdmissionLevel {
+        self.shortage().map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route))
     }
 
     /// The lowest cut among the routes that calls of `route` call.
-    pub fn called_cut(&self, route: &str, now: Timestamp) -> Cut {
-        self.cuts.borrow().lowest(self.call_graph.borrow().called_by(route), now)
+    pub fn called_cut(&self, route: &str, now: Timestamp) -> AdmissionLevel {
+        self.cuts.borrow().lowest(self.call_graph.borrow().callees(route), now)
     }
 
     /// Whether the node is ready to serve callers.
@@ -328,12 +328,15 @@
 
     /// Takes one retry from the budget of a service, and returns whether the budget allowed it.
     pub fn try_retry(&self, service: &Arc<str>) -> bool {
-        self.has(Mechanism::Repeats) && self.with_budget(service, RetryBudget::try_repeat)
+        self.has(Mechanism::Retries) && self.with_budget(service, RetryBudget::try_retry)
     }
 
     /// Counts a call to a service in its retry budget. A call made on behalf of a retried call counts as a retry too.
     pub fn count_call(&self, service: &Arc<str>, is_retry: bool) {
-        self.with_budget(service, if is_retry { RetryBudget::inherited } else { RetryBudget::call });
+        self.with_budget(
+            service,
+            if is_retry { RetryBudget::record_inherited_retry } else { RetryBudget::record_call },
+        );
     }
 
     fn with_budget<T>(&self, service: &Arc<str>, action: impl FnOnce(&mut RetryBudget, Timestamp) -> T) -> T {
