--- a/crates/sidecar/tests/support/limits.rs
+++ b/crates/sidecar/tests/support/limits.rs
@@ -1,4 +1,4 @@
-//! Three routes, and a machine of each of two services of which callers use one.
+//! A host with three routes and limits on callers, and one machine for each of two services.
 
 use super::caller::request;
 use super::store::StandInStore;
@@ -19,17 +19,17 @@
     )
 }
 
-/// A request that may be repeated.
+/// A request that may be retried.
 pub fn read(id: &str) -> String {
     request("GET", HOST, "/read/x?q=1", id, 5000, "")
 }
 
-/// A request that runs once.
+/// A request that must run at most once.
 pub fn pay(id: &str) -> String {
     request("POST", HOST, "/pay/", id, 5000, "amount=7")
 }
 
-/// A store, a target of `alpha` and one of `beta`; calls enter at the machine of `beta`.
+/// Starts a store, a machine of `alpha` and one of `beta`. Callers use the machine of `beta`.
 pub async fn two_machines() -> (StandInStore, Machine, Machine) {
     let store = StandInStore::start().await;
     store.configure(&document(1));
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A platform in one process: its store, targets with their habits, sidecars, and callers.
+//! A platform in one process: its store, targets with configurable behavior, sidecars, and callers.
 
-#![allow(dead_code)] // Each test file uses a part of this.
+#![allow(dead_code)] // Each test binary uses only a part of this module.
 
 pub mod limits;
 pub mod shop;
@@ -25,34 +25,33 @@
 use tokio::runtime::LocalOptions;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest time that any test may take.
-const TEST_TIME: Duration = Duration::from_secs(30);
+/// The timeout of each test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a test on one thread, as the program runs.
-///
-/// A test that fails prints what its sidecars have logged.
+/// Runs a test on a single-threaded runtime, like the program. The log lines of the sidecars are printed if the test
+/// fails.
 pub fn run(test: impl Future<Output = ()>) {
-    // A second test of this process finds the log set up.
+    // An earlier test of this process may have set up the logger already.
     let _ = fern::Dispatch::new()
         .level(log::LevelFilter::Info)
         .chain(fern::Output::call(|record| println!("{}", record.args())))
         .apply();
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build_local(LocalOptions::default()).expect("a runtime");
-    let bounded = async { timeout(TEST_TIME, test).await.expect("the test ends in time") };
+    let bounded = async { timeout(TEST_TIMEOUT, test).await.expect("the test ends in time") };
     runtime.block_on(bounded);
 }
 
-/// Waits until `condition` holds; panics with `what` after ten seconds.
+/// Polls `condition` until it is true; panics with `what` after ten seconds.
 pub async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < Duration::from_secs(10), "not in time: {what}");
+        assert!(started.elapsed() < Duration::from_secs(10), "timed out: {what}");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// An address of this machine's loopback range that no other test of this process uses.
+/// A loopback address that no other test of this process uses.
 pub fn unused_address() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id() % 200;
@@ -60,7 +59,7 @@
     Ipv4Addr::new(127, 10 + process as u8, (number / 200) as u8, (2 + number % 200) as u8)
 }
 
-/// Ports are the same on every machine.
+/// The outbound port. All ports are the same on every machine.
 pub const OUTBOUND: u16 = 21501;
 const INBOUND: u16 = 21502;
 const READY: u16 = 21503;
@@ -68,7 +67,7 @@
 const LIMITS: u16 = 21505;
 const QUARANTINE: u16 = 21506;
 
-/// The bounds of the tests.
+/// The operators' bounds in the tests.
 pub const BOUNDS: Bounds = Bounds {
     stop_grace: Duration::from_secs(6),
     drain: Duration::from_secs(2),
@@ -82,7 +81,7 @@
     heartbeat: Duration::from_millis(1500),
 };
 
-/// Settings of the sidecar on `machine`, beside `target` of `service`.
+/// The settings of a sidecar on `machine`, beside the target of `service` at `target`.
 pub fn settings(machine: Ipv4Addr, service: &str, target: SocketAddr, store: SocketAddr) -> SidecarSettings {
     let at = |port| SocketAddr::from((machine, port));
     SidecarSettings {
@@ -103,7 +102,7 @@
     }
 }
 
-/// A machine with a target and its sidecar.
+/// A machine with a target and a sidecar.
 pub struct Machine {
     pub target: StandInTarget,
     pub sidecar: Running,
@@ -111,12 +110,12 @@
 }
 
 impl Machine {
-    /// Starts a target of `service` and a sidecar beside it, and lists the target in the store.
+    /// Starts a target of `service` and a sidecar beside it, and registers the target in the store.
     pub async fn start(store: &StandInStore, service: &str, slots: u32) -> Self {
         Self::start_with(store, service, slots, |settings| settings).await
     }
 
-    /// The same with other settings.
+    /// The same with settings modified by `change`.
     pub async fn start_with(
         store: &StandInStore,
         service: &str,
@@ -132,39 +131,39 @@
         Machine { target, sidecar, address }
     }
 
-    /// Where callers of this machine send their calls.
+    /// The address to which callers and the target on this machine send calls.
     pub fn outbound(&self) -> SocketAddr {
         SocketAddr::from((self.address, OUTBOUND))
     }
 
-    /// Where other nodes send their calls.
+    /// The address to which other nodes send calls.
     pub fn inbound(&self) -> SocketAddr {
         SocketAddr::from((self.address, INBOUND))
     }
 
-    /// The sidecar's state.
+    /// The sidecar's shared state.
     pub fn node(&self) -> &Rc<Node> {
         &self.sidecar.node
     }
 
-    /// Where the platform asks whether the sidecar is ready.
+    /// The address of the readiness check.
     pub fn ready(&self) -> SocketAddr {
         SocketAddr::from((self.address, READY))
     }
 
-    /// Where the counters are.
+    /// The address of the metrics page.
     pub fn metrics(&self) -> SocketAddr {
         SocketAddr::from((self.address, METRICS))
     }
 }
 
-/// Starts a sidecar.
+/// Starts a sidecar beside the target at `target`.
 pub fn start_sidecar(machine: Ipv4Addr, service: &str, target: SocketAddr, store: SocketAddr) -> Running {
     let node = Node::new(settings(machine, service, target, store), Default::default());
     start(node).expect("the sidecar's addresses are free")
 }
 
-/// An address at which connections are neither accepted nor refused, since its queue of new ones is full.
+/// A listener with a full accept queue: new connections are neither accepted nor refused.
 pub struct FullListener {
     pub address: SocketAddr,
     _listener: TcpListener,
@@ -172,16 +171,16 @@
 }
 
 impl FullListener {
-    /// Listens at `address` and fills the queue.
+    /// Listens at `address` and fills the accept queue.
     pub async fn start(address: SocketAddr) -> Self {
-        let begun = Instant::now();
+        let started = Instant::now();
         let listener = loop {
             let socket = TcpSocket::new_v4().expect("a socket");
-            socket.set_reuseaddr(true).expect("an option that is known");
+            socket.set_reuseaddr(true).expect("SO_REUSEADDR is supported");
             match socket.bind(address).and_then(|()| socket.listen(1)) {
                 Ok(listener) => break listener,
-                // Whoever listened there before has not ended yet.
-                Err(_) if begun.elapsed() < Duration::from_secs(1) => sleep(Duration::from_millis(5)).await,
+                // The previous listener at this address may not be closed yet.
+                Err(_) if started.elapsed() < Duration::from_secs(1) => sleep(Duration::from_millis(5)).await,
                 Err(error) => panic!("{address}: {error}"),
             }
         };
--- a/crates/sidecar/tests/support/shop.rs
+++ b/crates/sidecar/tests/support/shop.rs
@@ -1,4 +1,4 @@
-//! A host with one route, and a machine of each of two services.
+//! A host with one route, and one machine for each of two services.
 
 use super::caller::request;
 use super::store::StandInStore;
@@ -7,7 +7,7 @@
 /// The host of the route.
 pub const HOST: &str = "shop.example";
 
-/// A configuration in which the route is served by `service`.
+/// A configuration in which `service` serves the route.
 pub fn document(version: u32, service: &str) -> String {
     format!(
         r#"{{"version":"r{version}","listeners":[{{"host":"{HOST}","rules":[
@@ -16,12 +16,12 @@
     )
 }
 
-/// A request of the route.
+/// A request for the route.
 pub fn read(id: &str) -> String {
     request("GET", HOST, "/read/x", id, 5000, "")
 }
 
-/// A store, and a machine of alpha and one of beta.
+/// Starts a store, a machine of `alpha` and one of `beta`.
 pub async fn two_machines() -> (StandInStore, Machine, Machine) {
     let store = StandInStore::start().await;
     store.configure(&document(5, "alpha"));
--- a/crates/sidecar/tests/support/tenancy.rs
+++ b/crates/sidecar/tests/support/tenancy.rs
@@ -1,4 +1,4 @@
-//! Two tenants with keys, routes that need one and one that is public, and a machine of each of two services.
+//! Two tenants with API keys, routes that need a key and one public route, and one machine for each of two services.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 
 /// The host of the routes.
 pub const HOST: &str = "shop.example";
-/// The key of the tenant that is not limited.
+/// The key of the tenant without a rate limit.
 pub const FREE_KEY: &str = "key-of-free";
-/// The key of the tenant that may send few calls.
+/// The key of the tenant with a rate limit.
 pub const LIMITED_KEY: &str = "key-of-limited";
-/// How many a second.
+/// The rate limit of that tenant, in calls per second.
 pub const LIMITED_RATE: f64 = 3.0;
-/// And how many beyond that at once.
+/// The burst that the tenant may send beyond the rate, in calls.
 pub const LIMITED_BURST: f64 = 3.0;
-/// The bound on revocation of machines that keep one: keys are believed for 1.485 s after a proof.
+/// The bound on revocation in tests that set one. Keys are accepted for 1.485 s after a proof.
 pub const REVOCATION: Duration = Duration::from_millis(2500);
 
-/// A configuration in which the tenant `free` has `keys`.
+/// A configuration in which the tenant `free` has the API keys `keys`.
 pub fn document(version: u32, keys: &[&str]) -> String {
     format!(
         r#"{{"version":"r{version}",
@@ -36,27 +36,28 @@
     )
 }
 
-/// A request of a route with headers of its own, each ended by a line break.
+/// A request for a route with extra headers, each ended by a line break.
 pub fn get(route: &str, id: &str, headers: &str) -> String {
     request("GET", HOST, &format!("/{route}/x"), id, 5000, "").replacen("\r\n\r\n", &format!("\r\n{headers}\r\n"), 1)
 }
 
-/// The header with a key.
+/// The header that contains an API key.
 pub fn with_key(key: &str) -> String {
     format!("X-Api-Key: {key}\r\n")
 }
 
-/// Sends a read with a key through `machine`.
+/// Sends a read with an API key through `machine`.
 pub async fn read(machine: &Machine, id: &str, key: &str) -> Answer {
     call(machine.outbound(), &get("read", id, &with_key(key))).await.expect("an answer")
 }
 
-/// Keeps the bound on revocation.
+/// Adds a bound on revocation to the settings.
 pub fn with_strict_revocation(settings: SidecarSettings) -> SidecarSettings {
     SidecarSettings { bounds: Bounds { revocation: Some(REVOCATION), ..BOUNDS }, ..settings }
 }
 
-/// A store, a machine of `alpha` and one of `beta`, which reads the store at `address_of_beta`.
+/// Configures the store and starts a machine of `alpha`, which reads it at `store`, and one of `beta`, which reads it
+/// at `store_of_beta`.
 pub async fn two_machines(
     change: impl Fn(SidecarSettings) -> SidecarSettings,
     store: &StandInStore,
