--- a/crates/sidecar/tests/changes.rs
+++ b/crates/sidecar/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Configurations, and targets that come and go.
+//! Changes of the configuration and of the list of targets.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_newer_configuration_comes_into_force_and_an_older_or_broken_one_does_not() {
+fn only_newer_and_valid_configurations_come_into_force() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let version = || beta.node().configuration.borrow().version();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_draining_target_gets_nothing_more() {
+fn a_draining_target_receives_no_more_calls() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let second = Machine::start(&store, "alpha", 8).await;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn calls_that_wait_for_a_draining_target_go_to_another() {
+fn calls_queued_for_a_removed_target_go_to_another() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         alpha.target.set_habit(Habit::Slow(Duration::from_millis(600)));
@@ -73,24 +73,24 @@
                 tokio::task::spawn_local(async move { call(outbound, &read(&format!("call-{number}"))).await })
             })
             .collect();
-        eventually("some wait", || alpha.node().gate.borrow().load().waiting > 0).await;
-        // What was let through may still be on its way to the target.
+        eventually("some calls are queued", || alpha.node().gate.borrow().load().waiting > 0).await;
+        // Calls that the gate admitted may not have reached the target yet.
         let ran = alpha.node().gate.borrow().load().running as usize;
-        eventually("the others run", || alpha.target.ran().len() == ran).await;
+        eventually("the admitted calls run", || alpha.target.ran().len() == ran).await;
         let second = Machine::start(&store, "alpha", 8).await;
-        eventually("the second is known at beta", || beta.node().targets.borrow().len() == 3).await;
+        eventually("beta lists the second", || beta.node().targets.borrow().len() == 3).await;
         store.unlist(&alpha.target.id());
         for call in calls {
             let status = call.await.expect("the caller ends").expect("an answer").status;
             assert!(status == 200 || status == 503, "{status}");
         }
-        assert_eq!(alpha.target.ran().len(), ran, "nothing that waited has reached the gone target");
+        assert_eq!(alpha.target.ran().len(), ran, "no queued call has reached the removed target");
         drop(second);
     });
 }
 
 #[test]
-fn a_target_that_starts_again_at_its_address_is_found_while_the_store_is_silent() {
+fn a_target_that_restarts_at_its_address_is_detected_while_the_store_does_not_respond() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
@@ -104,13 +104,13 @@
         }
         assert!(served >= 19, "{served}");
         let rejected = alpha.target.arrivals() - before - served;
-        assert!(rejected <= 1, "the new identity is learnt from the first rejection: {rejected}");
+        assert!(rejected <= 1, "the first rejection reveals the new identity: {rejected} rejections");
     });
 }
 
 #[test]
-fn a_target_that_starts_again_and_is_listed_before_its_gate_notices_is_not_lost() {
-    // Found by the soak (seed 930021).
+fn a_target_that_is_listed_again_before_its_gate_detects_the_restart_stays_listed() {
+    // Found by a soak test (seed 930021).
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
@@ -118,7 +118,7 @@
         alpha.target.restart();
         store.list(&alpha.target, "ready");
         let present = alpha.target.id();
-        eventually("beta knows it", || beta.node().targets.borrow().get(&present).is_some()).await;
+        eventually("beta lists the new identity", || beta.node().targets.borrow().get(&present).is_some()).await;
         let mut served = 0;
         for number in 0..20 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
@@ -126,16 +126,17 @@
         }
         assert!(served >= 19, "{served}");
         store.unlist(&former);
-        eventually("the former is gone", || beta.node().targets.borrow().get(&former).is_none()).await;
+        eventually("beta has removed the former identity", || beta.node().targets.borrow().get(&former).is_none())
+            .await;
         assert!(beta.node().targets.borrow().get(&present).is_some());
         assert_eq!(call(beta.outbound(), &read("last")).await.expect("an answer").status, 200);
     });
 }
 
 #[test]
-fn a_target_is_asked_once_when_the_list_holds_another_one_at_its_address() {
-    // Found on the users' bench after all machines had lost power: former and present targets were listed together, and each
-    // call asked the target who it is.
+fn a_target_is_queried_once_when_another_one_is_listed_at_its_address() {
+    // Found on the users' test bench after all machines had lost power: former and current targets were listed
+    // together, and each call queried the target's identity.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let other = format!(
@@ -143,29 +144,30 @@
             alpha.target.address
         );
         store.write("servers/i-another", Some(&other));
-        eventually("alpha knows it", || alpha.node().targets.borrow().get("i-another").is_some()).await;
+        eventually("alpha lists it", || alpha.node().targets.borrow().get("i-another").is_some()).await;
         let before = alpha.target.probes();
         for number in 0..20 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        assert!(alpha.target.probes() - before <= 1, "{} questions", alpha.target.probes() - before);
+        assert!(alpha.target.probes() - before <= 1, "{} queries", alpha.target.probes() - before);
     });
 }
 
 #[test]
-fn a_target_that_refuses_everything_is_left_out_for_a_moment() {
-    // Found by the soak: a target that refuses at once is quick, and each refusal took one from the budget of repeats.
+fn a_target_that_refuses_every_call_is_excluded_for_a_while() {
+    // Found by a soak test: a target that refuses calls responds quickly, so the load balancer preferred it, and each
+    // refusal used up a retry.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let second = Machine::start(&store, "alpha", 8).await;
-        eventually("both are known at beta", || beta.node().targets.borrow().len() == 3).await;
+        eventually("beta lists both", || beta.node().targets.borrow().len() == 3).await;
         for number in 0..40 {
             call(beta.outbound(), &read(&format!("good-{number}"))).await.expect("an answer");
         }
         alpha.target.set_habit(Habit::Sheds);
         let before = alpha.target.arrivals();
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let mut served = 0;
         for number in 0..60 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
@@ -173,21 +175,22 @@
             sleep(Duration::from_millis(10)).await;
         }
         assert!(served >= 58, "{served}");
-        let allowed = 2 + begun.elapsed().as_millis() as usize / 200;
+        let allowed = 2 + started.elapsed().as_millis() as usize / 200;
         assert!(alpha.target.arrivals() - before <= allowed, "{} of 60", alpha.target.arrivals() - before);
         drop(second);
     });
 }
 
 #[test]
-fn a_target_that_is_replaced_by_another_in_one_change_of_the_list_is_found() {
-    // Found by the soak (seed 920007): its gate refused the new one for 23 s, since the former one was not listed any more to compare with.
+fn a_target_that_replaces_another_in_one_update_of_the_list_is_detected() {
+    // Found by a soak test (seed 920007): the gate refused the new target's calls for 23 s, because it compared the new
+    // target only with a former one that was still listed.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
         let former = alpha.target.id();
         alpha.target.restart();
-        // No task runs in between, so one answer of the store brings both.
+        // No task runs in between, so one response of the store contains both changes.
         store.list(&alpha.target, "ready");
         store.unlist(&former);
         let present = alpha.target.id();
@@ -204,17 +207,17 @@
 }
 
 #[test]
-fn a_restarted_node_asks_its_target_who_it_is() {
+fn a_restarted_node_queries_its_targets_identity() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
-        // Only the list still holds the identity before.
+        // Only the list still contains the former identity.
         alpha.target.restart();
         let beta = Machine::start(&store, "beta", 8).await;
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!(answer.status, 200);
-        assert_eq!((alpha.target.probes(), alpha.target.arrivals()), (1, 1), "one question, no rejected call");
+        assert_eq!((alpha.target.probes(), alpha.target.arrivals()), (1, 1), "one query, no rejected call");
     });
 }
 
@@ -223,7 +226,7 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(Mode::Silent);
-        // At alpha's address a target and a node of another service start; beta still knows the former one.
+        // A target and a node of another service start at alpha's address; beta still lists the former target.
         let (address, former) = (alpha.address, alpha.target.id());
         alpha.sidecar.stop().await;
         let local = alpha.target.address;
@@ -232,13 +235,13 @@
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(alpha.target.ran().is_empty());
-        assert!(beta.node().targets.borrow().get(&former).is_some(), "no target of another service takes its place");
+        assert!(beta.node().targets.borrow().get(&former).is_some(), "no target of another service replaces it");
         drop(gamma);
     });
 }
 
 #[test]
-fn metrics_tell_what_has_happened() {
+fn the_metrics_page_shows_calls_and_the_configuration() {
     run(async {
         let (_store, _alpha, beta) = two_machines().await;
         call(beta.outbound(), &read("one")).await.expect("an answer");
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -1,6 +1,7 @@
-//! A machine that is suspended: other machines, targets and the store go on, and the steady clock of its processes does not count the time.
+//! Suspension of a machine: other machines, targets and the store continue, and the monotonic clock of its processes
+//! does not count the time.
 //!
-//! The nodes' clocks are set ahead and the runtime's timers are not, as after a suspension.
+//! The tests advance the node's clock but not the runtime's timers, as a suspension does.
 
 mod support;
 
@@ -15,42 +16,42 @@
 use tokio::time::{sleep, Instant};
 
 #[test]
-fn a_key_that_was_taken_away_meanwhile_is_not_believed() {
+fn a_key_revoked_during_a_suspension_is_not_accepted() {
     run(async {
         let store = StandInStore::start().await;
-        let of_beta = store.another_address().await;
-        let (_alpha, beta) = tenancy::two_machines(with_strict_revocation, &store, &of_beta).await;
+        let store_of_beta = store.another_address().await;
+        let (_alpha, beta) = tenancy::two_machines(with_strict_revocation, &store, &store_of_beta).await;
         assert_eq!(tenancy::read(&beta, "before", FREE_KEY).await.status, 200);
-        of_beta.set_mode(Mode::Silent);
+        store_of_beta.set_mode(Mode::Silent);
         store.configure(&tenancy::document(6, &["another-key"]));
         beta.node().clock.suspend_for(REVOCATION);
         let answer = tenancy::read(&beta, "after", FREE_KEY).await;
-        assert_eq!(answer.status, 503, "the configuration is older than a key may be believed");
+        assert_eq!(answer.status, 503, "the configuration is too old to accept keys");
         assert!(!beta.node().is_ready());
     });
 }
 
 #[test]
-fn the_store_is_read_at_once_after_waking() {
+fn the_store_is_read_at_once_after_a_suspension() {
     run(async {
         let (store, alpha, beta) = shop::two_machines().await;
-        // Its watch waits for 25 s, and what the store sends meanwhile is lost.
+        // The store never answers the current watch.
         store.set_mode(Mode::Deaf);
         store.list(&alpha.target, "draining");
         sleep(Duration::from_millis(100)).await;
         store.set_mode(Mode::Normal);
         beta.node().clock.suspend_for(Duration::from_secs(5));
         call(beta.outbound(), &shop::read("wakes")).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let id = alpha.target.id();
         let is_known = || beta.node().targets.borrow().get(&id).is_none_or(|target| target.registration.draining);
-        eventually("the drain is known", is_known).await;
-        assert!(begun.elapsed() < Duration::from_millis(1500), "{:?}", begun.elapsed());
+        eventually("beta has received the drain", is_known).await;
+        assert!(started.elapsed() < Duration::from_millis(1500), "{:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_call_whose_time_passed_is_answered_at_once() {
+fn a_call_whose_deadline_passed_during_a_suspension_is_answered_at_once() {
     run(async {
         let (_store, alpha, beta) = shop::two_machines().await;
         alpha.target.set_habit(Habit::Slow(Duration::from_secs(5)));
@@ -58,27 +59,27 @@
         caller.send(&shop::read("waits")).await;
         sleep(Duration::from_millis(100)).await;
         beta.node().clock.suspend_for(Duration::from_secs(3));
-        let begun = Instant::now();
-        // Any call shows that the machine has woken.
+        let started = Instant::now();
+        // Any call makes the node detect the suspension.
         call(beta.outbound(), &request("GET", shop::HOST, "/none/", "wakes", 1000, "")).await;
         let answer = caller.answer_within(Duration::from_secs(2)).await.expect("an answer");
         assert!((500..600).contains(&answer.status), "{}", answer.status);
-        assert!(begun.elapsed() < Duration::from_millis(300), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_millis(300), "{:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_waking_is_noticed_without_calls() {
+fn a_suspension_is_detected_without_calls() {
     run(async {
         let (_store, _alpha, beta) = shop::two_machines().await;
         beta.node().clock.suspend_for(Duration::from_secs(4));
         sleep(Duration::from_millis(2300)).await;
-        assert_eq!(beta.node().clock.detect_suspension(), None, "it was noticed before");
+        assert_eq!(beta.node().clock.detect_suspension(), None, "it was detected before");
     });
 }
 
 #[test]
-fn a_limit_that_was_handed_out_before_is_not_used_after() {
+fn shares_of_a_limit_received_before_a_suspension_expire() {
     run(async {
         let (_store, beta) = {
             let store = StandInStore::start().await;
@@ -91,7 +92,7 @@
             eventually("a coordinator answers", || has_coordinator(&beta)).await;
             alpha.sidecar.stop().await;
             beta.node().clock.suspend_for(Duration::from_secs(3));
-            assert!(!has_coordinator(&beta), "what it handed out has lapsed");
+            assert!(!has_coordinator(&beta), "the coordinator's shares have expired");
             (store, beta)
         };
         drop(beta);
@@ -99,20 +100,20 @@
 }
 
 #[test]
-fn a_stop_ends_in_time_though_the_machine_is_suspended_in_between() {
+fn a_stop_keeps_the_grace_period_across_a_suspension() {
     run(async {
         let (_store, alpha, beta) = shop::two_machines().await;
         alpha.target.set_habit(Habit::Slow(Duration::from_secs(20)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&request("GET", shop::HOST, "/read/x", "long", 20_000, "")).await;
         let clock = beta.node().clock.clone();
-        let begun = Instant::now();
-        let suspends = async {
+        let started = Instant::now();
+        let suspend = async {
             sleep(Duration::from_millis(500)).await;
             clock.suspend_for(Duration::from_secs(4));
         };
-        tokio::join!(beta.sidecar.stop(), suspends);
-        // Two seconds of the grace time are left when it wakes, and callers have been led away for 2.2 s.
-        assert!(begun.elapsed() < Duration::from_millis(3500), "{:?}", begun.elapsed());
+        tokio::join!(beta.sidecar.stop(), suspend);
+        // Two seconds of the grace period are left after the suspension, and draining callers takes 2.2 s of real time.
+        assert!(started.elapsed() < Duration::from_millis(3500), "{:?}", started.elapsed());
     });
 }
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Keys, tenants and their limits through two sidecars.
+//! API keys, tenants and their rate limits across two sidecars.
 
 mod support;
 
@@ -19,16 +19,16 @@
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
 
-async fn started() -> (StandInStore, Machine, Machine) {
+async fn start() -> (StandInStore, Machine, Machine) {
     let store = StandInStore::start().await;
     let (alpha, beta) = two_machines(|settings| settings, &store, &store).await;
     (store, alpha, beta)
 }
 
 #[test]
-fn a_target_sees_the_tenant_and_never_the_key() {
+fn a_target_receives_the_tenant_but_not_the_key() {
     run(async {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         let forged = format!("{}Quillhatch-Tenant: limited\r\n", with_key(FREE_KEY));
         for (id, headers) in [("one", with_key(FREE_KEY)), ("two", forged)] {
             assert_eq!(call(beta.outbound(), &get("read", id, &headers)).await.expect("an answer").status, 200);
@@ -48,16 +48,16 @@
 fn a_call_needs_a_key(headers: &str, status: u16) {
     let request = get("read", "one", headers);
     run(async move {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         assert_eq!(call(beta.outbound(), &request).await.expect("an answer").status, status);
         assert_eq!(alpha.target.arrivals(), usize::from(status == 200));
     });
 }
 
 #[test]
-fn a_caller_on_the_targets_machine_does_not_pass_for_it() {
+fn a_caller_on_the_targets_machine_needs_a_key() {
     run(async {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         let source = IpAddr::V4(beta.address);
         let mut caller = Caller::connect_from(source, beta.outbound()).await.expect("a connection");
         caller.send(&get("read", "one", "")).await;
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn a_public_route_needs_no_key_and_tells_no_tenant() {
+fn a_public_route_needs_no_key_and_forwards_no_tenant() {
     run(async {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         for (id, headers) in [("one", String::new()), ("two", with_key("key-of-nobody")), ("three", with_key(FREE_KEY))]
         {
             let forged = format!("{headers}Quillhatch-Tenant: limited\r\n");
@@ -84,7 +84,7 @@
 #[test]
 fn calls_of_a_target_need_no_key() {
     run(async {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         alpha.target.chain(ChainedCall {
             outbound: alpha.outbound(),
             host: HOST.to_owned(),
@@ -99,12 +99,11 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_and_a_new_one_let_in() {
+fn a_revoked_key_is_refused_and_a_new_one_accepted() {
     run(async {
-        let (store, alpha, beta) = started().await;
+        let (store, alpha, beta) = start().await;
         store.configure(&document(6, &["another-key"]));
-        eventually("both have the new one", || [&alpha, &beta].iter().all(|machine| version(machine.node()) == 6))
-            .await;
+        eventually("both have version 6", || [&alpha, &beta].iter().all(|machine| version(machine.node()) == 6)).await;
         assert_eq!(read(&beta, "old", FREE_KEY).await.status, 401);
         assert_eq!(read(&beta, "new", "another-key").await.status, 200);
     });
@@ -115,9 +114,9 @@
 }
 
 #[test]
-fn a_node_knows_its_part_of_a_limit_as_soon_as_it_takes_callers() {
+fn a_ready_node_knows_the_number_of_machines_that_share_a_limit() {
     run(async {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         for machine in [&alpha, &beta] {
             assert_eq!(machine.node().tenancy.machine_count.get(), 2);
         }
@@ -125,9 +124,9 @@
 }
 
 #[test]
-fn calls_beyond_a_limit_are_told_when_to_come_back_and_others_go_on() {
+fn calls_beyond_a_limit_get_retry_after_and_other_tenants_are_unaffected() {
     run(async {
-        let (_store, alpha, beta) = started().await;
+        let (_store, alpha, beta) = start().await;
         eventually("a coordinator answers", || {
             let machines = beta.node().tenancy.machine_count.get();
             let period = quillhatch_mesh::limits::report_period(machines);
@@ -135,8 +134,8 @@
         })
         .await;
         let (mut served, mut refused) = (0, 0);
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_secs(4) {
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_secs(4) {
             let answer = read(&beta, &format!("l{}", served + refused), LIMITED_KEY).await;
             if answer.status == 429 {
                 let pause: f64 = answer.header("retry-after").parse().expect("a time");
@@ -148,7 +147,7 @@
             }
             sleep(Duration::from_millis(20)).await;
         }
-        // Three a second, a burst of three and a piece of the slack.
+        // The rate of three per second, the burst of three and a part of the slack.
         assert!((10..=28).contains(&served), "{served} served, {refused} refused");
         assert_eq!(alpha.target.arrivals(), served, "refused calls reach no target");
         for number in 0..50 {
@@ -158,84 +157,84 @@
 }
 
 #[test]
-fn calls_that_begin_at_all_machines_at_once_keep_their_limit() {
+fn a_burst_that_starts_at_all_machines_at_once_stays_within_the_limit() {
     run(async {
-        let (store, alpha, beta) = started().await;
+        let (store, alpha, beta) = start().await;
         let mut machines = vec![alpha, beta];
         for _ in 0..8 {
             machines.push(Machine::start(&store, "alpha", 8).await);
         }
-        eventually("one coordinates all", || {
+        eventually("one node coordinates all machines", || {
             machines.iter().any(|machine| machine.node().tenancy.coordinator.borrow().node_count() == machines.len())
         })
         .await;
         sleep(Duration::from_secs(1)).await;
-        let BoundedCalls { window, allowed } = bounded_calls();
+        let WindowLimit { window, max_calls } = window_limit();
         let mut served = 0;
-        let begun = Instant::now();
+        let started = Instant::now();
         for (number, machine) in machines.iter().cycle().enumerate() {
-            if begun.elapsed() >= window {
+            if started.elapsed() >= window {
                 break;
             }
             let answer = read(machine, &format!("l{number}"), LIMITED_KEY).await;
             served += usize::from(answer.status == 200);
             sleep(Duration::from_millis(1)).await;
         }
-        assert!(served <= allowed, "{served} of {allowed}");
+        assert!(served <= max_calls, "{served} of {max_calls}");
     });
 }
 
-/// How many calls of the limited tenant may run in a window.
-struct BoundedCalls {
+/// The maximum number of admitted calls of the limited tenant in one window.
+struct WindowLimit {
     window: Duration,
-    allowed: usize,
+    max_calls: usize,
 }
 
-fn bounded_calls() -> BoundedCalls {
+fn window_limit() -> WindowLimit {
     let LimitBounds { window, tolerance, slack } = support::BOUNDS.limits;
     let limit = LIMITED_RATE * window.as_secs_f64() + LIMITED_BURST;
-    BoundedCalls { window, allowed: (limit * (1.0 + tolerance) + slack) as usize }
+    WindowLimit { window, max_calls: (limit * (1.0 + tolerance) + slack) as usize }
 }
 
 #[test]
-fn with_a_silent_store_keys_are_believed_for_a_part_of_the_bound_only() {
+fn keys_are_accepted_for_less_than_the_revocation_bound_while_the_store_does_not_respond() {
     run(async {
         let store = StandInStore::start().await;
         let (alpha, beta) = two_machines(with_strict_revocation, &store, &store).await;
         assert_eq!(read(&beta, "one", FREE_KEY).await.status, 200);
         store.set_mode(Mode::Silent);
-        let silent = Instant::now();
+        let outage_start = Instant::now();
         while read(&beta, "while", FREE_KEY).await.status == 200 {
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(silent.elapsed() < REVOCATION, "{:?}", silent.elapsed());
+        assert!(outage_start.elapsed() < REVOCATION, "{:?}", outage_start.elapsed());
         let answer = read(&beta, "late", FREE_KEY).await;
         assert_eq!(answer.status, 503);
-        assert!(answer.header("retry-after").parse::<f64>().is_ok(), "it is told when to come back");
-        assert!(!beta.node().is_ready(), "callers are led elsewhere");
+        assert!(answer.header("retry-after").parse::<f64>().is_ok(), "it contains a retry delay");
+        assert!(!beta.node().is_ready(), "callers are directed elsewhere");
         assert_eq!(call(beta.outbound(), &get("open", "open", "")).await.expect("an answer").status, 200);
         store.set_mode(Mode::Normal);
-        eventually("keys are believed again", || beta.node().is_ready() && alpha.node().is_ready()).await;
+        eventually("keys are accepted again", || beta.node().is_ready() && alpha.node().is_ready()).await;
         assert_eq!(read(&beta, "again", FREE_KEY).await.status, 200);
     });
 }
 
 #[test]
-fn a_node_that_cannot_read_the_store_lives_on_the_word_of_others_as_long_as_its_configuration_is_theirs() {
+fn a_node_that_cannot_read_the_store_uses_the_proofs_of_others_while_its_configuration_equals_theirs() {
     run(async {
         let store = StandInStore::start().await;
         let store_of_beta = store.another_address().await;
         let (alpha, beta) = two_machines(with_strict_revocation, &store, &store_of_beta).await;
         store_of_beta.set_mode(Mode::Silent);
-        let begun = Instant::now();
-        while begun.elapsed() < REVOCATION * 2 {
-            assert_eq!(read(&beta, "while", FREE_KEY).await.status, 200, "after {:?}", begun.elapsed());
+        let started = Instant::now();
+        while started.elapsed() < REVOCATION * 2 {
+            assert_eq!(read(&beta, "while", FREE_KEY).await.status, 200, "after {:?}", started.elapsed());
             sleep(Duration::from_millis(30)).await;
         }
         store.configure(&document(6, &["another-key"]));
-        let taken_away = Instant::now();
+        let revoked = Instant::now();
         while read(&beta, "old", FREE_KEY).await.status == 200 {
-            assert!(taken_away.elapsed() < REVOCATION, "the key is believed for too long");
+            assert!(revoked.elapsed() < REVOCATION, "the revoked key is accepted for too long");
             sleep(Duration::from_millis(30)).await;
         }
         drop(alpha);
