--- a/crates/mesh/src/capacity.rs
+++ b/crates/mesh/src/capacity.rs
@@ -54,14 +54,14 @@
 /// The number of calls from which the share of refused ones counts in full; with fewer calls it counts for less.
 const MIN_REFUSAL_SAMPLES: f64 = 10.0;
 
-/// Calls made by targets, of one priority, with exponential decay.
+/// Nested calls (made by targets) of one priority, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
-struct InnerCalls {
+struct NestedCalls {
     arrived: f64,
     refused: f64,
 }
 
-impl InnerCalls {
+impl NestedCalls {
     /// Returns the share that was not refused.
     fn accepted_share(self) -> f64 {
         1.0 - (self.refused / self.arrived.max(MIN_REFUSAL_SAMPLES)).clamp(0.0, MAX_REFUSED_SHARE)
@@ -125,8 +125,8 @@
     mean_slot_seconds: f64,
     /// The slot time that was demanded, in seconds, by route and priority, with exponential decay.
     demand_seconds: BTreeMap<Arc<str>, BTreeMap<u8, f64>>,
-    /// Calls that targets make, by priority: work was already done for them.
-    inner_calls: BTreeMap<u8, InnerCalls>,
+    /// Nested calls, by priority: work was already done for them.
+    nested_calls: BTreeMap<u8, NestedCalls>,
     /// The fraction of slots in use.
     utilization: f64,
     /// The ratio of the actual capacity to the computed one: some calls hold slots for less time than on average, or
@@ -145,7 +145,7 @@
             slot_times: HashMap::new(),
             mean_slot_seconds: 0.0,
             demand_seconds: BTreeMap::new(),
-            inner_calls: BTreeMap::new(),
+            nested_calls: BTreeMap::new(),
             utilization: 0.0,
             correction: 1.0,
             observed_at: now,
@@ -164,14 +164,14 @@
         *demand_seconds += slot_time.seconds / admitted_share.clamp(MIN_ADMITTED_SHARE, 1.0);
     }
 
-    /// Records that a call made by a target arrives.
-    pub fn inner_call_arrived(&mut self, priority: u8) {
-        self.inner_calls.entry(priority).or_default().arrived += 1.0;
+    /// Records that a nested call arrives.
+    pub fn nested_call_arrived(&mut self, priority: u8) {
+        self.nested_calls.entry(priority).or_default().arrived += 1.0;
     }
 
-    /// Records that a call made by a target was refused because no slot was free.
-    pub fn inner_call_refused(&mut self, priority: u8) {
-        self.inner_calls.entry(priority).or_default().refused += 1.0;
+    /// Records that a nested call was refused because no slot was free.
+    pub fn nested_call_refused(&mut self, priority: u8) {
+        self.nested_calls.entry(priority).or_default().refused += 1.0;
     }
 
     /// Records that a call has held its slot for `time`.
@@ -196,11 +196,11 @@
             let level = level_of(route);
             for (priority, seconds) in demand_seconds {
                 let Some(route_demands) = demand.get_mut(usize::from(*priority)) else { continue };
-                let inner_calls = self
-                    .inner_calls
+                let nested_calls = self
+                    .nested_calls
                     .get(priority)
                     .filter(|_| self.mechanisms.is_enabled(Mechanism::MissingCallEstimate));
-                let accepted_share = inner_calls.map_or(1.0, |inner_calls| inner_calls.accepted_share());
+                let accepted_share = nested_calls.map_or(1.0, |nested_calls| nested_calls.accepted_share());
                 let slots = seconds * level.admitted_share(*priority, priorities) / accepted_share / span;
                 route_demands.insert(route.clone(), slots);
             }
@@ -269,9 +269,9 @@
         self.decayed_at = now;
         let remaining = (-elapsed / DEMAND_TIME_CONSTANT_S).exp();
         self.demand_seconds.values_mut().flat_map(BTreeMap::values_mut).for_each(|seconds| *seconds *= remaining);
-        for inner_calls in self.inner_calls.values_mut() {
-            inner_calls.arrived *= remaining;
-            inner_calls.refused *= remaining;
+        for nested_calls in self.nested_calls.values_mut() {
+            nested_calls.arrived *= remaining;
+            nested_calls.refused *= remaining;
         }
     }
 }
--- a/crates/mesh/tests/decisions/capacity.rs
+++ b/crates/mesh/tests/decisions/capacity.rs
@@ -127,9 +127,9 @@
     let stream = || Stream { route: &route, priority: 2, each_second: 800, share: 1.0 };
     let mut meter = meter_of(&[stream()]);
     for number in 0..400 {
-        meter.inner_call_arrived(2);
+        meter.nested_call_arrived(2);
         if number % 2 == 0 {
-            meter.inner_call_refused(2);
+            meter.nested_call_refused(2);
         }
     }
     let level = level(&mut meter, FULL_LOAD);
--- a/crates/mesh/tests/decisions/gate.rs
+++ b/crates/mesh/tests/decisions/gate.rs
@@ -8,7 +8,7 @@
 use quillhatch_types::Timestamp;
 use test_case::test_case;
 
-const INNER_CALL: Rank = Rank { is_root: false, priority: 0, position: 0 };
+const NESTED_CALL: Rank = Rank { is_root: false, priority: 0, position: 0 };
 
 const IMPORTANT_ROOT: Rank = Rank { is_root: true, priority: 0, position: 0 };
 
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn inner_calls_are_served_first_then_by_priority_then_in_order_of_arrival() {
+fn nested_calls_are_served_first_then_by_priority_then_in_order_of_arrival() {
     let mut gate = gate_without_free_slots();
     let roots = [expect_wait(&mut gate, ROOT), expect_wait(&mut gate, ROOT)];
     let important = expect_wait(&mut gate, IMPORTANT_ROOT);
-    let inner = expect_wait(&mut gate, INNER_CALL);
+    let nested = expect_wait(&mut gate, NESTED_CALL);
     let mut order = Vec::new();
     for _ in 0..4 {
         assert_eq!(gate.admit_waiting(), None, "no slot is free");
         gate.release_slot();
         order.extend(gate.admit_waiting());
     }
-    assert_eq!(order, [inner, important, roots[0], roots[1]]);
+    assert_eq!(order, [nested, important, roots[0], roots[1]]);
     assert_eq!(gate.load(), Load { running: 4, limit: 4, waiting: 0 });
 }
 
@@ -52,15 +52,15 @@
 #[test]
 fn calls_of_one_priority_are_served_by_position() {
     let mut gate = gate_without_free_slots();
-    let high_position = expect_wait(&mut gate, Rank { position: 200, ..INNER_CALL });
+    let high_position = expect_wait(&mut gate, Rank { position: 200, ..NESTED_CALL });
     let root = expect_wait(&mut gate, Rank { position: 100, ..IMPORTANT_ROOT });
-    let inner = expect_wait(&mut gate, Rank { position: 100, ..INNER_CALL });
+    let nested = expect_wait(&mut gate, Rank { position: 100, ..NESTED_CALL });
     let mut order = Vec::new();
     for _ in 0..3 {
         gate.release_slot();
         order.extend(gate.admit_waiting());
     }
-    assert_eq!(order, [inner, root, high_position]);
+    assert_eq!(order, [nested, root, high_position]);
 }
 
 #[test]
--- a/crates/mesh/tests/shortage/fleet.rs
+++ b/crates/mesh/tests/shortage/fleet.rs
@@ -167,7 +167,7 @@
         let number = if utilization(one) <= utilization(other) { one } else { other };
         let target = &mut self.targets[number];
         target.meter.call_arrived(&self.route, root.priority, root.share, now);
-        target.meter.inner_call_arrived(root.priority);
+        target.meter.nested_call_arrived(root.priority);
         let rank = Rank { priority: root.priority, position: root.position, is_root: false };
         let (admission, displaced) = target.gate.admit(rank, MAX_WAIT, now);
         let displaced = displaced.and_then(|ticket| target.waiting.remove(&ticket));
@@ -215,7 +215,7 @@
     }
 
     fn fail_root(&mut self, number: usize, root: Root) {
-        self.targets[number].meter.inner_call_refused(root.priority);
+        self.targets[number].meter.nested_call_refused(root.priority);
         self.totals.failed += 1;
         self.report_to_intermediate(number, &root);
         self.report_to_entry(&root);
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -148,7 +148,7 @@
 /// parent's later calls do not arrive.
 fn record_refusal(node: &Node, forwarded: &HopContext, refusal: Refusal) {
     if refusal == Refusal::Overloaded && !forwarded.is_root {
-        node.capacity.borrow_mut().inner_call_refused(forwarded.lineage.priority);
+        node.capacity.borrow_mut().nested_call_refused(forwarded.lineage.priority);
     }
 }
 
@@ -173,7 +173,7 @@
         let mut capacity = node.capacity.borrow_mut();
         capacity.call_arrived(route, priority, share, now);
         if !forwarded.is_root {
-            capacity.inner_call_arrived(priority);
+            capacity.nested_call_arrived(priority);
         }
     }
     // Positions order the queue only during a shortage. While the target can serve all calls that arrive, calls of the
