--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -1,5 +1,5 @@
-//! Few nodes read the store and the others follow them; the store comes back from an older copy, targets start again under their
-//! identities, and others write among their entries.
+//! Replication of the store between nodes: only a few read it and the others receive changes from them. Also restores
+//! of the store from a backup, targets that restart under the same identity, and entries of other writers.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
 
-/// Machines of beta, and one of alpha, which comes first.
-async fn machines(store: &StandInStore, count: usize) -> Vec<Machine> {
+/// Starts one machine of `alpha`, which comes first, and `count - 1` of `beta`.
+async fn start_machines(store: &StandInStore, count: usize) -> Vec<Machine> {
     let mut machines = vec![Machine::start(store, "alpha", 8).await];
     for _ in 1..count {
         machines.push(Machine::start(store, "beta", 8).await);
@@ -23,14 +23,14 @@
     machines
 }
 
-fn reads(machine: &Machine) -> bool {
+fn is_reader(machine: &Machine) -> bool {
     machine.node().feed.role.borrow().is_reader
 }
 
-async fn calls_in_three_seconds(count: usize) -> usize {
+async fn store_calls_in_three_seconds(count: usize) -> usize {
     let store = StandInStore::start().await;
     store.configure(&document(5, "alpha"));
-    let machines = machines(&store, count).await;
+    let machines = start_machines(&store, count).await;
     sleep(Duration::from_millis(1500)).await;
     let before = store.calls();
     for version in 10..25 {
@@ -43,20 +43,20 @@
 }
 
 #[test]
-fn more_nodes_make_no_more_calls_of_the_store() {
+fn the_number_of_store_calls_does_not_grow_with_the_fleet() {
     run(async {
-        let few = calls_in_three_seconds(3).await;
-        let many = calls_in_three_seconds(12).await;
-        assert!(many <= few + few / 2, "{few} calls of 3 nodes, {many} of 12");
+        let few = store_calls_in_three_seconds(3).await;
+        let many = store_calls_in_three_seconds(12).await;
+        assert!(many <= few + few / 2, "{few} calls by 3 nodes, {many} by 12");
     });
 }
 
 #[test]
-fn a_node_that_starts_does_not_take_for_recent_what_others_have_read_before() {
+fn a_node_that_starts_keeps_the_age_of_data_from_other_nodes() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
-        let mut machines = machines(&store, 2).await;
+        let mut machines = start_machines(&store, 2).await;
         let silent_store = store.another_address().await;
         silent_store.set_mode(Mode::Silent);
         store.set_mode(Mode::Silent);
@@ -66,68 +66,68 @@
         sidecar.stop().await;
         let restarted = start_sidecar(address, "alpha", target.address, silent_store.address);
         sleep(Duration::from_millis(100)).await;
-        call(machines[0].outbound(), &read("shows-who-to-ask")).await;
-        eventually("it has the view of the other", || restarted.node.position().is_known()).await;
+        call(machines[0].outbound(), &read("reveals-a-source")).await;
+        eventually("it has the other node's data", || restarted.node.position().is_known()).await;
         let unread_for = restarted.node.feed.store_read_at.get().map(|read_at| restarted.node.now().since(read_at));
-        // A watch that waited when the store fell silent was answered at its end.
-        let least = lost.elapsed() - BOUNDS.recovery / 2;
-        assert!(unread_for >= Some(least), "{unread_for:?} of {least:?}");
+        // A watch that was waiting when the store stopped responding was still answered at its end.
+        let min_age = lost.elapsed() - BOUNDS.recovery / 2;
+        assert!(unread_for >= Some(min_age), "{unread_for:?}, expected at least {min_age:?}");
     });
 }
 
 #[test]
-fn a_node_that_starts_asks_the_store_once_and_the_others_for_the_rest() {
+fn a_node_that_starts_reads_one_page_of_the_store_and_gets_the_rest_from_other_nodes() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
-        let machines = machines(&store, 6).await;
-        // The copy shows two items at a time.
+        let machines = start_machines(&store, 6).await;
+        // Each page of a listing contains two items.
         store.set_page(2);
         sleep(Duration::from_millis(500)).await;
         let before = store.calls_to("/kv-range");
-        let mut late: Vec<Machine> = Vec::new();
-        let mut shown_first = 0;
+        let mut late_machines: Vec<Machine> = Vec::new();
+        let mut listed_first = 0;
         for _ in 0..3 {
             let machine = Machine::start(&store, "beta", 8).await;
             let id = machine.target.id();
-            let is_least = machines.iter().chain(&late).all(|other| id < other.target.id());
-            shown_first += usize::from(is_least);
-            late.push(machine);
+            let is_first = machines.iter().chain(&late_machines).all(|other| id < other.target.id());
+            listed_first += usize::from(is_first);
+            late_machines.push(machine);
         }
-        let all_know = || late.iter().all(|machine| machine.node().targets.borrow().len() == 9);
-        eventually("they know all targets", all_know).await;
+        let all_know = || late_machines.iter().all(|machine| machine.node().targets.borrow().len() == 9);
+        eventually("they list all targets", all_know).await;
         let pages = store.calls_to("/kv-range") - before;
-        // One that finds only itself on the first page reads the other pages too, of which there are four.
-        assert!(pages <= 3 + 4 * shown_first, "{pages} pages, {shown_first} found themselves");
+        // A node that finds only itself on the first page also reads the other pages, of which there are four.
+        assert!(pages <= 3 + 4 * listed_first, "{pages} pages, {listed_first} nodes found only themselves");
         drop(machines);
     });
 }
 
 #[test_case(true; "killed")]
-#[test_case(false; "silent")]
-fn a_change_reaches_all_though_a_reader_is_lost(is_killed: bool) {
+#[test_case(false; "unresponsive")]
+fn a_change_reaches_all_nodes_when_a_reader_fails(is_killed: bool) {
     run(async move {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
-        let mut machines = machines(&store, 8).await;
+        let mut machines = start_machines(&store, 8).await;
         sleep(Duration::from_millis(700)).await;
-        let reader = machines.iter().position(reads).expect("a reader");
+        let reader = machines.iter().position(is_reader).expect("a reader");
         let lost = machines.swap_remove(reader);
         let inbound = lost.inbound();
         let Machine { target, sidecar, .. } = lost;
         drop(sidecar);
         let hanging = if is_killed { None } else { Some(FullListener::start(inbound).await) };
         store.configure(&document(6, "alpha"));
-        let begun = Instant::now();
+        let started = Instant::now();
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 6);
         eventually("all have it", all_have).await;
-        assert!(begun.elapsed() < BOUNDS.apply, "{:?}", begun.elapsed());
+        assert!(started.elapsed() < BOUNDS.apply, "{:?}", started.elapsed());
         drop((target, hanging));
     });
 }
 
 #[test]
-fn a_change_reaches_all_though_the_store_turns_all_readers_away() {
+fn a_change_reaches_all_nodes_when_the_store_refuses_all_readers() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
@@ -142,73 +142,74 @@
         eventually("all are listed everywhere", all_know).await;
         sleep(Duration::from_millis(700)).await;
         for (machine, address) in machines.iter().zip(&addresses) {
-            if reads(machine) {
+            if is_reader(machine) {
                 address.set_mode(Mode::Status(503));
             }
         }
         store.configure(&document(6, "alpha"));
-        let begun = Instant::now();
+        let started = Instant::now();
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 6);
         eventually("all have it", all_have).await;
-        assert!(begun.elapsed() < BOUNDS.apply, "{:?}", begun.elapsed());
+        assert!(started.elapsed() < BOUNDS.apply, "{:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_store_that_comes_back_from_an_older_copy_takes_nothing_back() {
+fn a_restore_of_the_store_from_a_backup_reverts_nothing() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
-        let leaving = Machine::start(&store, "alpha", 8).await;
+        let draining = Machine::start(&store, "alpha", 8).await;
         let beta = Machine::start(&store, "beta", 8).await;
         eventually("all are listed", || beta.node().targets.borrow().len() == 3).await;
         sleep(Duration::from_millis(1500)).await;
         store.configure(&document(6, "alpha"));
-        store.list(&leaving.target, "draining");
-        let drains = |id: &str| beta.node().targets.borrow().get(id).is_none_or(|target| target.registration.draining);
-        eventually("the drain is known", || drains(&leaving.target.id())).await;
+        store.list(&draining.target, "draining");
+        let is_draining =
+            |id: &str| beta.node().targets.borrow().get(id).is_none_or(|target| target.registration.draining);
+        eventually("the drain is known", || is_draining(&draining.target.id())).await;
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
 
         let lost = store.restore(Duration::from_millis(1200));
-        assert_eq!(lost.len(), 2, "the copy lacks both changes");
+        assert_eq!(lost.len(), 2, "the backup lacks both changes");
         eventually("the new era is known", || beta.node().position().era == 2).await;
-        let arrivals = leaving.target.arrivals();
+        let arrivals = draining.target.arrivals();
         for number in 0..20 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        assert_eq!(leaving.target.arrivals(), arrivals, "one that drains gets nothing");
+        assert_eq!(draining.target.arrivals(), arrivals, "a draining target receives no calls");
         assert_eq!(beta.node().configuration.borrow().version(), 6);
 
-        // Revisions are given out again; what is written then is learnt.
+        // Revisions are reused after the restore, and writes with them are still received.
         lost.iter().for_each(|write| store.write_again(write));
         store.configure(&document(7, "alpha"));
-        let machines = [&alpha, &leaving, &beta];
+        let machines = [&alpha, &draining, &beta];
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 7);
         eventually("version 7", all_have).await;
     });
 }
 
 #[test]
-fn a_target_that_an_older_copy_lacks_serves_on() {
+fn a_target_that_is_missing_in_a_backup_continues_to_serve() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1000)).await;
         let late = Machine::start(&store, "alpha", 8).await;
         eventually("it is listed", || beta.node().targets.borrow().len() == 3).await;
         store.unlist(&alpha.target.id());
-        eventually("the other one has left", || beta.node().targets.borrow().len() == 2).await;
+        eventually("the other one is removed", || beta.node().targets.borrow().len() == 2).await;
         sleep(Duration::from_millis(100)).await;
         let lost = store.restore(Duration::from_millis(900));
         eventually("the new era is known", || beta.node().position().era == 2).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0.. {
-            if begun.elapsed() > Duration::from_millis(1500) {
+            if started.elapsed() > Duration::from_millis(1500) {
                 break;
             }
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200, "after {:?}", begun.elapsed());
+            assert_eq!(answer.status, 200, "after {:?}", started.elapsed());
             sleep(Duration::from_millis(30)).await;
         }
         assert!(!late.target.ran().is_empty());
@@ -219,34 +220,34 @@
 }
 
 #[test]
-fn a_target_that_starts_again_under_its_identity_serves_on() {
+fn a_target_that_restarts_under_the_same_identity_receives_calls_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
         store.list(&alpha.target, "draining");
         let id = alpha.target.id();
-        let drains = || beta.node().targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
-        eventually("the drain is known", drains).await;
+        let is_draining = || beta.node().targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
+        eventually("the drain is known", is_draining).await;
         alpha.target.restart_under_its_id();
         store.list(&alpha.target, "ready");
-        eventually("the new life is known", || !drains()).await;
+        eventually("the restart is known", || !is_draining()).await;
         eventually("its gate is open", || !alpha.node().gate.borrow().is_closed()).await;
         assert_eq!(call(beta.outbound(), &read("after")).await.expect("an answer").status, 200);
-        // A late write of the earlier life.
+        // A late write from before the restart.
         let entry = format!(
             r#"{{"service":"alpha","address":"{}","zone":"zone-a","version":"v1","slots":8,"state":"draining","cold_remaining_s":0,"seq":99,"born":7}}"#,
             alpha.target.address
         );
         store.write(&format!("servers/{id}"), Some(&entry));
         store.configure(&document(6, "alpha"));
-        eventually("what came after it is known", || beta.node().configuration.borrow().version() == 6).await;
-        assert!(!drains());
+        eventually("the next change is known", || beta.node().configuration.borrow().version() == 6).await;
+        assert!(!is_draining());
         assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
     });
 }
 
 #[test]
-fn entries_of_another_writer_name_no_target_and_the_others_hold() {
+fn malformed_entries_of_another_writer_are_ignored() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let address = alpha.target.address;
@@ -265,49 +266,49 @@
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(beta.node().targets.borrow().len(), 2);
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
-        // A node that starts reads them with everything else.
+        // A node that starts reads the malformed entries with all others.
         let gamma = Machine::start(&store, "beta", 8).await;
         assert_eq!(gamma.node().targets.borrow().len(), 3);
     });
 }
 
 #[test]
-fn an_entry_that_names_an_unknown_service_is_asked_for_nothing() {
+fn an_entry_with_an_unknown_service_is_not_queried() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
-        // Its address is that of a machine which does not answer.
-        let nowhere = support::unused_address();
+        // No machine responds at the entries' address.
+        let unused = support::unused_address();
         for number in 0..20 {
             let entry = format!(
-                r#"{{"service":"nobody","address":"{nowhere}:{}","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
+                r#"{{"service":"nobody","address":"{unused}:{}","zone":"zone-a","version":"v1","slots":8,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
                 1000 + number
             );
             store.write(&format!("servers/odd-{number}"), Some(&entry));
         }
         let alpha = Machine::start(&store, "alpha", 8).await;
         let beta = Machine::start(&store, "beta", 8).await;
-        eventually("both know each other", || beta.node().targets.borrow().len() == 22).await;
+        eventually("all entries are listed", || beta.node().targets.borrow().len() == 22).await;
         for machine in [&alpha, &beta] {
-            let place = machine.node().feed.role.borrow().clone();
-            assert!(place.candidates.iter().all(|candidate| candidate.machine != nowhere), "{place:?}");
+            let role = machine.node().feed.role.borrow().clone();
+            assert!(role.candidates.iter().all(|candidate| candidate.machine != unused), "{role:?}");
         }
     });
 }
 
 #[test]
-fn a_node_that_started_after_a_registration_ran_out_learns_of_the_target_from_its_node() {
+fn a_node_that_started_after_a_registration_expired_gets_the_target_from_its_node() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
-        let others = machines(&store, 4).await;
-        let cut = store.another_address().await;
-        let alpha = Machine::start(&cut, "alpha", 8).await;
+        let others = start_machines(&store, 4).await;
+        let store_of_alpha = store.another_address().await;
+        let alpha = Machine::start(&store_of_alpha, "alpha", 8).await;
         eventually("it is listed", || others[0].node().targets.borrow().len() == 5).await;
-        cut.set_mode(Mode::Silent);
+        store_of_alpha.set_mode(Mode::Silent);
         alpha.node().must_probe_store.set(true);
         alpha.node().feed.role_changed.notify_waiters();
-        eventually("it knows that it is cut off", || {
+        eventually("it has detected the partition", || {
             quillhatch_sidecar::store_view::own_store_view(alpha.node()).store_unreachable
         })
         .await;
@@ -317,13 +318,13 @@
         let id = alpha.target.id();
         let knows = || late.node().targets.borrow().get(&id).is_some();
         assert!(!knows(), "the store does not list it");
-        // Callers of the machine that is cut off reach the new one.
-        let begun = Instant::now();
+        // Calls that enter at the partitioned machine reach the new one.
+        let started = Instant::now();
         for number in 0.. {
             if knows() {
                 break;
             }
-            assert!(begun.elapsed() < Duration::from_secs(5), "the new node does not list it");
+            assert!(started.elapsed() < Duration::from_secs(5), "the new node does not list it");
             call(alpha.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             sleep(Duration::from_millis(10)).await;
         }
--- a/crates/sidecar/tests/partial_store_outage.rs
+++ b/crates/sidecar/tests/partial_store_outage.rs
@@ -1,4 +1,4 @@
-//! Machines that the store turns away while it serves the operator and the other machines.
+//! Machines that can't use the store while it serves the operator and the other machines.
 
 mod support;
 
@@ -12,10 +12,11 @@
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
 
-/// The store turns alpha away; gamma serves the same service and beta is where callers are; both read the store.
+/// The store fails for `alpha` only. `gamma` runs a target of the same service, and callers use `beta`; both can read
+/// the store.
 struct Fleet {
     store: StandInStore,
-    turned_away: StandInStore,
+    store_of_alpha: StandInStore,
     alpha: Machine,
     beta: Machine,
     gamma: Machine,
@@ -24,28 +25,29 @@
 impl Fleet {
     async fn start(mode: Mode) -> Self {
         let store = StandInStore::start().await;
-        let turned_away = store.another_address().await;
+        let store_of_alpha = store.another_address().await;
         store.configure(&document(5, "alpha"));
         let beta = Machine::start(&store, "beta", 8).await;
         let gamma = Machine::start(&store, "alpha", 8).await;
-        let alpha = Machine::start(&turned_away, "alpha", 8).await;
+        let alpha = Machine::start(&store_of_alpha, "alpha", 8).await;
         eventually("all are listed at beta", || beta.node().targets.borrow().len() == 3).await;
         eventually("all are listed at alpha", || alpha.node().targets.borrow().len() == 3).await;
-        turned_away.set_mode(mode);
-        Fleet { store, turned_away, alpha, beta, gamma }
+        store_of_alpha.set_mode(mode);
+        Fleet { store, store_of_alpha, alpha, beta, gamma }
     }
 
-    /// Calls through both machines of callers until `condition` holds; all must be served.
-    async fn serve_until(&self, what: &str, longest: Duration, condition: impl Fn() -> bool) {
-        let begun = Instant::now();
+    /// Sends calls through `beta` and `alpha` until `condition` holds. All calls must be served, and `condition` must
+    /// hold within `limit`.
+    async fn call_until(&self, what: &str, limit: Duration, condition: impl Fn() -> bool) {
+        let started = Instant::now();
         for number in 0.. {
             if condition() {
                 return;
             }
-            assert!(begun.elapsed() < longest, "not within {longest:?}: {what}");
+            assert!(started.elapsed() < limit, "not within {limit:?}: {what}");
             for entry in [self.beta.outbound(), self.alpha.outbound()] {
                 let answer = call(entry, &read(&format!("{what}-{number}-{entry}"))).await.expect("an answer");
-                assert_eq!(answer.status, 200, "{what}, after {:?}", begun.elapsed());
+                assert_eq!(answer.status, 200, "{what}, after {:?}", started.elapsed());
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -56,42 +58,42 @@
 #[test_case(Mode::Status(429))]
 #[test_case(Mode::Reset)]
 #[test_case(Mode::Silent)]
-#[test_case(Mode::Deaf; "only its watches hang")]
-fn a_machine_that_is_turned_away_serves_on_and_learns_of_changes_from_others(mode: Mode) {
+#[test_case(Mode::Deaf; "only watches hang")]
+fn a_machine_that_cannot_use_the_store_serves_and_receives_changes_from_others(mode: Mode) {
     run(async move {
         let fleet = Fleet::start(mode).await;
         sleep(Duration::from_millis(1500)).await;
         fleet.store.configure(&document(6, "alpha"));
         let alpha = fleet.alpha.node();
-        // Until a silent connection is noticed.
-        let longest = BOUNDS.recovery + BOUNDS.apply;
+        // Includes the time to detect a connection on which the store no longer responds.
+        let limit = BOUNDS.recovery + BOUNDS.apply;
         let is_in_force = || alpha.configuration.borrow().version() == 6;
-        fleet.serve_until("configuration", longest, is_in_force).await;
+        fleet.call_until("configuration", limit, is_in_force).await;
         fleet.store.list(&fleet.gamma.target, "draining");
         let gamma = fleet.gamma.target.id();
         let is_known = || alpha.targets.borrow().get(&gamma).is_none_or(|target| target.registration.draining);
-        fleet.serve_until("drain", longest, is_known).await;
-        fleet.turned_away.set_mode(Mode::Normal);
-        eventually("it reads the store again", || !alpha.store_access_lost.get()).await;
+        fleet.call_until("drain", limit, is_known).await;
+        fleet.store_of_alpha.set_mode(Mode::Normal);
+        eventually("alpha reads the store again", || !alpha.store_access_lost.get()).await;
     });
 }
 
 #[test_case(Mode::Status(503))]
 #[test_case(Mode::Reset)]
 #[test_case(Mode::Silent)]
-fn a_node_that_starts_while_it_is_turned_away_gets_the_view_of_others(mode: Mode) {
+fn a_node_that_starts_while_it_cannot_use_the_store_gets_the_data_of_others(mode: Mode) {
     run(async move {
         let fleet = Fleet::start(mode).await;
         let (address, target) = (fleet.alpha.address, fleet.alpha.target.address);
-        let Fleet { store, turned_away, alpha, beta, gamma } = fleet;
+        let Fleet { store, store_of_alpha, alpha, beta, gamma } = fleet;
         alpha.sidecar.stop().await;
-        let restarted = start_sidecar(address, "alpha", target, turned_away.address);
-        let begun = Instant::now();
+        let restarted = start_sidecar(address, "alpha", target, store_of_alpha.address);
+        let started = Instant::now();
         for number in 0.. {
             if restarted.node.is_ready() {
                 break;
             }
-            assert!(begun.elapsed() < Duration::from_secs(5), "it is not ready in time");
+            assert!(started.elapsed() < Duration::from_secs(5), "it is not ready in time");
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
             sleep(Duration::from_millis(20)).await;
@@ -103,21 +105,24 @@
 }
 
 #[test]
-fn a_target_whose_drain_is_known_gets_nothing_while_the_store_is_in_trouble() {
+fn a_draining_target_receives_no_calls_during_a_store_outage() {
     run(async {
         let fleet = Fleet::start(Mode::Normal).await;
         let (alpha, beta) = (&fleet.alpha, &fleet.beta);
         fleet.store.list(&alpha.target, "draining");
         let id = alpha.target.id();
-        let knows = |machine: &Machine| machine.node().targets.borrow().get(&id).unwrap().registration.draining;
-        eventually("all know", || knows(alpha) && knows(beta) && knows(&fleet.gamma)).await;
+        let knows_drain = |machine: &Machine| machine.node().targets.borrow().get(&id).unwrap().registration.draining;
+        eventually("all nodes have received the drain", || {
+            knows_drain(alpha) && knows_drain(beta) && knows_drain(&fleet.gamma)
+        })
+        .await;
         alpha.target.take_ran();
-        for store in [&fleet.store, &fleet.turned_away] {
+        for store in [&fleet.store, &fleet.store_of_alpha] {
             store.set_mode(Mode::Status(503));
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0.. {
-            if begun.elapsed() > Duration::from_secs(3) {
+            if started.elapsed() > Duration::from_secs(3) {
                 break;
             }
             for entry in [beta.outbound(), alpha.outbound()] {
@@ -126,12 +131,12 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(alpha.target.take_ran().len(), 0, "a view of the time before would have sent it calls");
+        assert_eq!(alpha.target.take_ran().len(), 0, "no node used a list from before the drain");
     });
 }
 
 #[test]
-fn requests_that_run_when_the_store_goes_are_answered() {
+fn calls_that_run_when_the_store_fails_are_answered() {
     run(async {
         let fleet = Fleet::start(Mode::Normal).await;
         for machine in [&fleet.alpha, &fleet.gamma] {
@@ -144,7 +149,7 @@
             })
             .collect();
         sleep(Duration::from_millis(100)).await;
-        for store in [&fleet.store, &fleet.turned_away] {
+        for store in [&fleet.store, &fleet.store_of_alpha] {
             store.set_mode(Mode::Reset);
         }
         for call in calls {
@@ -154,8 +159,9 @@
 }
 
 #[test]
-fn when_all_watches_hang_at_once_a_change_is_still_in_force_in_time() {
-    // Found on the users' bench (inc-1720): after an outage every watch hung, and nobody could tell the others.
+fn a_change_is_in_force_in_time_when_all_watches_hang_at_once() {
+    // Found on the users' test bench (inc-1720): after an outage every watch hung, so no node could send the change to
+    // the others.
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
@@ -163,8 +169,8 @@
         for service in ["alpha", "beta", "alpha", "beta", "alpha", "beta"] {
             machines.push(Machine::start(&store, service, 8).await);
         }
-        let knows_all = |machine: &Machine| machine.node().targets.borrow().len() == 6;
-        eventually("all are listed everywhere", || machines.iter().all(knows_all)).await;
+        let lists_all = |machine: &Machine| machine.node().targets.borrow().len() == 6;
+        eventually("all are listed everywhere", || machines.iter().all(lists_all)).await;
         sleep(Duration::from_millis(1000)).await;
         store.set_mode(Mode::Deaf);
         sleep(Duration::from_millis(100)).await;
@@ -176,7 +182,7 @@
             if machines.iter().all(is_in_force) {
                 break;
             }
-            assert!(written.elapsed() < BOUNDS.recovery, "not everywhere in time");
+            assert!(written.elapsed() < BOUNDS.recovery, "the change is not in force everywhere in time");
             for machine in &machines {
                 let answer = call(machine.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
                 assert_eq!(answer.status, 200);
--- a/crates/sidecar/tests/store.rs
+++ b/crates/sidecar/tests/store.rs
@@ -1,4 +1,4 @@
-//! A store in trouble, and nodes that are cut off from it.
+//! Failures of the store, and nodes that are partitioned from it.
 
 mod support;
 
@@ -16,7 +16,7 @@
 #[test_case(Mode::Status(429))]
 #[test_case(Mode::Status(503))]
 #[test_case(Mode::Silent)]
-fn a_store_in_trouble_changes_nothing_and_is_followed_again(mode: Mode) {
+fn an_outage_of_the_store_does_not_affect_calls_and_reads_resume_after_it(mode: Mode) {
     run(async move {
         let (store, _alpha, beta) = two_machines().await;
         let before = store.calls();
@@ -24,7 +24,7 @@
         sleep(Duration::from_millis(1200)).await;
         assert!(beta.node().is_ready());
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
-        assert!(store.calls() - before < 20, "two nodes ask {} times in 1.2 s", store.calls() - before);
+        assert!(store.calls() - before < 20, "two nodes make {} calls in 1.2 s", store.calls() - before);
         store.set_mode(Mode::Normal);
         store.configure(&document(6, "beta"));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn a_store_that_forgot_its_history_is_read_anew() {
+fn a_store_without_the_requested_history_is_listed_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(Mode::Forgetful);
         sleep(Duration::from_millis(100)).await;
         store.unlist(&alpha.target.id());
-        eventually("the gone target is noticed", || beta.node().targets.borrow().len() == 1).await;
+        eventually("the removal is received", || beta.node().targets.borrow().len() == 1).await;
         store.set_mode(Mode::Normal);
     });
 }
 
 #[test]
-fn a_list_of_several_pages_is_read_whole() {
+fn all_pages_of_a_list_are_read() {
     run(async {
         let store = StandInStore::start().await;
         store.set_page(1);
@@ -58,93 +58,93 @@
 }
 
 #[test]
-fn a_node_that_hears_of_a_newer_configuration_looks_at_once() {
+fn a_node_queries_a_peer_that_reports_a_later_position() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        // Beta's watch hangs on a silent connection; alpha's is answered.
+        // Beta's watch hangs on a connection without responses; alpha's is answered.
         store.set_mode(Mode::Silent);
         sleep(Duration::from_millis(100)).await;
         store.set_mode(Mode::Normal);
         store.configure(&document(6, "alpha"));
-        let begun = Instant::now();
+        let started = Instant::now();
         eventually("alpha has it", || alpha.node().configuration.borrow().version() == 6).await;
         call(beta.outbound(), &read("one")).await.expect("an answer");
         eventually("beta has it", || beta.node().configuration.borrow().version() == 6).await;
-        assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_node_whose_watch_hangs_learns_of_a_drain_from_what_others_tell() {
+fn a_node_whose_watch_hangs_receives_a_drain_from_its_peers() {
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
-        // Nodes that don't ask each other: only their calls tell.
-        let alone = Mechanisms::without("shared-reads").expect("a mechanism");
-        let alone = |settings| SidecarSettings { mechanisms: alone, ..settings };
-        let alpha = Machine::start_with(&store, "alpha", 8, alone).await;
-        let hanging = store.another_address().await;
-        let beta = Machine::start_with(&hanging, "beta", 8, alone).await;
+        // Without shared reads the nodes don't query each other periodically; only their calls carry positions.
+        let mechanisms = Mechanisms::without("shared-reads").expect("a mechanism");
+        let without_shared_reads = |settings| SidecarSettings { mechanisms, ..settings };
+        let alpha = Machine::start_with(&store, "alpha", 8, without_shared_reads).await;
+        let store_of_beta = store.another_address().await;
+        let beta = Machine::start_with(&store_of_beta, "beta", 8, without_shared_reads).await;
         eventually("both are listed at alpha", || alpha.node().targets.borrow().len() == 2).await;
-        hanging.set_mode(Mode::Deaf);
+        store_of_beta.set_mode(Mode::Deaf);
         sleep(Duration::from_millis(100)).await;
         store.list(&beta.target, "draining");
-        let begun = Instant::now();
-        eventually("alpha knows", || {
+        let started = Instant::now();
+        eventually("alpha has received the drain", || {
             alpha.node().targets.borrow().get(&beta.target.id()).unwrap().registration.draining
         })
         .await;
-        // The connection of the watch stays silent; a new one is answered.
-        hanging.set_mode(Mode::Normal);
+        // The watch's connection still gets no response; a new one does.
+        store_of_beta.set_mode(Mode::Normal);
         assert!(!beta.node().gate.borrow().is_closed());
         call(beta.outbound(), &read("one")).await.expect("an answer");
         eventually("beta's gate is closed", || beta.node().gate.borrow().is_closed()).await;
-        assert!(begun.elapsed() < support::BOUNDS.drain, "{:?}", begun.elapsed());
+        assert!(started.elapsed() < support::BOUNDS.drain, "{:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_watch_is_not_asked_again_and_again_for_a_change_that_it_does_not_have() {
+fn reports_of_a_position_that_the_store_does_not_have_cause_few_calls() {
     run(async {
         let (store, _alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1500)).await;
-        // Nodes of so small a fleet renew their watches often, which goes on meanwhile.
+        // The nodes of such a small fleet renew their watches often, and continue to do so during the test.
         let before = store.calls();
         sleep(Duration::from_secs(3)).await;
         let renewals = store.calls() - before;
         let before = store.calls();
         let position = quillhatch_mesh::replica::Position { era: 1, revision: 1_000_000 };
-        let unknown = quillhatch_sidecar::hop::StoreView { position, store_unreachable: false };
+        let later = quillhatch_sidecar::hop::StoreView { position, store_unreachable: false };
         for _ in 0..6 {
-            quillhatch_sidecar::store_view::record_peer_view(beta.node(), beta.address.into(), unknown);
+            quillhatch_sidecar::store_view::record_peer_view(beta.node(), beta.address.into(), later);
             sleep(Duration::from_millis(500)).await;
         }
         let calls = store.calls() - before;
-        assert!(calls <= renewals + 2, "{calls} calls, {renewals} without it");
+        assert!(calls <= renewals + 2, "{calls} calls, {renewals} without the reports");
     });
 }
 
 #[test]
-fn changes_that_keep_coming_are_gathered() {
+fn frequent_changes_are_batched() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1500)).await;
         let before = store.calls();
-        let begun = Instant::now();
+        let started = Instant::now();
         for version in 10..40 {
             store.configure(&document(version, "alpha"));
             sleep(Duration::from_millis(100)).await;
         }
         eventually("the last is in force", || beta.node().configuration.borrow().version() == 39).await;
         let calls = store.calls() - before;
-        assert!(calls <= 2 * 7, "{calls} calls of two nodes for 30 changes in 3 s");
-        assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
+        assert!(calls <= 2 * 7, "{calls} calls by two nodes for 30 changes in 3 s");
+        assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
         drop(alpha);
     });
 }
 
 #[test]
-fn a_node_that_starts_while_the_store_is_silent_gets_the_view_of_its_callers() {
+fn a_node_that_starts_while_the_store_does_not_respond_gets_the_data_of_nodes_that_call_it() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(Mode::Silent);
@@ -154,7 +154,7 @@
         assert!(!restarted.node.is_ready());
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!(answer.status, 200);
-        eventually("the restarted node has the view", || restarted.node.is_ready()).await;
+        eventually("the restarted node is ready", || restarted.node.is_ready()).await;
         assert_eq!(restarted.node.configuration.borrow().version(), 5);
         assert_eq!(restarted.node.targets.borrow().len(), 2);
         let own = call((address, OUTBOUND).into(), &read("two")).await.expect("an answer");
@@ -163,16 +163,16 @@
 }
 
 #[test]
-fn a_question_of_another_node_is_answered_or_refused_and_changes_nothing() {
+fn a_query_of_another_node_is_answered_or_refused_and_changes_nothing() {
     use quillhatch_messages::generated::replica::{Position, ReplicaQuestion};
     run(async {
         let (store, alpha, _beta) = two_machines().await;
         let path = quillhatch_sidecar::feed::FEED_PATH;
         let ahead =
             ReplicaQuestion { position: Some(Position { era: 9, revision: 1_000 }), hold_ms: 0, wants_kept: false };
-        for question in [ReplicaQuestion::default(), ahead] {
-            let question = quillhatch_messages::encode(&question);
-            assert_eq!(support::caller::post(alpha.inbound(), path, &question).await, 200);
+        for query in [ReplicaQuestion::default(), ahead] {
+            let query = quillhatch_messages::encode(&query);
+            assert_eq!(support::caller::post(alpha.inbound(), path, &query).await, 200);
         }
         assert_eq!(support::caller::post(alpha.inbound(), path, b"nonsense").await, 400);
         assert_eq!(alpha.node().configuration.borrow().version(), 5);
@@ -182,46 +182,47 @@
 }
 
 #[test]
-fn a_target_whose_machine_is_cut_off_from_the_store_serves_on_when_its_entry_runs_out() {
-    // Found on the users' bench: two of three targets of a service left the list while they served.
+fn a_target_whose_machine_is_partitioned_from_the_store_serves_after_its_registration_expires() {
+    // Found on the users' test bench: two of three targets of a service were removed from the list while they were
+    // serving.
     run(async {
         let store = StandInStore::start().await;
         store.configure(&document(5, "alpha"));
         let beta = Machine::start(&store, "beta", 8).await;
-        let cut = store.another_address().await;
-        let alpha = Machine::start(&cut, "alpha", 8).await;
+        let store_of_alpha = store.another_address().await;
+        let alpha = Machine::start(&store_of_alpha, "alpha", 8).await;
         eventually("both are listed at beta", || beta.node().targets.borrow().len() == 2).await;
-        cut.set_mode(Mode::Silent);
-        eventually("alpha is cut off", || {
-            let reach = quillhatch_sidecar::store_view::own_store_view(alpha.node());
-            reach.store_unreachable
+        store_of_alpha.set_mode(Mode::Silent);
+        eventually("alpha has detected the partition", || {
+            let view = quillhatch_sidecar::store_view::own_store_view(alpha.node());
+            view.store_unreachable
         })
         .await;
         assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
         store.unlist(&alpha.target.id());
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0.. {
-            if begun.elapsed() > Duration::from_secs(6) {
+            if started.elapsed() > Duration::from_secs(6) {
                 break;
             }
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200, "after {:?}", begun.elapsed());
+            assert_eq!(answer.status, 200, "after {:?}", started.elapsed());
             sleep(Duration::from_millis(50)).await;
         }
-        // The cut is over, and the target has written its entry again.
+        // The partition ends, and the target has registered again.
         store.list(&alpha.target, "ready");
-        cut.set_mode(Mode::Normal);
+        store_of_alpha.set_mode(Mode::Normal);
         sleep(Duration::from_millis(4500)).await;
         assert_eq!(call(beta.outbound(), &read("healed")).await.expect("an answer").status, 200);
-        // A target that leaves while its machine reads the store is left.
+        // A target whose registration ends while its machine can read the store is removed.
         store.unlist(&alpha.target.id());
-        eventually("it is left", || beta.node().targets.borrow().len() == 1).await;
+        eventually("it is removed", || beta.node().targets.borrow().len() == 1).await;
     });
 }
 
 #[test]
-fn targets_whose_entries_ran_out_while_the_store_was_down_are_kept_until_they_are_listed_again() {
-    // Found on the users' bench: when the store came back it listed one of twelve targets.
+fn targets_whose_registrations_expired_in_a_store_outage_are_retained_until_they_are_listed_again() {
+    // Found on the users' test bench: after an outage the store listed one of twelve targets.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(Mode::Status(503));
@@ -237,40 +238,44 @@
         store.list(&alpha.target, "ready");
         sleep(Duration::from_millis(4500)).await;
         let targets = || beta.node().targets.borrow().len();
-        eventually("the one that was not listed again is dropped", || targets() == 1).await;
+        eventually("the one that was not listed again is removed", || targets() == 1).await;
         assert_eq!(call(beta.outbound(), &read("after")).await.expect("an answer").status, 200);
     });
 }
 
 #[test]
-fn a_target_that_is_told_of_and_gone_in_one_answer_is_gone() {
-    // Found on the users' bench: changes of one target that were gathered listed it again.
+fn a_target_that_is_updated_and_removed_in_one_response_is_removed() {
+    // Found on the users' test bench: several changes of one target in one batch listed it again after its removal.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1500)).await;
         store.configure(&document(6, "alpha"));
-        eventually("the first change is taken", || beta.node().configuration.borrow().version() == 6).await;
-        // Beta gathers what follows.
+        eventually("the first change is received", || beta.node().configuration.borrow().version() == 6).await;
+        // Beta receives the following changes as one batch.
         store.list(&alpha.target, "ready");
         store.unlist(&alpha.target.id());
         store.configure(&document(7, "alpha"));
-        eventually("the others are taken", || beta.node().configuration.borrow().version() == 7).await;
+        eventually("the others are received", || beta.node().configuration.borrow().version() == 7).await;
         assert!(beta.node().targets.borrow().get(&alpha.target.id()).is_none());
     });
 }
 
 #[test]
-fn a_node_that_starts_reads_a_copy_that_lags_and_then_what_the_copy_lacks() {
+fn a_node_that_starts_reads_a_lagging_replica_of_the_store_and_then_the_missing_changes() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.freeze_copy();
         let gamma = Machine::start(&store, "alpha", 8).await;
         store.unlist(&alpha.target.id());
         store.configure(&document(6, "alpha"));
-        eventually("beta knows the changes", || beta.node().configuration.borrow().version() == 6).await;
+        eventually("beta has received the changes", || beta.node().configuration.borrow().version() == 6).await;
         let before = store.calls_to("/kv-range?prefix=&stale=1");
         let delta = Machine::start(&store, "beta", 8).await;
-        assert_eq!(delta.node().configuration.borrow().version(), 6, "it takes callers only with what the copy lacks");
+        assert_eq!(
+            delta.node().configuration.borrow().version(),
+            6,
+            "it accepts callers only after it has the changes that the replica lacks"
+        );
         assert!(delta.node().targets.borrow().get(&alpha.target.id()).is_none());
         assert!(delta.node().targets.borrow().get(&gamma.target.id()).is_some());
         assert_eq!(store.calls_to("/kv-range?prefix=&stale=1"), before + 1);
@@ -278,20 +283,20 @@
 }
 
 #[test]
-fn a_node_whose_copy_lags_behind_the_history_reads_the_store_itself() {
+fn a_node_that_read_a_replica_older_than_the_history_lists_the_store_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.freeze_copy();
         store.configure(&document(6, "alpha"));
         store.set_mode(Mode::Forgetful);
         let gamma = Machine::start(&store, "alpha", 8).await;
-        eventually("it reads the store itself", || gamma.node().configuration.borrow().version() == 6).await;
+        eventually("it has listed the current data", || gamma.node().configuration.borrow().version() == 6).await;
         drop((alpha, beta));
     });
 }
 
 #[test]
-fn a_store_whose_changes_cannot_be_read_is_read_anew() {
+fn a_store_whose_changes_cannot_be_parsed_is_listed_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(Mode::Garbled);
@@ -318,24 +323,24 @@
 }
 
 #[test]
-fn a_long_outage_costs_few_calls_and_is_over_soon_after_its_end() {
+fn a_long_outage_causes_few_calls_and_nodes_recover_soon_after_it() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(Mode::Status(503));
         let before = store.calls();
         sleep(Duration::from_secs(8)).await;
         let calls = store.calls() - before;
-        assert!(calls <= 2 * 14, "{calls} calls of two nodes in 8 s");
+        assert!(calls <= 2 * 14, "{calls} calls by two nodes in 8 s");
         store.set_mode(Mode::Normal);
-        let returned = Instant::now();
-        let is_back = |machine: &Machine| machine.node().feed.store_loss.get().since().is_none();
-        eventually("both read the store again", || is_back(&alpha) && is_back(&beta)).await;
-        assert!(returned.elapsed() < support::BOUNDS.recovery, "{:?}", returned.elapsed());
+        let outage_end = Instant::now();
+        let has_recovered = |machine: &Machine| machine.node().feed.store_loss.get().since().is_none();
+        eventually("both read the store again", || has_recovered(&alpha) && has_recovered(&beta)).await;
+        assert!(outage_end.elapsed() < support::BOUNDS.recovery, "{:?}", outage_end.elapsed());
     });
 }
 
 #[test]
-fn a_target_whose_registration_ran_out_in_an_outage_is_kept_until_it_may_have_registered_again() {
+fn a_target_whose_registration_expired_in_an_outage_is_retained_until_it_could_register_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let others = [Machine::start(&store, "beta", 8).await, Machine::start(&store, "beta", 8).await];
@@ -346,10 +351,13 @@
         store.set_mode(Mode::Normal);
         eventually("the store is read", || beta.node().feed.store_loss.get().since().is_none()).await;
         let read_at = Instant::now();
-        assert_eq!(call(beta.outbound(), &read("kept")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("retained")).await.expect("an answer").status, 200);
         eventually("it did not register again", || beta.node().targets.borrow().len() == 3).await;
-        let kept = read_at.elapsed();
-        assert!(kept > Duration::from_millis(1500) && kept < Duration::from_millis(2500), "{kept:?}");
+        let retained_for = read_at.elapsed();
+        assert!(
+            retained_for > Duration::from_millis(1500) && retained_for < Duration::from_millis(2500),
+            "{retained_for:?}"
+        );
         drop(others);
     });
 }
