--- a/crates/mesh/tests/decisions/authentication.rs
+++ b/crates/mesh/tests/decisions/authentication.rs
@@ -1,4 +1,4 @@
-//! Who may send a call.
+//! The authentication of calls.
 
 use std::sync::Arc;
 
@@ -28,18 +28,18 @@
 }
 
 #[test_case(Some(b"right"), true => Ok("first".to_owned()); "a known key")]
-#[test_case(Some(b"right"), false => Err(Denial::StaleConfiguration); "a known key that may have been taken away")]
+#[test_case(Some(b"right"), false => Err(Denial::StaleConfiguration); "a known key that may have been revoked")]
 #[test_case(Some(b"wrong"), true => Err(Denial::UnknownKey); "an unknown key")]
 #[test_case(Some(b"wrong"), false => Err(Denial::StaleConfiguration); "an unknown key that may be new")]
 #[test_case(Some(b""), true => Err(Denial::UnknownKey); "an empty key")]
 #[test_case(None, true => Err(Denial::NoKey); "no key")]
-#[test_case(None, false => Err(Denial::NoKey); "no key and an old configuration")]
-fn a_callers_call_needs_a_key(key: Option<&[u8]>, is_fresh: bool) -> Result<String, Denial> {
+#[test_case(None, false => Err(Denial::NoKey); "no key and a stale configuration")]
+fn calls_of_callers_need_a_key(key: Option<&[u8]>, is_fresh: bool) -> Result<String, Denial> {
     outcome(key, false, false, is_fresh)
 }
 
 #[test]
-fn calls_of_the_target_go_on_without_a_key_also_with_an_old_configuration() {
+fn calls_of_the_target_need_no_key_even_with_a_stale_configuration() {
     for is_fresh in [false, true] {
         assert_eq!(outcome(None, true, false, is_fresh), Ok("target".to_owned()));
     }
--- a/crates/mesh/tests/decisions/freshness.rs
+++ b/crates/mesh/tests/decisions/freshness.rs
@@ -1,4 +1,4 @@
-//! For how long a configuration is taken for the newest one.
+//! How long a configuration is assumed to be the newest one.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::milliseconds;
 
 const REVOCATION: Duration = Duration::from_secs(5);
-/// The lease: the bound without the time in which watches may say nothing, and one part in a hundred less.
+/// The duration of the lease: the bound less the maximum lag of a watch, reduced by one hundredth for clock drift.
 const LEASE_MS: u64 = 3960;
 
 fn lease() -> FreshnessLease {
@@ -16,35 +16,35 @@
 }
 
 #[test]
-fn without_a_bound_it_never_ends() {
+fn without_a_bound_it_never_expires() {
     let lease = FreshnessLease::new(None, 0.0);
     assert!(lease.is_valid(milliseconds(1_000_000)));
     assert_eq!(lease.renew_in(milliseconds(0)), None);
 }
 
 #[test]
-fn a_node_that_has_read_nothing_believes_no_key() {
+fn a_node_that_has_read_nothing_accepts_no_key() {
     assert!(!lease().is_valid(milliseconds(0)));
     assert_eq!(lease().renew_in(milliseconds(0)), Some(Duration::ZERO));
 }
 
 #[test]
-fn it_counts_from_when_the_read_was_sent() {
+fn it_starts_when_the_read_was_sent() {
     let mut lease = lease();
     lease.record_read(milliseconds(1000));
     assert!(lease.is_valid(milliseconds(1000 + LEASE_MS - 1)));
     assert!(!lease.is_valid(milliseconds(1000 + LEASE_MS)));
     lease.record_read(milliseconds(500));
-    assert!(lease.is_valid(milliseconds(1000 + LEASE_MS - 1)), "an older read takes nothing away");
+    assert!(lease.is_valid(milliseconds(1000 + LEASE_MS - 1)), "an older read does not shorten the lease");
 }
 
 #[test_case(7, 7, true; "the same configuration")]
-#[test_case(8, 7, true; "a newer one than the other knew")]
-#[test_case(6, 7, false; "an older one: the other one's proof says nothing of it")]
-#[test_case(0, 0, false; "none")]
-fn the_word_of_another_node_counts_for_its_configuration(own: u64, told: u64, counts: bool) {
+#[test_case(8, 7, true; "a newer one than that of the other node")]
+#[test_case(6, 7, false; "an older one, which the proof is not about")]
+#[test_case(0, 0, false; "no configuration")]
+fn the_proof_of_another_node_counts_only_for_its_configuration(own: u64, proved: u64, counts: bool) {
     let mut lease = lease();
-    lease.record_proof(FreshnessProof { version: told, age_at_arrival_ms: 200 }, own, milliseconds(10_000));
+    lease.record_proof(FreshnessProof { version: proved, age_at_arrival_ms: 200 }, own, milliseconds(10_000));
     assert_eq!(lease.is_valid(milliseconds(10_001)), counts);
 }
 
@@ -52,7 +52,7 @@
 fn ages_add_up_over_hops() {
     let (mut first, mut second, mut third) = (lease(), lease(), lease());
     first.record_read(milliseconds(10_000));
-    // The clocks of the three start at other moments. Each call takes 40 ms to arrive and lasts 500 ms.
+    // The clocks of the three nodes start at different times. Each call takes 40 ms to arrive and lasts 500 ms.
     let proof = first.proof(4, milliseconds(10_700)).expect("a proof");
     assert_eq!(proof.age_at_arrival_ms, 701);
     second.record_proof(proof, 4, milliseconds(20_660));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_proof_that_was_made_after_the_call_arrived_has_a_negative_age() {
+fn a_proof_made_after_the_call_arrived_has_a_negative_age() {
     let (mut first, mut second) = (lease(), lease());
     first.record_read(milliseconds(10_000));
     let proof = first.proof(4, milliseconds(9_000)).expect("a proof");
@@ -77,13 +77,13 @@
     let mut lease = lease();
     lease.record_proof(FreshnessProof { version: 4, age_at_arrival_ms: 3900 }, 4, milliseconds(100));
     assert!(lease.is_valid(milliseconds(159)));
-    assert!(!lease.is_valid(milliseconds(160)), "the clock has no moment that is 3.8 s before its start");
+    assert!(!lease.is_valid(milliseconds(160)), "3.8 s before its start, the clock has no time");
 }
 
 #[test]
-fn nodes_renew_before_the_lease_ends_and_not_all_at_once() {
-    for draw in [0.0, 0.5, 1.0] {
-        let mut lease = FreshnessLease::new(Some(REVOCATION), draw);
+fn nodes_renew_before_the_lease_expires_and_at_different_times() {
+    for jitter in [0.0, 0.5, 1.0] {
+        let mut lease = FreshnessLease::new(Some(REVOCATION), jitter);
         lease.record_read(milliseconds(0));
         let at = lease.renew_in(milliseconds(0)).expect("a bound").as_millis() as u64;
         assert!((LEASE_MS / 2..LEASE_MS * 9 / 10).contains(&at), "{at}");
--- a/crates/mesh/tests/decisions/main.rs
+++ b/crates/mesh/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Decisions one by one, a module for each subject.
+//! Unit tests of the decisions, one module per subject.
 
 mod authentication;
 mod balance;
--- a/crates/mesh/tests/decisions/mechanisms.rs
+++ b/crates/mesh/tests/decisions/mechanisms.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that are switched off.
+//! Switching off mechanisms.
 
 use quillhatch_mesh::mechanisms::{Mechanism, Mechanisms};
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn several_are_named_with_commas_and_unknown_ones_are_said() {
+fn several_mechanisms_are_separated_by_commas_and_unknown_names_are_reported() {
     let mechanisms = Mechanisms::without("repeats, entry-cut").expect("known names");
     assert_eq!(mechanisms.names_off(), "entry-cut,repeats");
     let error = Mechanisms::without("repeats,hedges").expect_err("an unknown name").to_string();
--- a/crates/mesh/tests/decisions/replica.rs
+++ b/crates/mesh/tests/decisions/replica.rs
@@ -1,4 +1,4 @@
-//! What a replica of the store takes over and tells, within an era and across.
+//! The updates that a replica of the store applies and creates, within an era and across eras.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     Position { era, revision }
 }
 
-fn written(started: u64, sequence: u64, draining: bool) -> Registration {
+fn registered(started: u64, sequence: u64, draining: bool) -> Registration {
     Registration { started, sequence, draining, ..registration("alpha", "10.0.0.1:80", "a") }
 }
 
@@ -24,24 +24,24 @@
     RevisedChange { revision, change: Change::Target(Arc::from(id), registration) }
 }
 
-fn gone(revision: u64, id: &str) -> RevisedChange {
+fn removed(revision: u64, id: &str) -> RevisedChange {
     RevisedChange { revision, change: Change::TargetRemoved(Arc::from(id)) }
 }
 
-fn configured(revision: u64, version: u64) -> RevisedChange {
+fn configuration_change(revision: u64, version: u64) -> RevisedChange {
     let configuration = Configuration { version, ..Configuration::default() };
     RevisedChange { revision, change: Change::Configuration(Arc::new(configuration)) }
 }
 
-fn whole(position: Position, changes: Vec<RevisedChange>) -> Update {
+fn full(position: Position, changes: Vec<RevisedChange>) -> Update {
     Update { scope: UpdateScope::Full, position, changes }
 }
 
-fn after(from: Position, position: Position, changes: Vec<RevisedChange>) -> Update {
+fn changes_after(from: Position, position: Position, changes: Vec<RevisedChange>) -> Update {
     Update { scope: UpdateScope::After(from), position, changes }
 }
 
-fn names(changes: &[Change]) -> Vec<String> {
+fn summary(changes: &[Change]) -> Vec<String> {
     let name = |change: &Change| match change {
         Change::Target(id, _) => format!("+{id}"),
         Change::TargetRemoved(id) => format!("-{id}"),
@@ -60,114 +60,126 @@
 /// A replica with two targets and a configuration, at revision 10 of era 3.
 fn replica() -> Replica {
     let mut replica = Replica::default();
-    let changes = vec![configured(4, 7), listed(8, "a", written(1, 1, false)), listed(9, "b", written(1, 1, false))];
-    replica.apply(whole(at(3, 10), changes), NOW).expect("the first update is taken");
+    let changes = vec![
+        configuration_change(4, 7),
+        listed(8, "a", registered(1, 1, false)),
+        listed(9, "b", registered(1, 1, false)),
+    ];
+    replica.apply(full(at(3, 10), changes), NOW).expect("the first update applies");
     replica
 }
 
 #[test]
-fn differences_lead_another_replica_to_the_same_place() {
+fn differences_bring_another_replica_to_the_same_state() {
     let mut ahead = replica();
     let mut behind = replica();
-    let changes = vec![listed(11, "c", written(1, 1, false)), gone(12, "a"), configured(13, 8)];
-    ahead.apply(after(at(3, 10), at(3, 13), changes), NOW).expect("it fits");
-    let update = ahead.update_since(behind.position(), NOW).expect("there is something new");
+    let changes = vec![listed(11, "c", registered(1, 1, false)), removed(12, "a"), configuration_change(13, 8)];
+    ahead.apply(changes_after(at(3, 10), at(3, 13), changes), NOW).expect("it applies");
+    let update = ahead.update_since(behind.position(), NOW).expect("an update");
     assert_eq!(update.scope, UpdateScope::After(at(3, 10)));
     assert_eq!(update.changes.len(), 3, "only what has changed: {update:?}");
-    let learnt = behind.apply(update, NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), ["+c", "-a", "v8"]);
+    let applied = behind.apply(update, NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), ["+c", "-a", "v8"]);
     assert_eq!(behind.position(), ahead.position());
     assert_eq!(ids(&behind), ["b", "c"]);
     assert_eq!(ahead.update_since(behind.position(), NOW), None);
 }
 
 #[test]
-fn one_that_knows_nothing_gets_everything() {
-    let update = replica().update_since(Position::default(), NOW).expect("everything");
+fn an_empty_replica_gets_a_full_update() {
+    let update = replica().update_since(Position::default(), NOW).expect("a full update");
     assert_eq!(update.scope, UpdateScope::Full);
     let mut new = Replica::default();
-    assert_eq!(names(&new.apply(update, NOW).expect("it fits").changes), ["v7", "+a", "+b"]);
+    assert_eq!(summary(&new.apply(update, NOW).expect("it applies").changes), ["v7", "+a", "+b"]);
 }
 
 #[test]
-fn one_that_is_further_behind_than_is_remembered_gets_everything() {
+fn a_replica_that_is_behind_the_discarded_revision_gets_a_full_update() {
     let replica = replica();
-    let update = replica.update_since(at(3, 5), NOW).expect("something new");
-    assert_eq!(update.scope, UpdateScope::Full, "what went between revisions 5 and 10 is not known");
+    let update = replica.update_since(at(3, 5), NOW).expect("an update");
+    assert_eq!(update.scope, UpdateScope::Full, "the entries removed between revisions 5 and 10 are unknown");
 }
 
 #[test]
-fn what_went_is_told_until_it_is_forgotten() {
+fn removed_entries_are_sent_until_they_are_discarded() {
     let mut replica = replica();
     for number in 0..3_000_u64 {
         let position = replica.position();
         let revision = position.revision + 2;
         let id = format!("short-{number}");
-        let changes = vec![listed(revision - 1, &id, written(1, 1, false)), gone(revision, &id)];
-        replica.apply(after(position, at(3, revision), changes), NOW).expect("it fits");
+        let changes = vec![listed(revision - 1, &id, registered(1, 1, false)), removed(revision, &id)];
+        replica.apply(changes_after(position, at(3, revision), changes), NOW).expect("it applies");
     }
     let end = replica.position().revision;
-    assert_eq!(replica.update_since(at(3, end - 100), NOW).expect("new").scope, UpdateScope::After(at(3, end - 100)));
-    assert_eq!(replica.update_since(at(3, 10), NOW).expect("new").scope, UpdateScope::Full);
+    assert_eq!(
+        replica.update_since(at(3, end - 100), NOW).expect("an update").scope,
+        UpdateScope::After(at(3, end - 100))
+    );
+    assert_eq!(replica.update_since(at(3, 10), NOW).expect("an update").scope, UpdateScope::Full);
 }
 
 #[test]
-fn a_slow_start_is_told_with_what_is_left_of_it() {
+fn the_remaining_time_of_a_slow_start_is_sent() {
     let mut replica = Replica::default();
-    let cold = Registration { cold_for: Duration::from_secs(3), ..written(1, 1, false) };
-    replica.apply(whole(at(0, 5), vec![listed(5, "a", cold)]), NOW).expect("it fits");
-    let update = replica.update_since(Position::default(), NOW + Duration::from_secs(1)).expect("everything");
-    let Change::Target(_, told) = &update.changes[0].change else { panic!("{update:?}") };
-    assert_eq!(told.cold_for, Duration::from_secs(2));
+    let cold = Registration { cold_for: Duration::from_secs(3), ..registered(1, 1, false) };
+    replica.apply(full(at(0, 5), vec![listed(5, "a", cold)]), NOW).expect("it applies");
+    let update = replica.update_since(Position::default(), NOW + Duration::from_secs(1)).expect("a full update");
+    let Change::Target(_, sent) = &update.changes[0].change else { panic!("{update:?}") };
+    assert_eq!(sent.cold_for, Duration::from_secs(2));
 }
 
 #[test]
-fn an_update_that_is_older_or_does_not_fit_changes_nothing() {
+fn an_update_that_is_outdated_or_has_a_gap_changes_nothing() {
     let mut replica = replica();
-    assert_eq!(replica.apply(whole(at(3, 9), vec![]), NOW), Err(UpdateError::Outdated));
-    assert_eq!(replica.apply(whole(at(2, 99), vec![]), NOW), Err(UpdateError::Outdated), "of an earlier era");
-    assert_eq!(replica.apply(after(at(3, 12), at(3, 14), vec![]), NOW), Err(UpdateError::Gap));
-    assert_eq!(replica.apply(after(at(4, 1), at(4, 14), vec![]), NOW), Err(UpdateError::Gap), "of another era");
+    assert_eq!(replica.apply(full(at(3, 9), vec![]), NOW), Err(UpdateError::Outdated));
+    assert_eq!(replica.apply(full(at(2, 99), vec![]), NOW), Err(UpdateError::Outdated), "of an earlier era");
+    assert_eq!(replica.apply(changes_after(at(3, 12), at(3, 14), vec![]), NOW), Err(UpdateError::Gap));
+    assert_eq!(replica.apply(changes_after(at(4, 1), at(4, 14), vec![]), NOW), Err(UpdateError::Gap), "of another era");
     assert_eq!(ids(&replica), ["a", "b"]);
     assert_eq!(replica.position(), at(3, 10));
 }
 
 #[test]
-fn overlapping_differences_count_once() {
+fn overlapping_changes_count_once() {
     let mut replica = replica();
-    let change = listed(11, "c", written(1, 1, false));
-    replica.apply(after(at(3, 10), at(3, 11), vec![change.clone()]), NOW).expect("it fits");
-    let learnt = replica.apply(after(at(3, 10), at(3, 12), vec![change, gone(12, "b")]), NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), ["-b"]);
+    let change = listed(11, "c", registered(1, 1, false));
+    replica.apply(changes_after(at(3, 10), at(3, 11), vec![change.clone()]), NOW).expect("it applies");
+    let applied =
+        replica.apply(changes_after(at(3, 10), at(3, 12), vec![change, removed(12, "b")]), NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), ["-b"]);
 }
 
 #[test]
-fn what_everything_does_not_name_is_gone() {
+fn entries_that_a_full_update_lacks_are_removed() {
     let mut replica = replica();
-    let learnt = replica.apply(whole(at(3, 20), vec![listed(9, "b", written(1, 1, false))]), NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), ["-a"]);
-    assert!(!learnt.is_new_era);
+    let applied =
+        replica.apply(full(at(3, 20), vec![listed(9, "b", registered(1, 1, false))]), NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), ["-a"]);
+    assert!(!applied.is_new_era);
 }
 
 #[test]
-fn a_new_era_goes_before_any_revision_of_the_former() {
+fn a_new_era_is_later_than_any_revision_of_the_previous_one() {
     let mut replica = replica();
-    let copy = vec![configured(2, 6), listed(3, "a", written(1, 1, false))];
-    let learnt = replica.apply(whole(at(4, 3), copy), NOW).expect("a later era");
-    assert!(learnt.is_new_era);
-    assert_eq!(names(&learnt.changes), ["-b"], "the copy lacks it, and its configuration is older");
-    // Revisions are given out again.
-    let again = vec![listed(4, "b", written(1, 2, false)), configured(5, 8)];
-    let learnt = replica.apply(after(at(4, 3), at(4, 5), again), NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), ["+b", "v8"]);
-    assert_eq!(replica.apply(after(at(3, 10), at(3, 40), vec![gone(40, "a")]), NOW), Err(UpdateError::Outdated));
+    let copy = vec![configuration_change(2, 6), listed(3, "a", registered(1, 1, false))];
+    let applied = replica.apply(full(at(4, 3), copy), NOW).expect("a later era");
+    assert!(applied.is_new_era);
+    assert_eq!(summary(&applied.changes), ["-b"], "the copy lacks it, and its configuration is older");
+    // The restored store assigns the same revisions again.
+    let again = vec![listed(4, "b", registered(1, 2, false)), configuration_change(5, 8)];
+    let applied = replica.apply(changes_after(at(4, 3), at(4, 5), again), NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), ["+b", "v8"]);
+    assert_eq!(
+        replica.apply(changes_after(at(3, 10), at(3, 40), vec![removed(40, "a")]), NOW),
+        Err(UpdateError::Outdated)
+    );
 }
 
 #[test]
-fn an_acknowledged_configuration_is_told_on_though_the_copy_lacks_it() {
+fn an_acknowledged_configuration_is_still_sent_if_the_restored_copy_lacks_it() {
     let mut replica = replica();
-    replica.apply(whole(at(4, 3), vec![configured(2, 6)]), NOW).expect("a later era");
-    let update = replica.update_since(Position::default(), NOW).expect("everything");
+    replica.apply(full(at(4, 3), vec![configuration_change(2, 6)]), NOW).expect("a later era");
+    let update = replica.update_since(Position::default(), NOW).expect("a full update");
     let versions: Vec<u64> = update
         .changes
         .iter()
@@ -180,52 +192,53 @@
 }
 
 #[test]
-fn a_copy_does_not_bring_back_what_drains_or_has_left() {
+fn a_restored_copy_revives_neither_draining_nor_removed_targets() {
     let mut replica = replica();
-    let changes = vec![listed(11, "a", written(1, 2, true)), gone(12, "b")];
-    replica.apply(after(at(3, 10), at(3, 12), changes), NOW).expect("it fits");
-    let copy = vec![listed(8, "a", written(1, 1, false)), listed(9, "b", written(1, 1, false))];
-    let learnt = replica.apply(whole(at(4, 10), copy), NOW).expect("a later era");
-    assert_eq!(names(&learnt.changes), Vec::<String>::new());
-    assert_eq!(ids(&replica), ["a"], "b has left");
-    let update = replica.update_since(Position::default(), NOW).expect("everything");
-    let Change::Target(_, told) = &update.changes[0].change else { panic!("{update:?}") };
-    assert!(told.draining, "a still drains");
-    // Whoever lives writes again.
-    let learnt = replica.apply(after(at(4, 10), at(4, 11), vec![listed(11, "b", written(1, 2, false))]), NOW);
-    assert_eq!(names(&learnt.expect("it fits").changes), ["+b"]);
+    let changes = vec![listed(11, "a", registered(1, 2, true)), removed(12, "b")];
+    replica.apply(changes_after(at(3, 10), at(3, 12), changes), NOW).expect("it applies");
+    let copy = vec![listed(8, "a", registered(1, 1, false)), listed(9, "b", registered(1, 1, false))];
+    let applied = replica.apply(full(at(4, 10), copy), NOW).expect("a later era");
+    assert_eq!(summary(&applied.changes), Vec::<String>::new());
+    assert_eq!(ids(&replica), ["a"], "b was removed");
+    let update = replica.update_since(Position::default(), NOW).expect("a full update");
+    let Change::Target(_, sent) = &update.changes[0].change else { panic!("{update:?}") };
+    assert!(sent.draining, "a still drains");
+    // A target that still runs writes its registration again.
+    let applied =
+        replica.apply(changes_after(at(4, 10), at(4, 11), vec![listed(11, "b", registered(1, 2, false))]), NOW);
+    assert_eq!(summary(&applied.expect("it applies").changes), ["+b"]);
 }
 
 #[test]
-fn a_later_life_goes_before_late_writes_of_the_earlier() {
+fn a_restarted_target_overrides_late_writes_from_before_the_restart() {
     let mut replica = replica();
-    let changes = vec![listed(11, "a", written(5, 1, false)), listed(12, "a", written(1, 9, true))];
-    let learnt = replica.apply(after(at(3, 10), at(3, 12), changes), NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), ["+a"]);
-    let update = replica.update_since(at(3, 10), NOW).expect("something new");
-    let Change::Target(_, told) = &update.changes[0].change else { panic!("{update:?}") };
-    assert_eq!((told.started, told.draining), (5, false));
+    let changes = vec![listed(11, "a", registered(5, 1, false)), listed(12, "a", registered(1, 9, true))];
+    let applied = replica.apply(changes_after(at(3, 10), at(3, 12), changes), NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), ["+a"]);
+    let update = replica.update_since(at(3, 10), NOW).expect("an update");
+    let Change::Target(_, sent) = &update.changes[0].change else { panic!("{update:?}") };
+    assert_eq!((sent.started, sent.draining), (5, false));
 }
 
 #[test]
-fn a_target_that_left_comes_back_with_a_later_life_only() {
+fn a_removed_target_is_listed_again_only_after_a_restart() {
     let mut replica = replica();
-    replica.apply(after(at(3, 10), at(3, 11), vec![gone(11, "a")]), NOW).expect("it fits");
-    let earlier = vec![listed(12, "a", written(0, 9, false))];
-    let learnt = replica.apply(after(at(3, 11), at(3, 12), earlier), NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), Vec::<String>::new(), "a late write of an earlier life");
-    let later = vec![listed(13, "a", written(2, 1, false))];
-    let learnt = replica.apply(after(at(3, 12), at(3, 13), later), NOW).expect("it fits");
-    assert_eq!(names(&learnt.changes), ["+a"]);
+    replica.apply(changes_after(at(3, 10), at(3, 11), vec![removed(11, "a")]), NOW).expect("it applies");
+    let earlier = vec![listed(12, "a", registered(0, 9, false))];
+    let applied = replica.apply(changes_after(at(3, 11), at(3, 12), earlier), NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), Vec::<String>::new(), "a late write from before the restart");
+    let later = vec![listed(13, "a", registered(2, 1, false))];
+    let applied = replica.apply(changes_after(at(3, 12), at(3, 13), later), NOW).expect("it applies");
+    assert_eq!(summary(&applied.changes), ["+a"]);
 }
 
 #[test]
-fn an_entry_that_became_unusable_names_no_target() {
+fn an_entry_that_became_unusable_lists_no_target() {
     let mut replica = replica();
-    let odd = RevisedChange { revision: 11, change: Change::UnusableTarget("a".into(), "no slots".to_owned()) };
-    replica.apply(after(at(3, 10), at(3, 11), vec![odd]), NOW).expect("it fits");
+    let unusable = RevisedChange { revision: 11, change: Change::UnusableTarget("a".into(), "no slots".to_owned()) };
+    replica.apply(changes_after(at(3, 10), at(3, 11), vec![unusable]), NOW).expect("it applies");
     assert_eq!(ids(&replica), ["b"]);
-    let update = replica.update_since(at(3, 10), NOW).expect("something new");
+    let update = replica.update_since(at(3, 10), NOW).expect("an update");
     let changes: Vec<Change> = update.changes.into_iter().map(|revised| revised.change).collect();
-    assert_eq!(names(&changes), ["-a"], "the others learn it as gone");
+    assert_eq!(summary(&changes), ["-a"], "it is sent to others as removed");
 }
--- a/crates/mesh/tests/decisions/store_reader.rs
+++ b/crates/mesh/tests/decisions/store_reader.rs
@@ -1,4 +1,4 @@
-//! What is read of the platform's store next, and when.
+//! Which read of the platform's store is next, and when.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use quillhatch_mesh::settings::Bounds;
 use quillhatch_mesh::store_reader::{may_have_expired, reregistration_timeout, NextRead, StoreReader};
 
-/// Longer than those of the other decisions: a watch has its full length.
+/// Longer bounds than those of the other tests, so that they do not shorten the timeout of a watch.
 const BOUNDS: Bounds = Bounds {
     drain: Duration::from_secs(3),
     apply: Duration::from_secs(3),
@@ -20,67 +20,67 @@
 }
 
 #[test]
-fn after_an_outage_the_changes_are_followed_from_where_the_view_stands() {
+fn after_an_outage_the_watch_continues_from_the_position_of_the_view() {
     let mut reader = StoreReader::default();
     assert_eq!(reader.next(Position::default()), NextRead::StaleList);
     reader.read_failed(false, &BOUNDS);
-    assert_eq!(reader.next(Position::default()), NextRead::StaleList, "nothing was read yet");
+    assert_eq!(reader.next(Position::default()), NextRead::StaleList, "nothing has been read yet");
     reader.read_succeeded();
     reader.read_failed(true, &BOUNDS);
     assert_eq!(reader.next(at(40)), NextRead::Watch { after: 40 });
     reader.read_succeeded();
-    assert_eq!(reader.next(at(47)), NextRead::Watch { after: 47 }, "others may have told of it");
+    assert_eq!(reader.next(at(47)), NextRead::Watch { after: 47 }, "other nodes may have sent later changes");
 }
 
 #[test]
-fn everything_is_read_again_where_the_changes_in_between_are_not_to_be_had() {
+fn everything_is_listed_again_if_the_store_lacks_the_changes_in_between() {
     let mut reader = StoreReader::default();
     reader.read_succeeded();
     reader.history_lost();
     assert_eq!(reader.next(at(40)), NextRead::List);
     reader.read_failed(true, &BOUNDS);
-    assert_eq!(reader.next(at(40)), NextRead::List, "it was not read yet");
+    assert_eq!(reader.next(at(40)), NextRead::List, "it has not been listed yet");
     reader.read_succeeded();
     assert_eq!(reader.next(at(50)), NextRead::Watch { after: 50 });
 }
 
 #[test]
-fn a_node_with_a_view_asks_a_store_in_trouble_seldom_and_soon_enough() {
+fn a_node_with_a_view_retries_a_failing_store_rarely_but_soon_enough() {
     let mut reader = StoreReader::default();
     reader.read_succeeded();
     let pauses: Vec<Duration> = (0..12).map(|_| reader.read_failed(true, &BOUNDS)).collect();
-    assert_eq!(pauses[0], Duration::from_millis(100), "a single failure is tried again at once");
+    assert_eq!(pauses[0], Duration::from_millis(100), "a single failure is retried soon");
     assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]));
-    let longest = *pauses.last().expect("pauses");
-    assert_eq!(longest, Duration::from_secs(2));
-    assert!(longest + Duration::from_secs(1) < BOUNDS.recovery, "the view is whole before bounds hold again");
+    let max_pause = *pauses.last().expect("pauses");
+    assert_eq!(max_pause, Duration::from_secs(2));
+    assert!(max_pause + Duration::from_secs(1) < BOUNDS.recovery, "the view is complete within the recovery time");
     reader.read_succeeded();
-    assert_eq!(reader.read_failed(true, &BOUNDS), Duration::from_millis(100), "counted anew");
+    assert_eq!(reader.read_failed(true, &BOUNDS), Duration::from_millis(100), "the backoff starts anew");
 }
 
 #[test]
-fn a_node_that_knows_nothing_asks_more_often() {
+fn a_node_without_a_view_retries_more_often() {
     let mut reader = StoreReader::default();
-    let longest = (0..12).map(|_| reader.read_failed(false, &BOUNDS)).max();
-    assert_eq!(longest, Some(Duration::from_millis(800)));
+    let max_pause = (0..12).map(|_| reader.read_failed(false, &BOUNDS)).max();
+    assert_eq!(max_pause, Some(Duration::from_millis(800)));
 }
 
 #[test]
-fn a_single_failed_call_is_no_outage_in_which_registrations_run_out() {
-    assert!(!may_have_expired(Duration::from_millis(250)), "a failed call and the pause behind it");
+fn registrations_do_not_expire_during_a_single_failed_call() {
+    assert!(!may_have_expired(Duration::from_millis(250)), "a failed call and the pause after it");
     assert!(may_have_expired(Duration::from_millis(800)), "an outage that was noticed late");
 }
 
 #[test]
-fn a_watch_that_hangs_is_noticed_before_bounds_hold_again() {
+fn a_watch_that_hangs_is_noticed_within_the_recovery_time() {
     assert!(watch_timeout(&BOUNDS) < BOUNDS.recovery / 2, "{:?}", watch_timeout(&BOUNDS));
     let revoking = Bounds { revocation: Some(Duration::from_secs(5)), ..BOUNDS };
     assert!(watch_timeout(&revoking) < Duration::from_secs(1), "{:?}", watch_timeout(&revoking));
 }
 
 #[test]
-fn what_an_older_copy_lacks_has_the_time_of_a_heartbeat_to_be_written_again() {
+fn targets_that_a_restored_copy_lacks_have_a_heartbeat_to_register_again() {
     assert!(reregistration_timeout(&BOUNDS) > BOUNDS.heartbeat);
-    let slow = Bounds { heartbeat: Duration::from_secs(5), ..BOUNDS };
-    assert!(reregistration_timeout(&slow) > slow.heartbeat);
+    let slow_heartbeat = Bounds { heartbeat: Duration::from_secs(5), ..BOUNDS };
+    assert!(reregistration_timeout(&slow_heartbeat) > slow_heartbeat.heartbeat);
 }
--- a/crates/mesh/tests/decisions/tenants.rs
+++ b/crates/mesh/tests/decisions/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants, their keys and their importance.
+//! Tenants, their keys and their priorities.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     let mut table = TenantTable::default();
     assert!(table.add_key(&first, b"k1"));
     assert!(table.add_key(&second, b"k2"));
-    assert!(!table.add_key(&second, b"k1"), "the first one has it");
+    assert!(!table.add_key(&second, b"k1"), "it belongs to the first one");
     assert_eq!(table.tenant_by_key(b"k1"), Some(&first));
     assert_eq!(table.tenant_by_key(b"k2"), Some(&second));
     assert_eq!(table.tenant_by_key(b"k"), None);
@@ -39,21 +39,21 @@
 }
 
 #[test]
-fn a_tenants_importance_goes_before_that_of_the_route() {
-    let (great, small) = (tenant("great", 0), tenant("small", 1));
-    let configuration = configuration(&[great.clone(), small.clone()], &[0, 2]);
+fn the_priority_of_a_tenant_takes_precedence_over_that_of_a_route() {
+    let (high, low) = (tenant("high", 0), tenant("low", 1));
+    let configuration = configuration(&[high.clone(), low.clone()], &[0, 2]);
     let routes = &configuration.hosts["shop.example"];
     let (first, last) = (&routes[0], &routes[1]);
     assert_eq!(configuration.priority_count(), 6);
-    assert_eq!(configuration.call_priority(first, Some(&great)), 0);
-    assert_eq!(configuration.call_priority(last, Some(&great)), 2);
-    assert_eq!(configuration.call_priority(first, Some(&small)), 3);
-    assert_eq!(configuration.call_priority(last, Some(&small)), 5);
-    assert_eq!(configuration.call_priority(first, None), 3, "as the least important tenant");
+    assert_eq!(configuration.call_priority(first, Some(&high)), 0);
+    assert_eq!(configuration.call_priority(last, Some(&high)), 2);
+    assert_eq!(configuration.call_priority(first, Some(&low)), 3);
+    assert_eq!(configuration.call_priority(last, Some(&low)), 5);
+    assert_eq!(configuration.call_priority(first, None), 3, "as a tenant of the lowest priority");
 }
 
 #[test]
-fn without_tenants_the_routes_importance_stands() {
+fn without_tenants_the_priority_of_the_route_counts() {
     let configuration = configuration(&[], &[0, 2]);
     assert_eq!(configuration.priority_count(), 3);
     assert_eq!(configuration.call_priority(&configuration.hosts["shop.example"][1], None), 2);
