--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -48,8 +48,8 @@
         *self.gate.borrow_mut().entry(outcome).or_default() += 1;
     }
 
-    /// Adds one to a counter.
-    pub fn add(counter: &Cell<u64>) {
+    /// Increments a counter by one.
+    pub fn increment(counter: &Cell<u64>) {
         counter.set(counter.get() + 1);
     }
 
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -19,7 +19,7 @@
 
 use super::Call;
 use crate::body::Body;
-use crate::headers::text;
+use crate::headers::header_text;
 use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
 use crate::liveness;
 use crate::node::Node;
@@ -189,7 +189,7 @@
             Attempt::Rejected
         }
         GateOutcome::Quarantined => {
-            let retry_after = text(response.headers(), RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
+            let retry_after = header_text(response.headers(), RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
             discard_response(response, lease).await;
             Attempt::Quarantined(retry_after.map_or(DEFAULT_QUARANTINE_DELAY, Duration::from_secs))
         }
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -26,7 +26,7 @@
 use quillhatch_types::Timestamp;
 
 use crate::body::{read_up_to, Body, ReadBody};
-use crate::headers::{remove_connection_headers, text};
+use crate::headers::{header_text, remove_connection_headers};
 use crate::hop::HOP_HEADER;
 use crate::node::Node;
 use answers::{local_response, refuse, retry_delay};
@@ -81,13 +81,13 @@
 async fn serve_call(node: &Rc<Node>, parts: Parts, incoming: Option<Incoming>, peer: SocketAddr) -> Response<Body> {
     node.detect_suspension();
     let arrived = node.now();
-    let id = text(&parts.headers, headers::REQUEST_ID).unwrap_or_default().to_owned();
+    let id = header_text(&parts.headers, headers::REQUEST_ID).unwrap_or_default().to_owned();
     let Some(configuration) = node.current_configuration() else {
         return refuse(node, &id, "no-configuration", NO_CONFIGURATION_RETRY_AFTER, arrived);
     };
     let authority = match parts.uri.authority() {
         Some(authority) => authority.as_str().to_owned(),
-        None => text(&parts.headers, HOST.as_str()).unwrap_or_default().to_owned(),
+        None => header_text(&parts.headers, HOST.as_str()).unwrap_or_default().to_owned(),
     };
     let Some(route) = find_route(&configuration, &authority, parts.uri.path()).cloned() else {
         let version = configuration.version;
@@ -101,7 +101,7 @@
         return local_response(node, &id, status, "malformed", arrived);
     }
     let given_time =
-        text(&parts.headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
+        header_text(&parts.headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
     let timeout = given_time.map_or(route.timeout, |given_time| given_time.min(route.timeout));
     let evidence = CallerEvidence { peer, given_time, headers: &parts.headers };
     let sender = match identify_sender(node, &configuration, &route, evidence, arrived) {
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -177,7 +177,7 @@
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
 fn note_retry(node: &Node, call: &mut Call) {
     call.lineage.is_retry = true;
-    Counters::add(&node.counters.retries);
+    Counters::increment(&node.counters.retries);
 }
 
 /// Counts and logs a call that a target has answered.
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::body::{read_up_to, Body};
 use crate::feed::{self, FEED_PATH};
-use crate::headers::{remove_connection_headers, text};
+use crate::headers::{header_text, remove_connection_headers};
 use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
 use crate::liveness::LIVENESS_PATH;
 use crate::local_target;
@@ -65,8 +65,9 @@
     node.detect_suspension();
     let arrived = node.now();
     let headers = &parts.headers;
-    let forwarded = text(headers, HOP_HEADER).and_then(HopContext::decode);
-    let timeout = text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
+    let forwarded = header_text(headers, HOP_HEADER).and_then(HopContext::decode);
+    let timeout =
+        header_text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
     let (Some(forwarded), Some(timeout)) = (forwarded, timeout) else {
         let mut response = Response::new(Body::empty());
         *response.status_mut() = StatusCode::BAD_REQUEST;
@@ -75,12 +76,12 @@
     store_view::record_peer_view(&node, forwarded.edge_ip, forwarded.store_view);
     let call = Call {
         id: headers.get(headers::REQUEST_ID).cloned(),
-        expected: text(headers, headers::EXPECT_INSTANCE).unwrap_or_default().to_owned(),
+        expected: header_text(headers, headers::EXPECT_INSTANCE).unwrap_or_default().to_owned(),
         route: route_name(&node, &parts),
         arrived,
         deadline: arrived + timeout,
     };
-    if let (Some(route), Some(caller)) = (&call.route, text(headers, headers::CALLER_SERVICE)) {
+    if let (Some(route), Some(caller)) = (&call.route, header_text(headers, headers::CALLER_SERVICE)) {
         node.caller_shares.borrow_mut().count_call(route, caller);
     }
     let outcome = admit_and_forward(&node, &call, &forwarded, parts, body).await;
@@ -107,7 +108,7 @@
 
 fn route_name(node: &Node, parts: &Parts) -> Option<Arc<str>> {
     let configuration = node.current_configuration()?;
-    let authority = text(&parts.headers, "host").unwrap_or_default();
+    let authority = header_text(&parts.headers, "host").unwrap_or_default();
     find_route(&configuration, authority, parts.uri.path()).map(|route| route.name.clone())
 }
 
@@ -269,7 +270,7 @@
     if response.status() == StatusCode::MISDIRECTED_REQUEST || response.headers().contains_key(headers::REQUEST_NOT_RUN)
     {
         let status = response.status();
-        if let Some(id) = text(response.headers(), headers::INSTANCE_ID) {
+        if let Some(id) = header_text(response.headers(), headers::INSTANCE_ID) {
             local_target::record_identity(node, id);
         }
         let _ = relay_response(response, lease).await;
--- a/crates/sidecar/src/gate/suspects.rs
+++ b/crates/sidecar/src/gate/suspects.rs
@@ -7,7 +7,7 @@
 
 use super::Failure;
 use crate::body::Body;
-use crate::headers::text;
+use crate::headers::header_text;
 use crate::hop::GateOutcome;
 use crate::node::Node;
 
@@ -28,7 +28,7 @@
 
 /// The signature of a request. A body that is too long to be buffered does not count: only its beginning is known.
 pub(super) fn signature_of(parts: &Parts, body: &Body) -> RequestSignature {
-    let header = |name| text(&parts.headers, name).unwrap_or_default();
+    let header = |name| header_text(&parts.headers, name).unwrap_or_default();
     let body = match body {
         Body::Buffered(bytes) => bytes,
         Body::Streamed(_) => [].as_slice(),
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -30,6 +30,6 @@
 }
 
 /// The value of a header, if it is present and valid text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/sidecar/src/local_target.rs
+++ b/crates/sidecar/src/local_target.rs
@@ -16,7 +16,7 @@
 
 use crate::body::Body;
 use crate::gate;
-use crate::headers::text;
+use crate::headers::header_text;
 use crate::hop::LocalTarget;
 use crate::node::Node;
 use crate::pool::ExchangeError;
@@ -110,7 +110,7 @@
             Err(ExchangeError::ConnectionRefused) => return HealthResponse::no_response(Identity::Refused),
             Err(_) => return HealthResponse::no_response(Identity::Unknown),
         };
-        let id = text(response.headers(), headers::INSTANCE_ID).map(str::to_owned);
+        let id = header_text(response.headers(), headers::INSTANCE_ID).map(str::to_owned);
         let is_full = response.headers().contains_key(headers::REQUEST_NOT_RUN);
         let is_draining = response.status() == StatusCode::SERVICE_UNAVAILABLE && !is_full;
         if response.into_body().collect().await.is_ok() {
--- a/crates/sidecar/src/store/client.rs
+++ b/crates/sidecar/src/store/client.rs
@@ -13,7 +13,7 @@
 
 use crate::body::Body;
 use crate::counters::Counters;
-use crate::headers::text;
+use crate::headers::header_text;
 use crate::node::Node;
 use crate::pool::ExchangeError;
 
@@ -64,14 +64,15 @@
     limit: Duration,
     read: impl Fn(&[u8]) -> Result<Page, AnswerError>,
 ) -> Result<StoreAnswer, StoreError> {
-    Counters::add(&node.counters.store_requests);
+    Counters::increment(&node.counters.store_requests);
     let address = node.settings.store;
     let request = Request::get(path).header(HOST, address.to_string()).body(Body::empty());
     let request = request.expect("the path and the host are valid in a request");
     let exchange = async {
         let (response, lease) = node.store.exchange(address, request).await.map_err(StoreError::Exchange)?;
         let status = response.status();
-        let era = text(response.headers(), headers::STORE_ERA).and_then(|text| text.parse().ok()).unwrap_or_default();
+        let era =
+            header_text(response.headers(), headers::STORE_ERA).and_then(|text| text.parse().ok()).unwrap_or_default();
         let body = response.into_body().collect().await;
         let bytes =
             body.map_err(|error| StoreError::Exchange(ExchangeError::NoResponse(error.to_string())))?.to_bytes();
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -81,7 +81,7 @@
 
 /// Records that a call to the store, sent at `sent`, has failed.
 fn record_failure(node: &Rc<Node>, error: &StoreError, sent: Timestamp) {
-    Counters::add(&node.counters.store_failures);
+    Counters::increment(&node.counters.store_failures);
     if error.is_outage() {
         let mut loss = node.feed.store_loss.get();
         loss.store_call_failed(sent, node.feed.store_read_at.get());
