--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -35,9 +35,9 @@
 /// wait in a gate's queue, or for a target that can be reached.
 pub(super) const DISPATCH_FRACTION: f64 = 0.22;
 
-/// The minimum cut of a route at which its service has spare capacity. A call that takes long is then slow because of
-/// its target, and one more attempt does not add to an overload.
-const SPARE_CAPACITY_MIN_CUT: f64 = 0.95;
+/// The minimum admission level of a route, as a share of the priorities, at which its service has spare capacity. A
+/// call that takes long is then slow because of its target, and one more attempt does not add to an overload.
+const SPARE_CAPACITY_MIN_LEVEL: f64 = 0.95;
 /// How many mean response times of the route must remain until the deadline for a slow attempt to be abandoned for
 /// another target.
 const MIN_MEAN_TIMES_LEFT: u32 = 2;
@@ -101,15 +101,15 @@
     } else {
         started.until(call.arrived + call.route.latency_objective.mul_f64(DISPATCH_FRACTION)).min(remaining)
     };
-    let forwarded = HopContext {
+    let context = HopContext {
         is_root: !call.is_nested,
-        lineage: call.lineage.clone(),
+        inherited: call.inherited.clone(),
         max_wait,
         store_view: store_view::own_store_view(node),
         edge_ip: node.settings.local_target.ip(),
     };
     let added = [
-        (HOP_HEADER, forwarded.encode()),
+        (HOP_HEADER, context.encode()),
         (headers::DEADLINE_MS, remaining.as_millis().to_string()),
         (headers::EXPECT_INSTANCE, target.id.to_string()),
     ];
@@ -149,17 +149,17 @@
     let now = node.now();
     node.balance.borrow_mut().record_load(&target.id, report.load, report.health, now);
     if matches!(report.outcome, GateOutcome::Answered | GateOutcome::Full) {
-        node.cuts.borrow_mut().record_report(&call.route.name, report.cut, now);
+        node.cuts.borrow_mut().record_report(&call.route.name, report.admission_level, now);
     }
-    node.parents.borrow_mut().record_caller_kind(&call.route.name, report.called_by);
+    node.parents.borrow_mut().record_caller_kind(&call.route.name, report.caller_kind);
     store_view::record_peer_view(node, target.registration.address.ip(), report.store_view);
     if let Some(proof) = report.proof {
         node.tenancy.record_peer_proof(proof, &node.configuration.borrow(), started);
     }
-    let is_replaced = report.local_target.as_ref().is_some_and(|present| {
+    let is_replaced = report.current_target.as_ref().is_some_and(|replacement| {
         let mut targets = node.targets.borrow_mut();
-        targets.replace_at_address(&target.id, Arc::from(present.id.as_str()), &present.service, now);
-        targets.get(&present.id).is_some()
+        targets.replace_at_address(&target.id, Arc::from(replacement.id.as_str()), &replacement.service, now);
+        targets.get(&replacement.id).is_some()
     });
     match report.outcome {
         GateOutcome::Answered => {
@@ -237,7 +237,7 @@
     node.has(Mechanism::SlowAttemptRetry)
         && !node.is_stopping()
         && call.is_nested
-        && node.cuts.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_CUT
+        && node.cuts.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_LEVEL
         && now.until(call.deadline) >= mean * MIN_MEAN_TIMES_LEFT
 }
 
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -1,4 +1,4 @@
-//! The lineage of a call, the admission of root calls, and checks of malformed requests.
+//! The inherited context of a call, the admission of root calls, and checks of malformed requests.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -14,9 +14,9 @@
 
 use crate::node::Node;
 
-/// The lineage of a call with this origin. A nested call inherits it from its root call; a root call starts one with
+/// The context of a call with this origin. A nested call inherits it from its parent; a root call starts one with
 /// `priority`.
-pub(super) fn lineage_of(node: &Node, priority: u8, origin: &CallOrigin, id: &str) -> InheritedContext {
+pub(super) fn inherited_context(node: &Node, priority: u8, origin: &CallOrigin, id: &str) -> InheritedContext {
     let new_root = InheritedContext {
         priority,
         position: position(id),
@@ -25,7 +25,7 @@
     };
     match origin {
         _ if !node.has(Mechanism::InheritedPriority) => new_root,
-        CallOrigin::KnownParent(_, lineage) => lineage.clone(),
+        CallOrigin::KnownParent(_, inherited) => inherited.clone(),
         CallOrigin::UnknownParent(Some(likely)) => InheritedContext {
             priority: likely.priority,
             is_retry: node.random.borrow_mut().gen_bool(likely.retry_share.min(1.0)),
@@ -56,8 +56,8 @@
 
 /// Whether a root call is refused at this admitted share. While the share does not change, every node and every retry
 /// decides alike for the same call.
-pub(super) fn is_refused(lineage: &InheritedContext, share: f64) -> bool {
-    f64::from(lineage.position) / 256.0 >= share
+pub(super) fn is_refused(inherited: &InheritedContext, share: f64) -> bool {
+    f64::from(inherited.position) / 256.0 >= share
 }
 
 /// The status with which a malformed or oversized request is refused before it reaches a target.
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -30,7 +30,7 @@
 use crate::hop::HOP_HEADER;
 use crate::node::Node;
 use answers::{local_response, refuse, retry_delay};
-use entry::{admitted_share, is_refused, lineage_of, malformed_status};
+use entry::{admitted_share, inherited_context, is_refused, malformed_status};
 use sender::{check_limit, deny, identify_sender, origin_of, refuse_over_limit, CallerEvidence};
 
 /// The maximum size of a request body that is buffered so that the call can be retried, in bytes.
@@ -49,7 +49,7 @@
     pub(super) headers: HeaderMap,
     /// Whether this node's target makes the call while it serves another one. Otherwise it is a root call.
     pub(super) is_nested: bool,
-    pub(super) lineage: InheritedContext,
+    pub(super) inherited: InheritedContext,
     /// The tenant that sends the call, if any.
     pub(super) tenant: Option<Arc<Tenant>>,
     pub(super) arrived: Timestamp,
@@ -100,10 +100,10 @@
         node.log_failure(|| format!("\"event\":\"malformed\",\"id\":{id:?},\"status\":{}", status.as_u16()));
         return local_response(node, &id, status, "malformed", arrived);
     }
-    let given_time =
+    let remaining_time =
         header_text(&parts.headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
-    let timeout = given_time.map_or(route.timeout, |given_time| given_time.min(route.timeout));
-    let evidence = CallerEvidence { peer, given_time, headers: &parts.headers };
+    let timeout = remaining_time.map_or(route.timeout, |remaining_time| remaining_time.min(route.timeout));
+    let evidence = CallerEvidence { peer, remaining_time, headers: &parts.headers };
     let sender = match identify_sender(node, &configuration, &route, evidence, arrived) {
         Ok(sender) => sender,
         Err(denial) => return deny(node, denial, &route, &id, arrived),
@@ -114,7 +114,7 @@
     };
     let origin = origin_of(node, &route, evidence, &sender, arrived);
     let priority = configuration.call_priority(&route, tenant.as_deref());
-    let mut lineage = lineage_of(node, priority, &origin, &id);
+    let mut inherited = inherited_context(node, priority, &origin, &id);
     let is_nested = origin != CallOrigin::Caller;
     if !is_nested && node.refuses_callers.get() {
         node.log_failure(|| {
@@ -123,12 +123,12 @@
         return refuse(node, &id, "stopping", STOPPING_RETRY_AFTER, arrived);
     }
     if !is_nested && node.has(Mechanism::EntryAdmission) {
-        if let Some(response) = refuse_at_entry(node, &configuration, &route, &mut lineage, &id, arrived) {
+        if let Some(response) = refuse_at_entry(node, &configuration, &route, &mut inherited, &id, arrived) {
             return response;
         }
     }
-    // After the cut at entry, so that only calls that may run count towards the tenant's limit: in the reverse order
-    // the score of two days with a shortage was 0.702 and 0.689 instead of 0.745 and 0.730.
+    // After the admission at entry, so that only calls that may run count towards the tenant's limit: in the reverse
+    // order the score of two days with a shortage was 0.702 and 0.689 instead of 0.745 and 0.730.
     if let Err(over) = check_limit(node, tenant.as_deref(), arrived) {
         return refuse_over_limit(node, tenant.as_deref(), over, &id, arrived);
     }
@@ -151,7 +151,7 @@
         uri: parts.uri,
         headers,
         is_nested,
-        lineage,
+        inherited,
         tenant,
         arrived,
         deadline,
@@ -164,25 +164,25 @@
     response
 }
 
-/// Refuses a root call if a service that it needs has too few free slots. An admitted call carries the share at which
-/// calls like it were admitted in its lineage.
+/// Refuses a root call if a service that it needs has too few free slots. The context of an admitted call records the
+/// share at which calls like it were admitted.
 fn refuse_at_entry(
     node: &Node,
     configuration: &Configuration,
     route: &Route,
-    lineage: &mut InheritedContext,
+    inherited: &mut InheritedContext,
     id: &str,
     arrived: Timestamp,
 ) -> Option<Response<Body>> {
-    let share = admitted_share(node, configuration, route, lineage.priority, arrived);
-    lineage.admitted_permille = (share * f64::from(ALL_ADMITTED_PERMILLE)).round() as u16;
-    if !is_refused(lineage, share) {
+    let share = admitted_share(node, configuration, route, inherited.priority, arrived);
+    inherited.admitted_permille = (share * f64::from(ALL_ADMITTED_PERMILLE)).round() as u16;
+    if !is_refused(inherited, share) {
         return None;
     }
     node.log_failure(|| {
         let name = &route.name;
         let age = node.cuts.borrow().age(name, arrived).unwrap_or_default().as_millis();
-        let (position, version) = (lineage.position, configuration.version);
+        let (position, version) = (inherited.position, configuration.version);
         format!(
             "\"event\":\"refused\",\"id\":{id:?},\"route\":\"{name}\",\"share\":{share:.3},\"share_age_ms\":{age},\"position\":{position},\"version\":{version}"
         )
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -55,7 +55,7 @@
     let Some(service) = service else {
         return refuse(node, &call.id, "no-destination", NO_DESTINATION_RETRY_AFTER, call.arrived);
     };
-    node.count_call(&service, call.lineage.is_retry);
+    node.count_call(&service, call.inherited.is_retry);
     let dispatch_until = call.arrived + call.route.latency_objective.mul_f64(super::attempt::DISPATCH_FRACTION);
     let mut call = call;
     let mut body = Some(body);
@@ -176,7 +176,7 @@
 
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
 fn note_retry(node: &Node, call: &mut Call) {
-    call.lineage.is_retry = true;
+    call.inherited.is_retry = true;
     Counters::increment(&node.counters.retries);
 }
 
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -28,7 +28,7 @@
     /// The address that it comes from.
     pub(super) peer: SocketAddr,
     /// The time until its deadline, if it names one.
-    pub(super) given_time: Option<Duration>,
+    pub(super) remaining_time: Option<Duration>,
     /// Its headers.
     pub(super) headers: &'a HeaderMap,
 }
@@ -59,8 +59,8 @@
     let may_be_target = key.is_none()
         && evidence.is_local(node)
         && evidence
-            .given_time
-            .is_some_and(|given_time| node.parents.borrow().may_originate(&route.name, given_time, now));
+            .remaining_time
+            .is_some_and(|remaining_time| node.parents.borrow().may_originate(&route.name, remaining_time, now));
     authenticate(
         configuration,
         route,
@@ -106,15 +106,15 @@
     id: &str,
     now: Timestamp,
 ) -> Response<Body> {
-    let OverLimit { retry_after: come_back, share } = over;
+    let OverLimit { retry_after, share } = over;
     node.log_failure(|| {
         let name = tenant.map_or("", |tenant| &tenant.name);
-        let come_back = come_back.as_millis();
+        let retry_after_ms = retry_after.as_millis();
         format!(
-            "\"event\":\"over-limit\",\"id\":{id:?},\"tenant\":\"{name}\",\"share\":{share:.3},\"come_back_ms\":{come_back}"
+            "\"event\":\"over-limit\",\"id\":{id:?},\"tenant\":\"{name}\",\"share\":{share:.3},\"come_back_ms\":{retry_after_ms}"
         )
     });
-    refuse_with_status(node, StatusCode::TOO_MANY_REQUESTS, id, "over-limit", come_back, now)
+    refuse_with_status(node, StatusCode::TOO_MANY_REQUESTS, id, "over-limit", retry_after, now)
 }
 
 /// The origin of a call. A call of this node's target is recorded in the call graph.
@@ -125,15 +125,17 @@
     sender: &Sender,
     now: Timestamp,
 ) -> CallOrigin {
-    let Some(given_time) = evidence.given_time.filter(|_| evidence.is_local(node)) else { return CallOrigin::Caller };
+    let Some(remaining_time) = evidence.remaining_time.filter(|_| evidence.is_local(node)) else {
+        return CallOrigin::Caller;
+    };
     let origin = {
         let graph = node.call_graph.borrow();
         let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
             Sender::Tenant(_) => CallOrigin::Caller,
-            Sender::Target => parents.target_call_origin(&route.name, given_time, now, rate),
-            Sender::Anyone => parents.origin(&route.name, given_time, now, rate),
+            Sender::Target => parents.target_call_origin(&route.name, remaining_time, now, rate),
+            Sender::Anyone => parents.origin(&route.name, remaining_time, now, rate),
         }
     };
     match &origin {
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -3,7 +3,7 @@
 mod retained_target;
 mod slots;
 mod suspects;
-mod target_end;
+mod target_crash;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 pub use retained_target::{watch_retained_target, RetainedTargetState};
 use slots::admit;
 pub use slots::{admit_waiting_calls, evict_waiting_calls, Slot};
-pub use target_end::{target_identified, target_restarted};
+pub use target_crash::{target_identified, target_restarted};
 
 /// The maximum size of a request body that is buffered before it is forwarded, in bytes.
 const MAX_BUFFERED_REQUEST_BYTES: usize = 64 * 1024;
@@ -65,15 +65,15 @@
     node.detect_suspension();
     let arrived = node.now();
     let headers = &parts.headers;
-    let forwarded = header_text(headers, HOP_HEADER).and_then(HopContext::decode);
+    let context = header_text(headers, HOP_HEADER).and_then(HopContext::decode);
     let timeout =
         header_text(headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
-    let (Some(forwarded), Some(timeout)) = (forwarded, timeout) else {
+    let (Some(context), Some(timeout)) = (context, timeout) else {
         let mut response = Response::new(Body::empty());
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    store_view::record_peer_view(&node, forwarded.edge_ip, forwarded.store_view);
+    store_view::record_peer_view(&node, context.edge_ip, context.store_view);
     let call = Call {
         id: headers.get(headers::REQUEST_ID).cloned(),
         expected: header_text(headers, headers::EXPECT_INSTANCE).unwrap_or_default().to_owned(),
@@ -84,7 +84,7 @@
     if let (Some(route), Some(caller)) = (&call.route, header_text(headers, headers::CALLER_SERVICE)) {
         node.caller_shares.borrow_mut().count_call(route, caller);
     }
-    let outcome = admit_and_forward(&node, &call, &forwarded, parts, body).await;
+    let outcome = admit_and_forward(&node, &call, &context, parts, body).await;
     record_health(&node, &outcome);
     match outcome {
         Ok(mut response) => {
@@ -148,24 +148,24 @@
 fn attach_report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
-    let cut = call
+    let admission_level = call
         .route
         .as_ref()
         .map_or(AdmissionLevel::FULL, |route| node.own_cut(route).lower_of(node.called_cut(route, now)));
-    let present = match outcome {
+    let current_target = match outcome {
         GateOutcome::Closed | GateOutcome::Rejected => {
-            local_target::available_target(node).filter(|present| present.id != call.expected)
+            local_target::available_target(node).filter(|target| target.id != call.expected)
         }
         _ => None,
     };
-    let called_by = call.route.as_ref().map_or(CallerKind::Unknown, |route| {
+    let caller_kind = call.route.as_ref().map_or(CallerKind::Unknown, |route| {
         let targets = node.targets.borrow();
         node.caller_shares.borrow_mut().caller_kind(route, || targets.service_shares())
     });
     let health = node.health.borrow_mut().good_share(now);
-    let (reach, proof) =
+    let (store_view, proof) =
         (store_view::own_store_view(node), node.tenancy.peer_proof(&node.configuration.borrow(), call.arrived));
-    let report = HopReport { outcome, load, cut, health, called_by, store_view: reach, proof, local_target: present };
+    let report = HopReport { outcome, load, admission_level, health, caller_kind, store_view, proof, current_target };
     if let Ok(value) = HeaderValue::from_str(&report.encode()) {
         response.headers_mut().insert(HOP_HEADER, value);
     }
@@ -195,7 +195,7 @@
 async fn admit_and_forward(
     node: &Rc<Node>,
     call: &Call,
-    forwarded: &HopContext,
+    context: &HopContext,
     parts: Parts,
     body: Option<Incoming>,
 ) -> Result<Response<Body>, Failure> {
@@ -209,15 +209,15 @@
     };
     let signature = suspects::signature_of(&parts, &body);
     suspects::check_quarantine(node, &signature)?;
-    let slot = admit(node, call, forwarded, call.arrived).await?;
+    let slot = admit(node, call, context, call.arrived).await?;
     // While the call waited for a slot, requests with its signature may have crashed targets.
     suspects::check_quarantine(node, &signature)?;
-    forward(node, call, parts, body, slot, RunRecord { lineage: forwarded.lineage.clone(), signature }).await
+    forward(node, call, parts, body, slot, RunRecord { inherited: context.inherited.clone(), signature }).await
 }
 
 /// What is recorded of a call while it runs at the target.
 struct RunRecord {
-    lineage: InheritedContext,
+    inherited: InheritedContext,
     signature: RequestSignature,
 }
 
@@ -241,8 +241,8 @@
     }
     let request = Request::from_parts(parts, body);
     let target_timeout = Duration::from_millis(remaining.as_millis() as u64);
-    let RunRecord { lineage, signature } = record;
-    slot.start_run(node.now() + target_timeout, lineage, signature);
+    let RunRecord { inherited, signature } = record;
+    slot.start_run(node.now() + target_timeout, inherited, signature);
     let sent = SentFlag::default();
     let exchange = node.target.exchange_tracking_sent(node.settings.local_target, request, &sent);
     let exchange = node.clock.timeout_at(call.deadline + DEADLINE_ALLOWANCE, exchange).await;
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -11,7 +11,7 @@
 use quillhatch_types::Timestamp;
 use tokio::sync::oneshot;
 
-use super::{target_end, Call};
+use super::{target_crash, Call};
 use crate::hop::HopContext;
 use crate::local_target;
 use crate::node::{Admitted, Node};
@@ -34,10 +34,10 @@
     }
 
     /// Records that the call is sent to the target with `deadline`.
-    pub(super) fn start_run(&mut self, deadline: Timestamp, lineage: InheritedContext, signature: RequestSignature) {
+    pub(super) fn start_run(&mut self, deadline: Timestamp, inherited: InheritedContext, signature: RequestSignature) {
         self.run = Some(self.node.run_tracker.borrow_mut().begin(signature, self.node.now()));
         if let Some(route) = self.route.clone() {
-            self.running = Some(self.node.parents.borrow_mut().call_started(deadline, route, lineage));
+            self.running = Some(self.node.parents.borrow_mut().call_started(deadline, route, inherited));
         }
     }
 
@@ -46,7 +46,7 @@
         if let Some(run) = self.run.take() {
             let signature = self.node.run_tracker.borrow_mut().completed(run);
             if let Some(signature) = signature {
-                target_end::request_completed(&self.node, &signature);
+                target_crash::request_completed(&self.node, &signature);
             }
         }
     }
@@ -56,7 +56,7 @@
         if let Some(run) = self.run.take() {
             let target = self.node.local_target_id.borrow().clone();
             self.node.run_tracker.borrow_mut().connection_lost(run, target, self.node.now());
-            target_end::probe_target(&self.node);
+            target_crash::probe_target(&self.node);
         }
     }
 }
@@ -146,19 +146,14 @@
 
 /// Records a refused nested call. A nested call that is refused because the gate is full fails its parent, so the
 /// parent's later calls do not arrive.
-fn record_refusal(node: &Node, forwarded: &HopContext, refusal: Refusal) {
-    if refusal == Refusal::Overloaded && !forwarded.is_root {
-        node.capacity.borrow_mut().nested_call_refused(forwarded.lineage.priority);
+fn record_refusal(node: &Node, context: &HopContext, refusal: Refusal) {
+    if refusal == Refusal::Overloaded && !context.is_root {
+        node.capacity.borrow_mut().nested_call_refused(context.inherited.priority);
     }
 }
 
 /// Waits until a call gets a slot of the target, or is refused.
-pub(super) async fn admit(
-    node: &Rc<Node>,
-    call: &Call,
-    forwarded: &HopContext,
-    now: Timestamp,
-) -> Result<Slot, Refusal> {
+pub(super) async fn admit(node: &Rc<Node>, call: &Call, context: &HopContext, now: Timestamp) -> Result<Slot, Refusal> {
     // The edge treats a call as possibly run if the gate does not respond by the deadline, so the call is refused by
     // then.
     if node.clock.timeout_at(call.deadline, local_target::verify_identity(node)).await.is_err() {
@@ -167,12 +162,12 @@
     if !local_target::accepts_calls_for(node, &call.expected) {
         return Err(Refusal::Closed);
     }
-    let InheritedContext { priority, position, admitted_permille, .. } = forwarded.lineage;
+    let InheritedContext { priority, position, admitted_permille, .. } = context.inherited;
     if let Some(route) = &call.route {
         let share = f64::from(admitted_permille) / f64::from(ALL_ADMITTED_PERMILLE);
         let mut capacity = node.capacity.borrow_mut();
         capacity.call_arrived(route, priority, share, now);
-        if !forwarded.is_root {
+        if !context.is_root {
             capacity.nested_call_arrived(priority);
         }
     }
@@ -181,15 +176,15 @@
     let orders_by_root = node.has(Mechanism::SharedRootOrder) && node.shortage().is_some();
     let position = if orders_by_root { position } else { 0 };
     let priority = if node.has(Mechanism::GatePriority) { priority } else { 0 };
-    let rank = Rank { priority, is_root: forwarded.is_root, position };
-    let (arrival, displaced) = node.gate.borrow_mut().admit(rank, forwarded.max_wait, now);
+    let rank = Rank { priority, is_root: context.is_root, position };
+    let (arrival, displaced) = node.gate.borrow_mut().admit(rank, context.max_wait, now);
     if let Some(ticket) = displaced {
         refuse_waiting(node, ticket);
     }
     match arrival {
         Admission::Runs => Ok(Slot::new(node, call.route.clone())),
         Admission::Refused(refusal) => {
-            record_refusal(node, forwarded, refusal);
+            record_refusal(node, context, refusal);
             Err(refusal)
         }
         Admission::Waits(ticket) => {
@@ -198,7 +193,7 @@
             node.gate_changed.notify_one();
             if !(WaitingCall { node, ticket, receiver }).admitted().await {
                 let refusal = if node.gate.borrow().is_closed() { Refusal::Closed } else { Refusal::Overloaded };
-                record_refusal(node, forwarded, refusal);
+                record_refusal(node, context, refusal);
                 return Err(refusal);
             }
             let slot = Slot::new(node, call.route.clone());
--- a/crates/sidecar/src/gate/target_end.rs
+++ b/crates/sidecar/src/gate/target_crash.rs
@@ -1,6 +1,6 @@
-//! Detects that the local target has ended, and which calls were running then.
+//! Detects crashes of the local target, and which calls were running then.
 //!
-//! A single lost connection does not show that the target has ended: the response may be lost while the target lives.
+//! A single lost connection does not show that the target has crashed: the response may be lost while the target lives.
 //! So after a call has lost its connection the other running calls are checked, and if none of them is left, the target
 //! is asked for its identity.
 
@@ -15,11 +15,11 @@
 use crate::local_target::{self, Identity};
 use crate::node::Node;
 
-/// The delay after a lost connection before the other running calls are checked. All connections of a target that ends
-/// are lost at the same moment; this is some dozens of round trips on one machine.
+/// The delay after a lost connection before the other running calls are checked. All connections of a target that
+/// crashes are lost at the same moment; this is some dozens of round trips on one machine.
 const LOSS_SETTLE_TIME: Duration = Duration::from_millis(15);
 
-/// Checks whether the target has ended, after a call has lost its connection.
+/// Checks whether the target has crashed, after a call has lost its connection.
 pub(super) fn probe_target(node: &Rc<Node>) {
     if !node.is_probing_target.replace(true) {
         tokio::task::spawn_local(probe_after_loss(Rc::clone(node)));
@@ -39,9 +39,9 @@
         Identity::Known(id) => local_target::record_identity(&node, &id),
         Identity::Refused => {
             local_target::mark_unverified(&node);
-            let end = node.run_tracker.borrow_mut().target_crashed();
-            if let Some(end) = end {
-                target_ended(&node, &end);
+            let crash = node.run_tracker.borrow_mut().target_crashed();
+            if let Some(crash) = crash {
+                record_crash(&node, &crash);
             }
         }
         // Undecided until the target's identity is known again.
@@ -51,26 +51,26 @@
 
 /// Handles a response of the local target that shows its identity.
 pub fn target_identified(node: &Rc<Node>, id: &str) {
-    let end = node.run_tracker.borrow_mut().target_identified(id);
-    if let Some(end) = end {
-        target_ended(node, &end);
+    let crash = node.run_tracker.borrow_mut().target_identified(id);
+    if let Some(crash) = crash {
+        record_crash(node, &crash);
     }
 }
 
 /// Handles a restart of the local target under the same identity `id`: the calls that lost their connections were
 /// running when it ended.
 pub fn target_restarted(node: &Rc<Node>, id: &TargetId) {
-    let end = node.run_tracker.borrow_mut().target_restarted(id, node.now());
-    if let Some(end) = end {
-        target_ended(node, &end);
+    let crash = node.run_tracker.borrow_mut().target_restarted(id, node.now());
+    if let Some(crash) = crash {
+        record_crash(node, &crash);
     }
 }
 
-/// Logs the end of a target and makes the calls that were running suspects of the quarantine.
-fn target_ended(node: &Node, end: &TargetCrash) {
-    log_end(node, end);
+/// Logs a crash of a target, and records the calls that were running as suspects in the quarantine.
+fn record_crash(node: &Node, crash: &TargetCrash) {
+    log_crash(node, crash);
     if node.has(Mechanism::Quarantine) {
-        let suspects = node.quarantine.borrow_mut().record_crash(end, node.now());
+        let suspects = node.quarantine.borrow_mut().record_crash(crash, node.now());
         node.quarantine_outbox.queue_suspects(suspects);
     }
 }
@@ -90,10 +90,10 @@
 /// The maximum number of signatures in one log line.
 const MAX_LOGGED_SIGNATURES: usize = 20;
 
-fn log_end(node: &Node, end: &TargetCrash) {
-    let named = end.signatures.iter().take(MAX_LOGGED_SIGNATURES);
+fn log_crash(node: &Node, crash: &TargetCrash) {
+    let named = crash.signatures.iter().take(MAX_LOGGED_SIGNATURES);
     let named: Vec<String> = named.map(|signature| format!("\"{}\"", signature.narrow)).collect();
-    let (target, count, named) = (&end.target, end.signatures.len(), named.join(","));
+    let (target, count, named) = (&crash.target, crash.signatures.len(), named.join(","));
     node.log(&format!(
         "\"event\":\"target-ended\",\"target\":\"{target}\",\"running\":{count},\"signatures\":[{named}]"
     ));
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -18,8 +18,8 @@
 /// The name of the header.
 pub const HOP_HEADER: &str = "quillhatch-hop";
 
-/// The number of steps in which a cut is encoded: fine enough for any number of priorities.
-const CUT_STEPS: f64 = 10_000.0;
+/// The number of steps in which an admission level is encoded: fine enough for any number of priorities.
+const LEVEL_STEPS: f64 = 10_000.0;
 /// The number of steps in which the health of a target is encoded: whole percents suffice to choose among targets.
 const HEALTH_STEPS: f64 = 100.0;
 
@@ -51,7 +51,7 @@
     /// Whether the call is a root call, which enters the call graph at the edge. Otherwise a target makes it.
     pub is_root: bool,
     /// What the call inherits from its root call.
-    pub lineage: InheritedContext,
+    pub inherited: InheritedContext,
     /// The maximum time that the call may wait in the gate's queue.
     pub max_wait: Duration,
     /// The edge's view of the store.
@@ -63,7 +63,7 @@
 impl HopContext {
     /// Encodes the value of the header.
     pub fn encode(&self) -> String {
-        let InheritedContext { priority, position, is_retry, admitted_permille } = self.lineage;
+        let InheritedContext { priority, position, is_retry, admitted_permille } = self.inherited;
         let (is_root, is_retry) = (u8::from(self.is_root), u8::from(is_retry));
         let max_wait = self.max_wait.as_millis();
         let (store_view, edge_ip) = (self.store_view.encode(), self.edge_ip);
@@ -76,11 +76,11 @@
         let is_root = parts.next()? == "1";
         let (priority, position) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
         let (is_retry, admitted_permille) = (parts.next()? == "1", parts.next()?.parse().ok()?);
-        let lineage = InheritedContext { priority, position, is_retry, admitted_permille };
+        let inherited = InheritedContext { priority, position, is_retry, admitted_permille };
         let max_wait = Duration::from_millis(parts.next()?.parse().ok()?);
         let store_view = StoreView::decode(parts.next()?)?;
         let edge_ip = parts.next()?.parse().ok()?;
-        Some(HopContext { is_root, lineage, max_wait, store_view, edge_ip })
+        Some(HopContext { is_root, inherited, max_wait, store_view, edge_ip })
     }
 }
 
@@ -153,18 +153,19 @@
     pub outcome: GateOutcome,
     /// The gate's load.
     pub load: Load,
-    /// The cut of the call's route, lowered to the cuts of the routes that it calls. Edges apply it to root calls.
-    pub cut: AdmissionLevel,
+    /// The admission level of the call's route: the lowest of the gate's own and of the routes that the route calls.
+    /// Edges apply it to root calls.
+    pub admission_level: AdmissionLevel,
     /// The share of the target's responses that are successful.
     pub health: f64,
     /// Whether targets or callers call the route.
-    pub called_by: CallerKind,
+    pub caller_kind: CallerKind,
     /// The gate's view of the store.
     pub store_view: StoreView,
     /// When the gate's configuration was last known to be the newest, if that is needed and known.
     pub proof: Option<FreshnessProof>,
     /// The gate's current target, if the call was meant for another one.
-    pub local_target: Option<LocalTarget>,
+    pub current_target: Option<LocalTarget>,
 }
 
 /// The target that currently runs on a node's machine.
@@ -176,15 +177,15 @@
     pub service: String,
 }
 
-fn encode_called_by(called_by: CallerKind) -> u8 {
-    match called_by {
+fn encode_caller_kind(caller_kind: CallerKind) -> u8 {
+    match caller_kind {
         CallerKind::Unknown => 0,
         CallerKind::TargetsOnly => 1,
         CallerKind::IncludesCallers => 2,
     }
 }
 
-fn decode_called_by(number: u64) -> CallerKind {
+fn decode_caller_kind(number: u64) -> CallerKind {
     match number {
         1 => CallerKind::TargetsOnly,
         2 => CallerKind::IncludesCallers,
@@ -205,17 +206,19 @@
     /// Encodes the value of the header.
     pub fn encode(&self) -> String {
         let Load { running, limit, waiting } = self.load;
-        let cut = (self.cut.priority_share() * CUT_STEPS).round() as u32;
+        let admission_level = (self.admission_level.priority_share() * LEVEL_STEPS).round() as u32;
         let health = (self.health * HEALTH_STEPS).round() as u32;
-        let called_by = encode_called_by(self.called_by);
+        let caller_kind = encode_caller_kind(self.caller_kind);
         let code = self.outcome.code();
-        let mut text =
-            format!("{code};{running};{limit};{waiting};{cut};{health};{called_by};{};", self.store_view.encode());
+        let mut text = format!(
+            "{code};{running};{limit};{waiting};{admission_level};{health};{caller_kind};{};",
+            self.store_view.encode()
+        );
         if let Some(FreshnessProof { version, age_at_arrival_ms }) = self.proof {
             let _ = write!(text, "{version},{age_at_arrival_ms}");
         }
-        if let Some(local_target) = &self.local_target {
-            let _ = write!(text, ";{};{}", local_target.id, local_target.service);
+        if let Some(current_target) = &self.current_target {
+            let _ = write!(text, ";{};{}", current_target.id, current_target.service);
         }
         text
     }
@@ -226,15 +229,15 @@
         let outcome = GateOutcome::from_code(parts.next()?)?;
         let mut number = || parts.next()?.parse::<u64>().ok();
         let load = Load { running: number()? as u32, limit: number()? as u32, waiting: number()? as u32 };
-        let cut = AdmissionLevel::from_priority_share(number()? as f64 / CUT_STEPS);
+        let admission_level = AdmissionLevel::from_priority_share(number()? as f64 / LEVEL_STEPS);
         let health = number()? as f64 / HEALTH_STEPS;
-        let called_by = decode_called_by(number()?);
+        let caller_kind = decode_caller_kind(number()?);
         let store_view = StoreView::decode(parts.next()?)?;
         let proof = decode_proof(parts.next()?)?;
-        let local_target = match (parts.next(), parts.next()) {
+        let current_target = match (parts.next(), parts.next()) {
             (Some(id), Some(service)) => Some(LocalTarget { id: id.to_owned(), service: service.to_owned() }),
             _ => None,
         };
-        Some(HopReport { outcome, load, cut, health, called_by, store_view, proof, local_target })
+        Some(HopReport { outcome, load, admission_level, health, caller_kind, store_view, proof, current_target })
     }
 }
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -111,7 +111,7 @@
         while lines_of("refused", "shed-").is_empty() {
             call(beta.outbound(), &read(&format!("shed-{number}"))).await;
             number += 1;
-            assert!(number < 50, "a cut of zero refuses most calls");
+            assert!(number < 50, "an admission level of zero refuses most calls");
         }
         let refused = first_line("refused", "shed-");
         for field in ["share", "share_age_ms", "position", "version", "route"] {
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -22,7 +22,7 @@
 fn a_hop_context_round_trips() {
     let context = HopContext {
         is_root: true,
-        lineage: InheritedContext { priority: 2, position: 255, is_retry: true, admitted_permille: 250 },
+        inherited: InheritedContext { priority: 2, position: 255, is_retry: true, admitted_permille: 250 },
         max_wait: Duration::from_millis(330),
         store_view: StoreView { position: Position { era: 2, revision: 77 }, store_unreachable: true },
         edge_ip: IpAddr::from([10, 1, 0, 8]),
@@ -32,21 +32,21 @@
 
 #[test]
 fn a_hop_report_round_trips() {
-    let local_target = LocalTarget { id: "i-1".to_owned(), service: "alpha".to_owned() };
+    let current_target = LocalTarget { id: "i-1".to_owned(), service: "alpha".to_owned() };
     for outcome in GateOutcome::ALL {
         let proof = FreshnessProof { version: 17, age_at_arrival_ms: -250 };
-        for (local_target, proof) in
-            [(None, Some(proof)), (Some(local_target.clone()), None), (Some(local_target.clone()), Some(proof))]
+        for (current_target, proof) in
+            [(None, Some(proof)), (Some(current_target.clone()), None), (Some(current_target.clone()), Some(proof))]
         {
             let report = HopReport {
                 outcome,
                 load: Load { running: 3, limit: 36, waiting: 144 },
-                cut: AdmissionLevel::from_priority_share(0.125),
+                admission_level: AdmissionLevel::from_priority_share(0.125),
                 health: 0.75,
-                called_by: CallerKind::TargetsOnly,
+                caller_kind: CallerKind::TargetsOnly,
                 store_view: StoreView { position: Position::default(), store_unreachable: false },
                 proof,
-                local_target,
+                current_target,
             };
             assert_eq!(HopReport::decode(&report.encode()), Some(report));
         }
