--- a/crates/mesh/benches/quarantine.rs
+++ b/crates/mesh/benches/quarantine.rs
@@ -1,6 +1,7 @@
-//! What a call pays for being recognized if it crashes targets: its signature, its run, its verdict.
+//! The cost of the quarantine for each call: its signature, its run and its verdict.
 //!
-//! Before: nothing. With it: 0.19 us with an empty body, 0.49 us with 1 KB, 0.18 us while 1,000 keys are suspect (one run on one core).
+//! Measured: 0.19 us with an empty body, 0.49 us with 1 KB, 0.18 us while 1,000 keys are suspect (one run on one core).
+//! Without the quarantine there is no such cost.
 
 #![allow(missing_docs)] // The macro adds a function without any.
 
@@ -29,14 +30,14 @@
         let body = vec![7; body];
         let (mut runs, mut quarantine) = (RunTracker::default(), Quarantine::new(0.5));
         let signatures = (0..suspects).map(|number| RequestSignature::of(&parts(&format!("/s/{number}"), &[])));
-        let end = TargetCrash { target: "i-1".into(), signatures: signatures.collect() };
-        quarantine.record_crash(&end, Timestamp::ZERO);
-        let mut round = 0;
+        let crash = TargetCrash { target: "i-1".into(), signatures: signatures.collect() };
+        quarantine.record_crash(&crash, Timestamp::ZERO);
+        let mut iteration = 0;
         criterion.bench_function(&format!("a call with {name}"), |bencher| {
             bencher.iter(|| {
-                round += 1;
-                let now = Timestamp(round as u64 * 100);
-                let signature = RequestSignature::of(&parts(black_box(&paths[round % paths.len()]), &body));
+                iteration += 1;
+                let now = Timestamp(iteration as u64 * 100);
+                let signature = RequestSignature::of(&parts(black_box(&paths[iteration % paths.len()]), &body));
                 let verdict = quarantine.verdict(&signature, now);
                 let run = runs.begin(signature, now);
                 let signature = runs.completed(run).expect("it runs");
--- a/crates/mesh/src/quarantine/completed.rs
+++ b/crates/mesh/src/quarantine/completed.rs
@@ -1,4 +1,4 @@
-//! Which requests have run to their end lately.
+//! A bounded cache of the requests that have completed recently.
 
 use std::time::Duration;
 
@@ -6,37 +6,38 @@
 
 use super::SignatureKey;
 
-/// The runs that are remembered. A run takes the place of another one with the same last digits, so memory is bounded (32 KB) and a look-up
-/// is one step; at 400 runs a second each is remembered for some seconds.
-const PLACES: usize = 2048;
-/// For how long a run that ended well speaks for its request: what ends several targets at once (a rack, a release) does so within less.
-const SPEAKS_FOR: Duration = Duration::from_secs(2);
+/// The number of runs in the cache. A run replaces another one with the same index, so memory is bounded (32 KB) and a
+/// lookup takes one step; at 400 runs a second each stays for some seconds.
+const CACHE_ENTRIES: usize = 2048;
+/// For how long a completed run clears its request: events that end several targets at once (a rack failure, a release)
+/// do so within less time.
+const COMPLETION_LIFETIME: Duration = Duration::from_secs(2);
 
-/// The runs that ended well a moment ago.
+/// The requests that have completed recently.
 #[derive(Clone, Debug)]
 pub struct CompletedRuns {
-    places: Box<[Option<(SignatureKey, Timestamp)>]>,
+    entries: Box<[Option<(SignatureKey, Timestamp)>]>,
 }
 
 impl Default for CompletedRuns {
     fn default() -> Self {
-        CompletedRuns { places: vec![None; PLACES].into_boxed_slice() }
+        CompletedRuns { entries: vec![None; CACHE_ENTRIES].into_boxed_slice() }
     }
 }
 
 impl CompletedRuns {
-    /// A run of the request has ended well.
+    /// Records that a run of the request has completed.
     pub fn add(&mut self, key: SignatureKey, now: Timestamp) {
-        self.places[place_of(key)] = Some((key, now));
+        self.entries[entry_index(key)] = Some((key, now));
     }
 
-    /// Whether one did so lately.
+    /// Returns whether a run of the request has completed recently.
     pub fn completed_recently(&self, key: SignatureKey, now: Timestamp) -> bool {
-        let known = self.places[place_of(key)].filter(|(known, _)| *known == key);
-        known.is_some_and(|(_, at)| now.since(at) < SPEAKS_FOR)
+        let entry = self.entries[entry_index(key)].filter(|(stored_key, _)| *stored_key == key);
+        entry.is_some_and(|(_, at)| now.since(at) < COMPLETION_LIFETIME)
     }
 }
 
-fn place_of(key: SignatureKey) -> usize {
-    key.0 as usize % PLACES
+fn entry_index(key: SignatureKey) -> usize {
+    key.0 as usize % CACHE_ENTRIES
 }
--- a/crates/mesh/src/quarantine/evidence.rs
+++ b/crates/mesh/src/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Crashes counted against requests: the evidence, and the verdict that follows from it.
+//! Counts crashes against requests and decides which requests are refused.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -10,28 +10,31 @@
 use super::completed::CompletedRuns;
 use super::{RequestSignature, SignatureKey, TargetCrash};
 
-/// The crashes from which a request is quarantined. A call that is retried after one crash meets a second by chance; three without a
-/// completed run in between are no coincidence, and waiting for more would cost targets.
-const QUARANTINED_FROM: usize = 3;
-/// The crashes from which the count of a request is gossiped: one crash alone is mostly coincidence.
-const NOTABLE_FROM: usize = 2;
-/// The crashes of one request that are remembered, the latest ones.
-const MOST_ENDS: usize = 16;
-/// How often the quarantine doubles at most: it never lasts longer than an hour and a half.
-const MOST_DOUBLINGS: usize = 5;
-/// For how long a request is refused after its third crash: many times what a target needs to come back, so that a request which still crashes
-/// them costs less than a hundredth of their time.
-const SHORTEST_QUARANTINE: Duration = Duration::from_secs(120);
-/// The part of its time by which a quarantine is longer at some gates than at others, so that one target tries the request first.
-const SPREAD: f64 = 0.5;
-/// For how long crashes count against a request after the last one, and for how long a cleared request is remembered.
-const REMEMBERED_FOR: Duration = Duration::from_secs(900);
-/// The most suspects that are remembered; those with the fewest and oldest crashes are evicted. Some 200 KB.
-const MOST_SUSPECTS: usize = 2048;
-/// The most requests that were cleared and are remembered.
-const MOST_CLEARED: usize = 512;
-/// The most records in one message, some 20 KB.
-const MOST_RECORDS: usize = 512;
+/// The number of crashes from which a request is quarantined. A call that is retried after one crash may run beside a
+/// second one by chance. Three without a completed run in between are no coincidence, and waiting for more would cost
+/// further targets.
+const QUARANTINE_THRESHOLD: usize = 3;
+/// The number of crashes from which the evidence against a request is gossiped: one crash alone is usually a
+/// coincidence.
+const GOSSIP_THRESHOLD: usize = 2;
+/// The maximum number of crashes of one request that are retained; the oldest are dropped.
+const MAX_CRASHES_PER_SUSPECT: usize = 16;
+/// The maximum number of times that a quarantine doubles, so that it never lasts longer than 1.6 hours.
+const MAX_DOUBLINGS: usize = 5;
+/// The length of the first quarantine. It is many times what a target needs to restart, so a request that still crashes
+/// targets costs less than a hundredth of their time.
+const BASE_QUARANTINE: Duration = Duration::from_secs(120);
+/// The maximum fraction by which a quarantine is extended at random, per gate, so that one target tries the request
+/// first.
+const MAX_JITTER_FRACTION: f64 = 0.5;
+/// How long crashes count against a request after the last one, and how long a cleared request is retained.
+const EVIDENCE_LIFETIME: Duration = Duration::from_secs(900);
+/// The maximum number of suspects, some 200 KB; those with the fewest and oldest crashes are evicted.
+const MAX_SUSPECTS: usize = 2048;
+/// The maximum number of cleared requests that are retained.
+const MAX_CLEARED: usize = 512;
+/// The maximum number of records in one message, some 20 KB.
+const MAX_RECORDS_PER_MESSAGE: usize = 512;
 
 /// Identifies the crash of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,43 +55,43 @@
     pub key: SignatureKey,
     /// The crashes counted against it.
     pub crashes: Vec<CrashId>,
-    /// How long ago the last one was.
+    /// The time since the last of them.
     pub age: Duration,
 }
 
-/// What becomes of a request; the greater one counts.
+/// The decision on a request. If several apply, the greatest one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// It runs like any other.
+    /// The request may run.
     Runs,
-    /// It is refused, for so long.
+    /// The request is refused, for this time.
     Refused(Duration),
 }
 
 #[derive(Clone, Debug)]
 struct Suspect {
-    ends: Vec<CrashId>,
-    last_end: Timestamp,
+    crashes: Vec<CrashId>,
+    last_crash: Timestamp,
 }
 
 impl Suspect {
-    /// Counts a crash; returns whether it was not known.
-    fn add(&mut self, end: CrashId) -> bool {
-        if self.ends.contains(&end) {
+    /// Adds a crash; returns whether it is new.
+    fn add(&mut self, crash: CrashId) -> bool {
+        if self.crashes.contains(&crash) {
             return false;
         }
-        if self.ends.len() >= MOST_ENDS {
-            self.ends.remove(0);
+        if self.crashes.len() >= MAX_CRASHES_PER_SUSPECT {
+            self.crashes.remove(0);
         }
-        self.ends.push(end);
+        self.crashes.push(crash);
         true
     }
 
-    fn verdict(&self, draw: f64, now: Timestamp) -> Verdict {
-        let Some(doublings) = self.ends.len().checked_sub(QUARANTINED_FROM) else { return Verdict::Runs };
-        let length =
-            SHORTEST_QUARANTINE.mul_f64((1.0 + SPREAD * draw) * f64::from(1_u32 << doublings.min(MOST_DOUBLINGS)));
-        let left = length.saturating_sub(now.since(self.last_end));
+    fn verdict(&self, jitter: f64, now: Timestamp) -> Verdict {
+        let Some(doublings) = self.crashes.len().checked_sub(QUARANTINE_THRESHOLD) else { return Verdict::Runs };
+        let length = BASE_QUARANTINE
+            .mul_f64((1.0 + MAX_JITTER_FRACTION * jitter) * f64::from(1_u32 << doublings.min(MAX_DOUBLINGS)));
+        let left = length.saturating_sub(now.since(self.last_crash));
         if left.is_zero() {
             Verdict::Runs
         } else {
@@ -97,36 +100,36 @@
     }
 }
 
-/// What one gate knows of requests that crash targets.
+/// The evidence of one gate against requests that crash targets.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
-    draw: f64,
+    jitter: f64,
     suspects: HashMap<SignatureKey, Suspect>,
     cleared: HashMap<SignatureKey, Timestamp>,
     completed: CompletedRuns,
 }
 
 impl Quarantine {
-    /// Nothing is known. `draw` in 0..1 is this gate's own.
-    pub fn new(draw: f64) -> Self {
-        Quarantine { draw, suspects: HashMap::new(), cleared: HashMap::new(), completed: CompletedRuns::default() }
+    /// A quarantine without evidence. `jitter` in 0..1 is this gate's share of the random extension.
+    pub fn new(jitter: f64) -> Self {
+        Quarantine { jitter, suspects: HashMap::new(), cleared: HashMap::new(), completed: CompletedRuns::default() }
     }
 
-    /// What becomes of a request that arrives.
+    /// Returns the decision on a request that arrives.
     pub fn verdict(&self, signature: &RequestSignature, now: Timestamp) -> Verdict {
         if self.suspects.is_empty() {
             return Verdict::Runs;
         }
         let suspects = signature.keys().into_iter().filter_map(|key| self.suspects.get(&key));
-        suspects.map(|suspect| suspect.verdict(self.draw, now)).max().unwrap_or(Verdict::Runs)
+        suspects.map(|suspect| suspect.verdict(self.jitter, now)).max().unwrap_or(Verdict::Runs)
     }
 
-    /// A target has crashed. Counts it against the requests that ran there, and returns the evidence to broadcast.
-    pub fn record_crash(&mut self, end: &TargetCrash, now: Timestamp) -> Vec<SuspectRecord> {
+    /// Counts the crash of a target against the requests that ran there, and returns the evidence to broadcast.
+    pub fn record_crash(&mut self, crash: &TargetCrash, now: Timestamp) -> Vec<SuspectRecord> {
         self.remove_expired(now);
-        let id = CrashId::of(&end.target);
+        let id = CrashId::of(&crash.target);
         let mut records = Vec::new();
-        for key in end.signatures.iter().flat_map(RequestSignature::keys) {
+        for key in crash.signatures.iter().flat_map(RequestSignature::keys) {
             if self.completed.completed_recently(key, now) {
                 continue;
             }
@@ -134,26 +137,28 @@
                 records.push(SuspectRecord { key, crashes: vec![id], age: Duration::ZERO });
             }
         }
-        records.truncate(MOST_RECORDS);
+        records.truncate(MAX_RECORDS_PER_MESSAGE);
         records
     }
 
-    /// Merges the evidence of another node. Returns the requests that have completed here since, which clears them at the sender too.
+    /// Merges the evidence of another node. Returns the requests that have completed here since; this clears them at
+    /// the sender too.
     pub fn merge(&mut self, records: &[SuspectRecord], now: Timestamp) -> Vec<SignatureKey> {
-        let mut harmless = Vec::new();
-        for record in records.iter().take(MOST_RECORDS) {
-            let last_end = Timestamp(now.0.saturating_sub(record.age.as_micros() as u64));
-            let is_cleared = self.cleared.get(&record.key).is_some_and(|cleared| *cleared >= last_end);
+        let mut completed_here = Vec::new();
+        for record in records.iter().take(MAX_RECORDS_PER_MESSAGE) {
+            let last_crash = Timestamp(now.0.saturating_sub(record.age.as_micros() as u64));
+            let is_cleared = self.cleared.get(&record.key).is_some_and(|cleared| *cleared >= last_crash);
             if is_cleared || self.completed.completed_recently(record.key, now) {
-                harmless.push(record.key);
+                completed_here.push(record.key);
                 continue;
             }
-            self.count_crashes(record.key, &record.crashes, last_end, now);
+            self.count_crashes(record.key, &record.crashes, last_crash, now);
         }
-        harmless
+        completed_here
     }
 
-    /// A request has completed here. Returns the keys that are cleared by this and that other nodes may suspect too.
+    /// Records that a request has completed here. Returns the keys that this clears and that other nodes may suspect
+    /// too.
     pub fn record_completion(&mut self, signature: &RequestSignature, now: Timestamp) -> Vec<SignatureKey> {
         let mut cleared = Vec::new();
         for key in signature.keys() {
@@ -162,107 +167,108 @@
                 continue;
             }
             let suspect = self.suspects.remove(&key);
-            if suspect.is_some_and(|suspect| suspect.ends.len() >= NOTABLE_FROM) {
-                self.note_cleared(key, now);
+            if suspect.is_some_and(|suspect| suspect.crashes.len() >= GOSSIP_THRESHOLD) {
+                self.retain_cleared(key, now);
                 cleared.push(key);
             }
         }
         cleared
     }
 
-    /// These requests have completed at another node.
+    /// Records that these requests have completed at another node.
     pub fn record_cleared(&mut self, keys: &[SignatureKey], now: Timestamp) {
-        for key in keys.iter().take(MOST_RECORDS) {
+        for key in keys.iter().take(MAX_RECORDS_PER_MESSAGE) {
             if self.suspects.remove(key).is_some() {
-                self.note_cleared(*key, now);
+                self.retain_cleared(*key, now);
             }
         }
     }
 
-    /// The evidence that is gossiped: requests with more than one crash.
+    /// Returns the evidence to gossip: requests with more than one crash.
     pub fn gossip_records(&self, now: Timestamp) -> Vec<SuspectRecord> {
-        self.records(NOTABLE_FROM, now)
+        self.records(GOSSIP_THRESHOLD, now)
     }
 
-    /// All evidence, for a node that has just started.
+    /// Returns all evidence, for a node that has just started.
     pub fn all_records(&self, now: Timestamp) -> Vec<SuspectRecord> {
         self.records(1, now)
     }
 
-    /// The number of suspect requests.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether no request is suspect.
+    /// Returns whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Whether there is anything to gossip.
+    /// Returns whether there is evidence to gossip.
     pub fn has_gossip(&self) -> bool {
-        self.suspects.values().any(|suspect| suspect.ends.len() >= NOTABLE_FROM)
+        self.suspects.values().any(|suspect| suspect.crashes.len() >= GOSSIP_THRESHOLD)
     }
 
-    /// Forgets what is too old.
+    /// Removes expired suspects and cleared requests.
     pub fn remove_expired(&mut self, now: Timestamp) {
-        let draw = self.draw;
+        let jitter = self.jitter;
         self.suspects.retain(|_, suspect| {
-            let is_refused = matches!(suspect.verdict(draw, now), Verdict::Refused(_));
-            is_refused || now.since(suspect.last_end) < REMEMBERED_FOR
+            let is_refused = matches!(suspect.verdict(jitter, now), Verdict::Refused(_));
+            is_refused || now.since(suspect.last_crash) < EVIDENCE_LIFETIME
         });
-        self.cleared.retain(|_, at| now.since(*at) < REMEMBERED_FOR);
+        self.cleared.retain(|_, at| now.since(*at) < EVIDENCE_LIFETIME);
     }
 
-    /// Counts crashes against a request; returns whether one of them was not known.
-    fn count_crashes(&mut self, key: SignatureKey, ends: &[CrashId], last_end: Timestamp, now: Timestamp) -> bool {
-        if ends.is_empty() {
+    /// Counts crashes against a request; returns whether one of them is new.
+    fn count_crashes(&mut self, key: SignatureKey, crashes: &[CrashId], last_crash: Timestamp, now: Timestamp) -> bool {
+        if crashes.is_empty() {
             return false;
         }
-        if self.suspects.len() >= MOST_SUSPECTS && !self.suspects.contains_key(&key) {
-            self.make_room(now);
+        if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&key) {
+            self.evict_suspect(now);
         }
-        let suspect = self.suspects.entry(key).or_insert_with(|| Suspect { ends: Vec::new(), last_end });
+        let suspect = self.suspects.entry(key).or_insert_with(|| Suspect { crashes: Vec::new(), last_crash });
         let mut is_new = false;
-        for end in ends {
-            is_new |= suspect.add(*end);
+        for crash in crashes {
+            is_new |= suspect.add(*crash);
         }
         if is_new {
-            suspect.last_end = suspect.last_end.max(last_end);
+            suspect.last_crash = suspect.last_crash.max(last_crash);
         }
         is_new
     }
 
-    fn make_room(&mut self, now: Timestamp) {
+    fn evict_suspect(&mut self, now: Timestamp) {
         self.remove_expired(now);
-        if self.suspects.len() < MOST_SUSPECTS {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let least = self.suspects.iter().min_by_key(|(key, suspect)| (suspect.ends.len(), suspect.last_end, **key));
-        if let Some(key) = least.map(|(key, _)| *key) {
+        let weakest =
+            self.suspects.iter().min_by_key(|(key, suspect)| (suspect.crashes.len(), suspect.last_crash, **key));
+        if let Some(key) = weakest.map(|(key, _)| *key) {
             self.suspects.remove(&key);
         }
     }
 
-    fn note_cleared(&mut self, key: SignatureKey, now: Timestamp) {
-        if self.cleared.len() >= MOST_CLEARED {
+    fn retain_cleared(&mut self, key: SignatureKey, now: Timestamp) {
+        if self.cleared.len() >= MAX_CLEARED {
             let oldest = self.cleared.iter().min_by_key(|(key, at)| (**at, **key)).map(|(key, _)| *key);
             oldest.map(|key| self.cleared.remove(&key));
         }
         self.cleared.insert(key, now);
     }
 
-    fn records(&self, fewest_ends: usize, now: Timestamp) -> Vec<SuspectRecord> {
-        let wanted = self.suspects.iter().filter(|(_, suspect)| suspect.ends.len() >= fewest_ends);
-        let mut records: Vec<SuspectRecord> = wanted
+    fn records(&self, min_crashes: usize, now: Timestamp) -> Vec<SuspectRecord> {
+        let selected = self.suspects.iter().filter(|(_, suspect)| suspect.crashes.len() >= min_crashes);
+        let mut records: Vec<SuspectRecord> = selected
             .map(|(key, suspect)| SuspectRecord {
                 key: *key,
-                crashes: suspect.ends.clone(),
-                age: now.since(suspect.last_end),
+                crashes: suspect.crashes.clone(),
+                age: now.since(suspect.last_crash),
             })
             .collect();
         records.sort_unstable_by_key(|record| (usize::MAX - record.crashes.len(), record.age, record.key));
-        records.truncate(MOST_RECORDS);
+        records.truncate(MAX_RECORDS_PER_MESSAGE);
         records
     }
 }
--- a/crates/mesh/src/quarantine/mod.rs
+++ b/crates/mesh/src/quarantine/mod.rs
@@ -1,15 +1,17 @@
-//! Requests that crash the targets that run them, and how the harm is bounded over all nodes.
+//! Detects requests that crash the targets that run them (queries of death), and bounds the crashes over all nodes.
 //!
-//! Such a request comes again and again, each time with another id and at another machine. So what a request did is remembered under its
-//! [`RequestSignature`], where every copy must pass: at the gates of the service. The gate whose target crashed counts the crash against all
-//! calls that ran there, since any of them may have caused it, and broadcasts this evidence to the other gates of the service, where crashes
-//! add up. A request that completes anywhere is cleared. From the third crash on it is refused, for a time that doubles with each further one.
+//! Such a request arrives repeatedly, each time with another id and at another machine. So its crashes are counted
+//! under its [`RequestSignature`], at the gates of the service, which every copy must pass. The gate whose target
+//! crashed counts the crash against all calls that ran there, since any of them may have caused it, and broadcasts this
+//! evidence to the other gates of the service, where crashes add up. A request that completes anywhere is cleared. From
+//! the third crash on it is refused, for a time that doubles with each further one.
 //!
-//! Suspects are not made to run one at a time before: requests that only ran beside then wait for the harmful one, meet it again, and up to 58
-//! of 50,000 were refused in virtual fleets of 4 gates where 0 are without.
+//! Suspects don't run one at a time before that. Requests that only ran beside a crashing one would then wait for it
+//! and run beside it again: in simulations with 4 gates, up to 58 of 50,000 other requests were refused, compared with
+//! none now.
 //!
-//! Nothing is written anywhere. A gate that starts asks others of its service; parts that were cut off from each other count for
-//! themselves, and their ends add up again afterwards.
+//! Nothing is stored. A gate that starts queries others of its service. Parts of a partitioned fleet count separately,
+//! and their crashes add up again afterwards.
 
 mod completed;
 mod evidence;
--- a/crates/mesh/src/quarantine/runs.rs
+++ b/crates/mesh/src/quarantine/runs.rs
@@ -1,7 +1,8 @@
-//! The calls that a target works on, and those that broke off: what ran when it ended.
+//! Tracks the calls that run at a target, and those whose connection was lost: these ran when the target crashed, if it
+//! did.
 //!
-//! An answer may be lost while the target lives on. A target that ends breaks off all of its calls, so those that broke off are held
-//! until something shows whether it did.
+//! An answer may be lost while the target stays up. A target that crashes interrupts all of its calls, so interrupted
+//! calls are retained until the target's state is known.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,12 +12,13 @@
 use super::RequestSignature;
 use crate::targets::TargetId;
 
-/// The most calls that broke off and are held; more than the slots of most targets.
-const MOST_LOST: usize = 1024;
+/// The maximum number of interrupted calls that are retained; more than the slots of most targets.
+const MAX_INTERRUPTED: usize = 1024;
 
-/// For how long calls are held that broke off at a target which then told the same identity: it may have started again under it, which its
-/// registration tells within a heartbeat and the time of a change to spread.
-const HELD_FOR: Duration = Duration::from_secs(8);
+/// How long calls are retained that were interrupted at a target which then reported the same identity. It may have
+/// restarted under that identity; its registration shows this within a heartbeat and the time that the change takes to
+/// spread.
+const RESTART_REPORT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Identifies a run of a call at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,12 +26,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    began: Timestamp,
+    started: Timestamp,
     signature: RequestSignature,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LostRun {
+struct InterruptedRun {
     at: Timestamp,
     signature: RequestSignature,
 }
@@ -39,91 +41,98 @@
 pub struct RunTracker {
     next: u64,
     running: BTreeMap<RunId, Run>,
-    lost: Vec<LostRun>,
-    /// The target at which they broke off, if it was known.
-    lost_at: Option<TargetId>,
-    /// Those after which the target told the identity that it had before.
-    held: Vec<LostRun>,
+    interrupted: Vec<InterruptedRun>,
+    /// The target at which the calls were interrupted, if it was known.
+    interrupted_target: Option<TargetId>,
+    /// Interrupted calls after which the target reported the same identity as before.
+    undecided: Vec<InterruptedRun>,
 }
 
-/// A target that has ended.
+/// The crash of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetCrash {
     /// The target.
     pub target: TargetId,
-    /// The calls that it was working on.
+    /// The calls that were running there.
     pub signatures: Vec<RequestSignature>,
 }
 
 impl RunTracker {
-    /// A call goes to the target.
+    /// Records that a call is forwarded to the target.
     pub fn begin(&mut self, signature: RequestSignature, now: Timestamp) -> RunId {
         let id = RunId(self.next);
         self.next += 1;
-        self.running.insert(id, Run { began: now, signature });
+        self.running.insert(id, Run { started: now, signature });
         id
     }
 
-    /// The target has answered: it has survived the call, and whatever broke off before the call began. Returns the call's signature.
+    /// Records that the target has answered: it has survived this call, and whatever was interrupted before the call
+    /// began. Returns the call's signature.
     pub fn completed(&mut self, id: RunId) -> Option<RequestSignature> {
         let run = self.running.remove(&id)?;
-        self.lost.retain(|lost| lost.at >= run.began);
+        self.interrupted.retain(|interrupted| interrupted.at >= run.started);
         Some(run.signature)
     }
 
-    /// The call's connection to `target` ended without a whole answer.
+    /// Records that the call's connection to `target` was lost before the end of the answer.
     pub fn connection_lost(&mut self, id: RunId, target: Option<TargetId>, now: Timestamp) {
         let Some(run) = self.running.remove(&id) else { return };
-        if self.lost.is_empty() {
-            self.lost_at = target;
+        if self.interrupted.is_empty() {
+            self.interrupted_target = target;
         }
-        if self.lost.len() < MOST_LOST {
-            self.lost.push(LostRun { at: now, signature: run.signature });
+        if self.interrupted.len() < MAX_INTERRUPTED {
+            self.interrupted.push(InterruptedRun { at: now, signature: run.signature });
         }
     }
 
-    /// The call was given up by its caller, was refused by the target or is out of time, which says nothing of the target.
+    /// Records that the call was cancelled by its caller, refused by the target, or timed out. This shows nothing about
+    /// the target.
     pub fn abandoned(&mut self, id: RunId) {
         self.running.remove(&id);
     }
 
-    /// Whether calls have broken off and nothing has shown since whether the target ended.
+    /// Returns whether calls were interrupted and it is still unknown whether the target crashed.
     pub fn has_interrupted(&self) -> bool {
-        !self.lost.is_empty()
+        !self.interrupted.is_empty()
     }
 
-    /// The target with this identity answers.
+    /// Records that the target has reported this identity. Returns the crash of the previous target, if there was one.
     pub fn target_identified(&mut self, id: &str) -> Option<TargetCrash> {
-        if self.lost_at.as_deref() == Some(id) {
-            self.held.append(&mut self.lost);
-            self.held.truncate(MOST_LOST);
+        if self.interrupted_target.as_deref() == Some(id) {
+            self.undecided.append(&mut self.interrupted);
+            self.undecided.truncate(MAX_INTERRUPTED);
         }
         self.target_crashed()
     }
 
-    /// Whether a call that was under way when the last one broke off still is; then the target lives.
+    /// Returns whether a call that was running before the last interruption still runs; then the target is up.
     pub fn has_survivors(&self) -> bool {
-        let last = self.lost.iter().map(|lost| lost.at).max();
-        last.is_some_and(|last| self.running.values().any(|run| run.began < last))
+        let last = self.interrupted.iter().map(|interrupted| interrupted.at).max();
+        last.is_some_and(|last| self.running.values().any(|run| run.started < last))
     }
 
-    /// The target lives: what broke off did not end it.
+    /// Records that the target is up: the interrupted calls have not crashed it.
     pub fn target_alive(&mut self) {
-        self.lost.clear();
+        self.interrupted.clear();
     }
 
-    /// The target has started again under its identity `id`.
+    /// Records that the target has restarted under its identity `id`. Returns the crash, if calls were interrupted by
+    /// it.
     pub fn target_restarted(&mut self, id: &TargetId, now: Timestamp) -> Option<TargetCrash> {
-        let held = self.held.drain(..).filter(|lost| now.since(lost.at) <= HELD_FOR);
-        let signatures: Vec<RequestSignature> = held.chain(self.lost.drain(..)).map(|lost| lost.signature).collect();
-        self.lost_at = None;
+        let undecided =
+            self.undecided.drain(..).filter(|interrupted| now.since(interrupted.at) <= RESTART_REPORT_TIMEOUT);
+        let signatures: Vec<RequestSignature> =
+            undecided.chain(self.interrupted.drain(..)).map(|interrupted| interrupted.signature).collect();
+        self.interrupted_target = None;
         (!signatures.is_empty()).then(|| TargetCrash { target: id.clone(), signatures })
     }
 
-    /// The target at which calls broke off has ended. `None` if none did, or if it was not known.
+    /// Records that the target at which calls were interrupted has crashed. Returns `None` if no calls were
+    /// interrupted, or if the target was unknown.
     pub fn target_crashed(&mut self) -> Option<TargetCrash> {
-        let signatures: Vec<RequestSignature> = self.lost.drain(..).map(|lost| lost.signature).collect();
-        let target = self.lost_at.take()?;
+        let signatures: Vec<RequestSignature> =
+            self.interrupted.drain(..).map(|interrupted| interrupted.signature).collect();
+        let target = self.interrupted_target.take()?;
         (!signatures.is_empty()).then_some(TargetCrash { target, signatures })
     }
 }
--- a/crates/mesh/src/quarantine/signature.rs
+++ b/crates/mesh/src/quarantine/signature.rs
@@ -1,12 +1,14 @@
-//! What a request asks for, independent of its id and of the machine at which it arrives.
+//! The identity of a request by its content, independent of its id and of the machine at which it arrives.
 
 use std::hash::{Hash, Hasher};
 
 use derive_more::Display;
 use siphasher::sip::SipHasher13;
 
-/// The hash key. SipHash, since callers choose what is hashed and must not be able to make another's request look like their own; a call pays
-/// 0.19 us for all of this module (0.49 us with a body of 1 KB), measured by `cargo bench -p quillhatch-mesh --bench quarantine`. It is the same at all nodes, which compare signatures, and in all releases.
+/// The hash key. SipHash is used since callers choose what is hashed and must not be able to make another caller's
+/// request look like their own. A call pays 0.19 us for all of this module (0.49 us with a body of 1 KB), measured by
+/// `cargo bench -p quillhatch-mesh --bench quarantine`. The key is the same at all nodes, which compare signatures, and
+/// in all releases.
 const HASH_KEY: (u64, u64) = (0x7175_696c_6c68_6174, 0x6372_6173_6865_7321);
 
 /// A hash of some parts of a request.
@@ -14,40 +16,40 @@
 #[display("{_0:016x}")]
 pub struct SignatureKey(pub u64);
 
-/// The parts of a request that say what it asks for.
+/// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host that it names.
+    /// The requested host.
     pub host: &'a str,
     /// The path without the query.
     pub path: &'a str,
     /// The query; empty if there is none.
     pub query: &'a str,
-    /// The body, as far as it is held in memory.
+    /// The body, as far as it is in memory.
     pub body: &'a [u8],
-    /// The tenant that sends it; empty without tenants.
+    /// The tenant that sends the request; empty without tenants.
     pub tenant: &'a str,
-    /// The service at whose machine it began.
+    /// The service at whose machine the request entered.
     pub caller: &'a str,
 }
 
-/// What a request asks for, in two grades.
+/// Two hashes that identify a request: a wide and a narrow one.
 ///
-/// A request may crash targets whatever its query and whoever sends it, or only with these. Where requests that differ in them run well, the
-/// wide grade is cleared and the narrow one still tells the harmful request. With the tenant in the wide grade, copies of three tenants
-/// ended 10 targets of a soak instead of 3.
+/// A request may crash targets whatever its query and its sender, or only with these. If requests that differ in them
+/// complete, the wide key is cleared and the narrow one still identifies the crashing request. With the tenant in the
+/// wide key, copies from three tenants crashed 10 targets in a soak test instead of 3.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestSignature {
-    /// Without the query, the tenant and the service at whose machine it began.
+    /// The hash without the query, the tenant and the service at whose machine the request entered.
     pub wide: SignatureKey,
-    /// With all of them.
+    /// The hash of all parts.
     pub narrow: SignatureKey,
 }
 
 impl RequestSignature {
-    /// The signature of a request.
+    /// Returns the signature of a request.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let mut hasher = SipHasher13::new_with_keys(HASH_KEY.0, HASH_KEY.1);
         (parts.method, parts.host, parts.path, parts.body).hash(&mut hasher);
@@ -56,7 +58,7 @@
         RequestSignature { wide, narrow: SignatureKey(hasher.finish()) }
     }
 
-    /// Both grades.
+    /// Returns both keys.
     pub fn keys(&self) -> [SignatureKey; 2] {
         [self.wide, self.narrow]
     }
--- a/crates/mesh/tests/decisions/quarantine.rs
+++ b/crates/mesh/tests/decisions/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is known of requests that crash targets.
+//! Evidence against requests that crash targets, and the quarantine that follows.
 
 use std::time::Duration;
 
@@ -30,38 +30,38 @@
 #[test_case(RequestParts { body: b"x", ..parts() }, false; "body")]
 #[test_case(RequestParts { tenant: "office", ..parts() }, true; "tenant")]
 #[test_case(RequestParts { query: "page=2", ..parts() }, true; "query")]
-#[test_case(RequestParts { caller: "beta", ..parts() }, true; "service at whose machine it began")]
-fn requests_that_differ_have_other_signatures(other: RequestParts<'static>, is_widely_same: bool) {
-    let (signature, other) = (RequestSignature::of(&parts()), RequestSignature::of(&other));
+#[test_case(RequestParts { caller: "beta", ..parts() }, true; "service at whose machine it entered")]
+fn different_requests_have_different_signatures(second: RequestParts<'static>, has_same_wide_key: bool) {
+    let (signature, second) = (RequestSignature::of(&parts()), RequestSignature::of(&second));
     assert_eq!(signature, RequestSignature::of(&parts()));
-    assert_ne!(signature.narrow, other.narrow);
-    assert_eq!(signature.wide == other.wide, is_widely_same);
+    assert_ne!(signature.narrow, second.narrow);
+    assert_eq!(signature.wide == second.wide, has_same_wide_key);
 }
 
 #[test]
-fn parts_do_not_run_into_each_other() {
-    let one = RequestSignature::of(&RequestParts { host: "ab", path: "c", ..parts() });
-    let other = RequestSignature::of(&RequestParts { host: "a", path: "bc", ..parts() });
-    assert_ne!(one.wide, other.wide);
+fn parts_are_hashed_separately() {
+    let first = RequestSignature::of(&RequestParts { host: "ab", path: "c", ..parts() });
+    let second = RequestSignature::of(&RequestParts { host: "a", path: "bc", ..parts() });
+    assert_ne!(first.wide, second.wide);
 }
 
 #[test]
-fn calls_that_broke_off_before_a_restart_under_the_same_identity_were_running_when_it_ended() {
+fn calls_interrupted_before_a_restart_under_the_same_identity_count_as_running_at_the_crash() {
     let mut runs = RunTracker::default();
     let signature = RequestSignature::of(&parts());
     let first = runs.begin(signature, at(0));
     runs.connection_lost(first, Some("i-1".into()), at(10));
-    assert_eq!(runs.target_identified("i-1"), None, "the target tells its identity, which it may have had before");
-    // A call of the later life ends well before the registration tells of it.
+    assert_eq!(runs.target_identified("i-1"), None, "the target may have restarted under the same identity");
+    // A later call completes at the restarted target before its registration shows the restart.
     let second = runs.begin(signature, at(100));
     runs.completed(second);
-    let end = runs.target_restarted(&"i-1".into(), at(2_000)).expect("it had ended");
-    assert_eq!((&*end.target, end.signatures.len()), ("i-1", 1));
+    let crash = runs.target_restarted(&"i-1".into(), at(2_000)).expect("it had crashed");
+    assert_eq!((&*crash.target, crash.signatures.len()), ("i-1", 1));
     assert_eq!(runs.target_restarted(&"i-1".into(), at(2_100)), None, "counted once");
 }
 
 #[test]
-fn calls_that_broke_off_long_before_a_restart_are_not_laid_on_it() {
+fn calls_interrupted_long_before_a_restart_are_not_counted() {
     let mut runs = RunTracker::default();
     let run = runs.begin(RequestSignature::of(&parts()), at(0));
     runs.connection_lost(run, Some("i-1".into()), at(10));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn all_calls_that_broke_off_with_the_target_were_running_when_it_ended() {
+fn all_calls_interrupted_with_the_target_count_as_running_at_the_crash() {
     let mut runs = RunTracker::default();
     let signature = RequestSignature::of(&parts());
     let (first, second) = (runs.begin(signature, at(0)), runs.begin(signature, at(1)));
@@ -78,13 +78,13 @@
     assert!(runs.has_interrupted() && runs.has_survivors());
     runs.connection_lost(second, Some("i-1".into()), at(11));
     assert!(!runs.has_survivors());
-    let end = runs.target_crashed().expect("a target has ended");
-    assert_eq!((&*end.target, end.signatures.len()), ("i-1", 2));
+    let crash = runs.target_crashed().expect("a target has crashed");
+    assert_eq!((&*crash.target, crash.signatures.len()), ("i-1", 2));
     assert!(!runs.has_interrupted());
 }
 
 #[test]
-fn a_lost_answer_of_a_target_that_lives_is_no_end() {
+fn a_lost_answer_of_a_running_target_is_no_crash() {
     let mut runs = RunTracker::default();
     let signature = RequestSignature::of(&parts());
     let lost = runs.begin(signature, at(0));
@@ -99,22 +99,22 @@
 }
 
 #[test]
-fn a_call_that_was_answered_before_the_end_was_not_running() {
+fn a_call_answered_before_the_crash_does_not_count_as_running() {
     let mut runs = RunTracker::default();
     let signature = RequestSignature::of(&parts());
     let (lost, answered) = (runs.begin(signature, at(0)), runs.begin(signature, at(1)));
     runs.connection_lost(lost, Some("i-1".into()), at(10));
-    // Its answer was on its way when the target ended.
+    // Its answer was on its way when the target crashed.
     runs.completed(answered);
-    let end = runs.target_identified("i-2").expect("another target is there");
-    assert_eq!((&*end.target, end.signatures.len()), ("i-1", 1));
+    let crash = runs.target_identified("i-2").expect("another target is identified");
+    assert_eq!((&*crash.target, crash.signatures.len()), ("i-1", 1));
 }
 
-fn of_path(path: &str) -> RequestSignature {
+fn signature_of_path(path: &str) -> RequestSignature {
     RequestSignature::of(&RequestParts { path, ..parts() })
 }
 
-fn end(target: usize, signatures: &[RequestSignature]) -> TargetCrash {
+fn crash(target: usize, signatures: &[RequestSignature]) -> TargetCrash {
     TargetCrash { target: format!("i-{target}").into(), signatures: signatures.to_vec() }
 }
 
@@ -127,133 +127,140 @@
     keys
 }
 
-/// A quarantine in which `ends` targets have ended under one request, one a second from the tenth second on.
-fn after_ends(ends: usize, draw: f64) -> (Quarantine, RequestSignature) {
-    let (mut quarantine, signature) = (Quarantine::new(draw), of_path("/crash"));
-    for number in 0..ends {
-        quarantine.record_crash(&end(number, &[signature]), seconds(10 + number as u64));
+/// A quarantine in which `crashes` targets have crashed under one request, one a second from the tenth second on.
+fn after_crashes(crashes: usize, jitter: f64) -> (Quarantine, RequestSignature) {
+    let (mut quarantine, signature) = (Quarantine::new(jitter), signature_of_path("/crash"));
+    for number in 0..crashes {
+        quarantine.record_crash(&crash(number, &[signature]), seconds(10 + number as u64));
     }
     (quarantine, signature)
 }
 
-#[test_case(2, 0.0, None; "two ends")]
-#[test_case(3, 0.0, Some(120); "three ends")]
-#[test_case(3, 1.0, Some(180); "three ends, the longest draw")]
-#[test_case(4, 0.0, Some(240); "four ends")]
-#[test_case(30, 0.0, Some(3840); "many ends")]
-fn a_request_is_refused_from_the_third_end_on(ends: usize, draw: f64, refused_for: Option<u64>) {
-    let (quarantine, signature) = after_ends(ends, draw);
-    let last = seconds(9 + ends as u64);
+#[test_case(2, 0.0, None; "two crashes")]
+#[test_case(3, 0.0, Some(120); "three crashes")]
+#[test_case(3, 1.0, Some(180); "three crashes, the maximum jitter")]
+#[test_case(4, 0.0, Some(240); "four crashes")]
+#[test_case(30, 0.0, Some(3840); "many crashes")]
+fn a_request_is_refused_from_the_third_crash_on(crashes: usize, jitter: f64, refused_for: Option<u64>) {
+    let (quarantine, signature) = after_crashes(crashes, jitter);
+    let last = seconds(9 + crashes as u64);
     let expected = refused_for.map_or(Verdict::Runs, |time| Verdict::Refused(Duration::from_secs(time)));
     assert_eq!(quarantine.verdict(&signature, last), expected);
     let over = last + Duration::from_secs(refused_for.unwrap_or_default());
     assert_eq!(quarantine.verdict(&signature, over), Verdict::Runs);
-    assert_eq!(quarantine.verdict(&of_path("/other"), last), Verdict::Runs);
+    assert_eq!(quarantine.verdict(&signature_of_path("/other"), last), Verdict::Runs);
 }
 
 #[test]
-fn one_more_end_after_the_time_is_over_is_enough() {
-    let (mut quarantine, signature) = after_ends(3, 0.0);
-    quarantine.record_crash(&end(9, &[signature]), seconds(200));
+fn one_more_crash_after_a_quarantine_is_enough() {
+    let (mut quarantine, signature) = after_crashes(3, 0.0);
+    quarantine.record_crash(&crash(9, &[signature]), seconds(200));
     assert_eq!(quarantine.verdict(&signature, seconds(200)), Verdict::Refused(Duration::from_secs(240)));
 }
 
 #[test]
-fn the_end_of_one_target_counts_once_however_often_it_is_told() {
-    let (mut quarantine, signature) = (Quarantine::new(0.0), of_path("/crash"));
-    let records = quarantine.record_crash(&end(1, &[signature, signature]), seconds(1));
-    assert_eq!(records.len(), 2, "both grades, each once");
-    let mut other = Quarantine::new(0.0);
+fn one_crash_counts_once_however_often_it_is_reported() {
+    let (mut quarantine, signature) = (Quarantine::new(0.0), signature_of_path("/crash"));
+    let records = quarantine.record_crash(&crash(1, &[signature, signature]), seconds(1));
+    assert_eq!(records.len(), 2, "both keys, each once");
+    let mut second = Quarantine::new(0.0);
     for _ in 0..5 {
-        assert_eq!(other.merge(&records, seconds(2)), []);
+        assert_eq!(second.merge(&records, seconds(2)), []);
     }
-    assert!(!other.has_gossip());
-    assert_eq!(other.verdict(&signature, seconds(2)), Verdict::Runs);
+    assert!(!second.has_gossip());
+    assert_eq!(second.verdict(&signature, seconds(2)), Verdict::Runs);
 }
 
 #[test]
-fn ends_that_were_seen_apart_add_up() {
-    let signature = of_path("/crash");
+fn crashes_seen_by_different_gates_add_up() {
+    let signature = signature_of_path("/crash");
     let mut gates = [Quarantine::new(0.0), Quarantine::new(0.0)];
     for (number, gate) in gates.iter_mut().enumerate() {
-        gate.record_crash(&end(2 * number, &[signature]), seconds(10));
-        gate.record_crash(&end(2 * number + 1, &[signature]), seconds(11));
+        gate.record_crash(&crash(2 * number, &[signature]), seconds(10));
+        gate.record_crash(&crash(2 * number + 1, &[signature]), seconds(11));
         assert_eq!(gate.verdict(&signature, seconds(12)), Verdict::Runs);
     }
-    let told = gates[0].gossip_records(seconds(12));
-    gates[1].merge(&told, seconds(12));
+    let records = gates[0].gossip_records(seconds(12));
+    gates[1].merge(&records, seconds(12));
     assert!(matches!(gates[1].verdict(&signature, seconds(12)), Verdict::Refused(_)));
-    // One that has just started is told all.
+    // A gate that has just started receives all evidence.
     let mut new = Quarantine::new(0.0);
     new.merge(&gates[1].all_records(seconds(13)), seconds(1));
     assert!(matches!(new.verdict(&signature, seconds(1)), Verdict::Refused(_)));
 }
 
 #[test]
-fn what_is_told_again_and_again_does_not_make_the_time_longer() {
-    let (mut one, signature) = after_ends(3, 0.0);
-    let mut other = Quarantine::new(0.0);
-    // Each message is under way for 200 ms.
+fn repeated_evidence_does_not_extend_a_quarantine() {
+    let (mut first, signature) = after_crashes(3, 0.0);
+    let mut second = Quarantine::new(0.0);
+    // Each message takes 200 ms.
     for round in 0..50 {
         let now = seconds(20 + round);
         let later = now + Duration::from_millis(200);
-        other.merge(&one.gossip_records(now), later);
-        one.merge(&other.gossip_records(later), later + Duration::from_millis(200));
+        second.merge(&first.gossip_records(now), later);
+        first.merge(&second.gossip_records(later), later + Duration::from_millis(200));
     }
-    let Verdict::Refused(left) = one.verdict(&signature, seconds(70)) else { panic!("it is refused") };
+    let Verdict::Refused(left) = first.verdict(&signature, seconds(70)) else { panic!("it is refused") };
     assert_eq!(left, Duration::from_secs(12 + 120 - 70));
 }
 
 #[test]
-fn a_run_that_ends_well_clears_its_request_everywhere() {
-    let (mut one, signature) = after_ends(2, 0.0);
-    let mut other = Quarantine::new(0.0);
-    other.merge(&one.gossip_records(seconds(12)), seconds(12));
-    let stale = one.gossip_records(seconds(12));
-    let cleared = one.record_completion(&signature, seconds(13));
+fn a_completed_run_clears_its_request_everywhere() {
+    let (mut first, signature) = after_crashes(2, 0.0);
+    let mut second = Quarantine::new(0.0);
+    second.merge(&first.gossip_records(seconds(12)), seconds(12));
+    let stale = first.gossip_records(seconds(12));
+    let cleared = first.record_completion(&signature, seconds(13));
     assert_eq!(cleared, signature.keys());
-    other.record_cleared(&cleared, seconds(13));
-    assert!(one.is_empty() && other.is_empty());
-    // News of before that comes late is answered, not believed.
-    let mut harmless = other.merge(&stale, seconds(12));
-    harmless.sort();
-    assert_eq!(harmless, sorted(signature.keys()));
-    assert!(other.is_empty());
+    second.record_cleared(&cleared, seconds(13));
+    assert!(first.is_empty() && second.is_empty());
+    // Old evidence that arrives late is answered with the cleared keys and not counted.
+    let mut completed_there = second.merge(&stale, seconds(12));
+    completed_there.sort();
+    assert_eq!(completed_there, sorted(signature.keys()));
+    assert!(second.is_empty());
 }
 
 #[test]
-fn a_request_that_ran_well_a_moment_ago_is_not_suspect() {
-    let (mut quarantine, signature) = (Quarantine::new(0.0), of_path("/popular"));
+fn a_request_that_completed_recently_is_not_suspected() {
+    let (mut quarantine, signature) = (Quarantine::new(0.0), signature_of_path("/popular"));
     for number in 0..5 {
         quarantine.record_completion(&signature, seconds(10));
-        assert!(quarantine.record_crash(&end(number, &[signature]), at(11_900)).is_empty());
+        assert!(quarantine.record_crash(&crash(number, &[signature]), at(11_900)).is_empty());
     }
-    assert!(!quarantine.record_crash(&end(9, &[signature]), at(12_100)).is_empty(), "two seconds later it is");
+    assert!(
+        !quarantine.record_crash(&crash(9, &[signature]), at(12_100)).is_empty(),
+        "it is suspected after two seconds"
+    );
 }
 
 #[test]
-fn others_that_differ_in_the_query_or_the_caller_clear_only_the_wide_grade() {
-    let harmful = RequestSignature::of(&RequestParts { query: "page=13", ..parts() });
+fn requests_with_another_query_or_caller_clear_only_the_wide_key() {
+    let crashing = RequestSignature::of(&RequestParts { query: "page=13", ..parts() });
     let mut quarantine = Quarantine::new(0.0);
     for number in 0..3 {
-        quarantine.record_crash(&end(number, &[harmful]), seconds(10));
+        quarantine.record_crash(&crash(number, &[crashing]), seconds(10));
         quarantine.record_completion(&RequestSignature::of(&parts()), seconds(10));
     }
-    assert!(matches!(quarantine.verdict(&harmful, seconds(10)), Verdict::Refused(_)));
+    assert!(matches!(quarantine.verdict(&crashing, seconds(10)), Verdict::Refused(_)));
     assert_eq!(quarantine.verdict(&RequestSignature::of(&parts()), seconds(10)), Verdict::Runs);
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_lapses() {
-    let (mut quarantine, harmful) = after_ends(3, 0.0);
+fn evidence_is_bounded_and_expires() {
+    let (mut quarantine, crashing) = after_crashes(3, 0.0);
     for target in 100..140 {
-        let others: Vec<RequestSignature> = (0..500).map(|number| of_path(&format!("/{target}/{number}"))).collect();
-        let told = quarantine.record_crash(&end(target, &others), seconds(20));
-        assert!(told.len() <= 512);
+        let others: Vec<RequestSignature> =
+            (0..500).map(|number| signature_of_path(&format!("/{target}/{number}"))).collect();
+        let records = quarantine.record_crash(&crash(target, &others), seconds(20));
+        assert!(records.len() <= 512);
     }
     assert!(quarantine.len() <= 2048, "{}", quarantine.len());
     assert!(quarantine.all_records(seconds(20)).len() <= 512);
-    assert!(matches!(quarantine.verdict(&harmful, seconds(20)), Verdict::Refused(_)), "it is among those that stay");
+    assert!(
+        matches!(quarantine.verdict(&crashing, seconds(20)), Verdict::Refused(_)),
+        "suspects with most crashes are retained"
+    );
     let forged = (0..5000).map(|key| SuspectRecord {
         key: SignatureKey(key),
         crashes: (0..100).map(CrashId).collect(),
--- a/crates/mesh/tests/quarantine/fleet.rs
+++ b/crates/mesh/tests/quarantine/fleet.rs
@@ -1,5 +1,5 @@
-//! The gates of one service on a virtual clock, with the real decisions: copies of a request that crashes targets arrive among others, targets
-//! come back, datagrams are lost, parts are cut off, gates start again.
+//! The gates of one service on a virtual clock, with the actual decision code. Copies of a request that crashes targets
+//! arrive among other requests; targets restart, datagrams are lost, nodes are partitioned, and gates restart.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,99 +11,99 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Who remembers what requests did.
+/// The nodes that store the evidence against requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knowing {
-    /// Nobody.
+pub enum EvidenceHolder {
+    /// No node.
     Nobody,
-    /// The gate of a target that ended holds the end against all that ran there; gates refuse.
+    /// The gate of a crashed target counts the crash against all requests that ran there; gates refuse requests.
     Gates,
-    /// Each edge holds an end against its own call that broke off; edges refuse.
+    /// Each edge counts a crash against its own call that was interrupted; edges refuse requests.
     Edges,
 }
 
-/// How others learn of it.
+/// The exchange of evidence between the nodes that store it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Telling {
-    /// In datagrams to all who remember, and to one of them each second.
+pub enum Exchange {
+    /// In datagrams: broadcast at once, and gossiped to one random node each second.
     Datagrams,
-    /// With calls: an answer brings what the gate knows, the edge's next call takes it on.
+    /// With calls: an answer carries the gate's evidence, and the edge's next call carries it on.
     WithCalls,
 }
 
-/// What is played.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
-    pub knowing: Knowing,
-    pub telling: Telling,
-    /// Nodes with a target of the service each.
+pub struct Scenario {
+    pub holder: EvidenceHolder,
+    pub exchange: Exchange,
+    /// The number of nodes; each has a target of the service.
     pub nodes: usize,
-    /// Calls a second with paths of their own, and with one popular path.
+    /// Calls a second: most with a path of their own, the others with one popular path.
     pub rate: f64,
-    /// How long such a call runs, in seconds, at least and at most.
-    pub work: (f64, f64),
-    /// How often a call is sent in all, by edges and by its caller, while targets end under it.
+    /// The minimum and maximum run time of such a call, in seconds.
+    pub run_time_s: (f64, f64),
+    /// The maximum number of attempts of a call whose targets crash, by edges and by its caller.
     pub attempts: u32,
-    /// Copies of the harmful request a second.
-    pub copies: f64,
+    /// Copies of the crashing request a second.
+    pub crashing_rate: f64,
     /// The share of datagrams that are lost.
-    pub loss: f64,
-    /// Nodes that get no datagrams and no calls of others between these seconds.
-    pub cut: Option<(usize, f64, f64)>,
-    /// Seconds at which the gate of a node starts again and knows nothing.
-    pub restarts: &'static [(usize, f64)],
-    /// Seconds at which the target of a node ends for a cause of its own.
-    pub kills: &'static [(usize, f64)],
+    pub datagram_loss: f64,
+    /// The number of nodes that are partitioned from the others, and the start and end in seconds.
+    pub partition: Option<(usize, f64, f64)>,
+    /// Nodes whose gates restart without evidence, and when, in seconds.
+    pub gate_restarts: &'static [(usize, f64)],
+    /// Nodes whose targets crash for another reason, and when, in seconds.
+    pub unrelated_crashes: &'static [(usize, f64)],
     pub seed: u64,
     pub seconds: f64,
 }
 
-/// What came of it.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// When a target ended under the harmful request, in seconds.
-    pub ends: Vec<f64>,
-    /// Other calls that were refused as harmful.
+    /// The times at which a target crashed under the crashing request, in seconds.
+    pub crashes: Vec<f64>,
+    /// The number of other calls that were refused by the quarantine.
     pub refused_others: usize,
-    /// Other calls in all.
+    /// The number of other calls.
     pub others: usize,
-    /// Datagrams that were sent.
+    /// The number of datagrams sent.
     pub datagrams: usize,
 }
 
-const DOWN_S: f64 = 1.5;
-const HARMFUL: u64 = 0;
-const POPULAR: u64 = 1;
+const TARGET_RESTART_S: f64 = 1.5;
+const CRASHING_REQUEST: u64 = 0;
+const POPULAR_REQUEST: u64 = 1;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
     Arrives { request: u64, edge: usize, attempt: u32 },
-    Answers { node: usize, life: u32, run: RunId, request: u64, edge: usize },
-    Ends { node: usize, life: u32, is_harm: bool },
-    Back { node: usize },
+    Answers { node: usize, incarnation: u32, run: RunId, request: u64, edge: usize },
+    Crashes { node: usize, incarnation: u32, is_by_request: bool },
+    TargetUp { node: usize },
     Datagram { to: usize, records: Vec<SuspectRecord>, cleared: Vec<SignatureKey>, from: usize },
-    Round { node: usize },
-    Restarts { node: usize },
+    GossipRound { node: usize },
+    GateRestarts { node: usize },
 }
 
 struct Node {
     quarantine: Quarantine,
     runs: RunTracker,
-    /// Calls that run: the edge and the request, to be sent again.
+    /// The calls that run: run, request, edge and number of the attempt.
     running: Vec<(RunId, u64, usize, u32)>,
-    life: u32,
+    incarnation: u32,
     is_up: bool,
 }
 
 pub struct Fleet {
-    play: Play,
+    scenario: Scenario,
     nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: Vec<Option<Event>>,
     random: Pcg64,
     now: Timestamp,
     outcome: Outcome,
-    /// What each edge has heard with answers.
+    /// The evidence that each edge has received with answers.
     carried: Vec<Vec<SuspectRecord>>,
     next_path: u64,
 }
@@ -122,35 +122,35 @@
 }
 
 impl Fleet {
-    pub fn play(play: Play) -> Outcome {
+    pub fn run(scenario: Scenario) -> Outcome {
         let node = |number: usize| Node {
-            quarantine: Quarantine::new(number as f64 / play.nodes as f64),
+            quarantine: Quarantine::new(number as f64 / scenario.nodes as f64),
             runs: RunTracker::default(),
             running: Vec::new(),
-            life: 0,
+            incarnation: 0,
             is_up: true,
         };
         let mut fleet = Fleet {
-            play,
-            nodes: (0..play.nodes).map(node).collect(),
+            scenario,
+            nodes: (0..scenario.nodes).map(node).collect(),
             queue: BinaryHeap::new(),
             events: Vec::new(),
-            random: Pcg64::seed_from_u64(play.seed),
+            random: Pcg64::seed_from_u64(scenario.seed),
             now: Timestamp::ZERO,
             outcome: Outcome::default(),
-            carried: vec![Vec::new(); play.nodes],
-            next_path: POPULAR + 1,
+            carried: vec![Vec::new(); scenario.nodes],
+            next_path: POPULAR_REQUEST + 1,
         };
         fleet.schedule_arrivals();
-        for node in 0..play.nodes {
+        for node in 0..scenario.nodes {
             let first = fleet.random.gen_range(0.0..1.0);
-            fleet.at(first, Event::Round { node });
+            fleet.at(first, Event::GossipRound { node });
         }
-        for (node, at) in play.restarts {
-            fleet.at(*at, Event::Restarts { node: *node });
+        for (node, at) in scenario.gate_restarts {
+            fleet.at(*at, Event::GateRestarts { node: *node });
         }
-        for (node, at) in play.kills {
-            fleet.at(*at, Event::Ends { node: *node, life: u32::MAX, is_harm: false });
+        for (node, at) in scenario.unrelated_crashes {
+            fleet.at(*at, Event::Crashes { node: *node, incarnation: u32::MAX, is_by_request: false });
         }
         while let Some(Reverse((at, number))) = fleet.queue.pop() {
             fleet.now = Timestamp(at);
@@ -165,7 +165,7 @@
     }
 
     fn at(&mut self, seconds: f64, event: Event) {
-        if seconds < self.play.seconds {
+        if seconds < self.scenario.seconds {
             self.queue.push(Reverse(((seconds * 1e6) as u64, self.events.len() as u64)));
             self.events.push(Some(event));
         }
@@ -176,13 +176,15 @@
     }
 
     fn schedule_arrivals(&mut self) {
-        let (rate, copies) = (self.play.rate, self.play.copies);
-        for (rate, request) in [(rate * 0.8, None), (rate * 0.2, Some(POPULAR)), (copies, Some(HARMFUL))] {
-            // The harmful one comes into a service that runs.
-            let mut at = if request == Some(HARMFUL) { 4.0 } else { 1.0 };
-            while rate > 0.0 && at < self.play.seconds {
+        let (rate, crashing_rate) = (self.scenario.rate, self.scenario.crashing_rate);
+        for (rate, request) in
+            [(rate * 0.8, None), (rate * 0.2, Some(POPULAR_REQUEST)), (crashing_rate, Some(CRASHING_REQUEST))]
+        {
+            // The crashing request starts when the service is already in use.
+            let mut at = if request == Some(CRASHING_REQUEST) { 4.0 } else { 1.0 };
+            while rate > 0.0 && at < self.scenario.seconds {
                 at += self.random.gen_range(0.0..2.0) / rate;
-                let edge = self.random.gen_range(0..self.play.nodes);
+                let edge = self.random.gen_range(0..self.scenario.nodes);
                 let request = request.unwrap_or_else(|| {
                     self.next_path += 1;
                     self.next_path
@@ -192,157 +194,162 @@
         }
     }
 
-    fn is_cut(&self, one: usize, other: usize) -> bool {
+    fn is_partitioned(&self, one: usize, other: usize) -> bool {
         let now = self.seconds();
-        let during = self.play.cut.filter(|(_, from, to)| (*from..*to).contains(&now));
+        let during = self.scenario.partition.filter(|(_, from, to)| (*from..*to).contains(&now));
         one != other && during.is_some_and(|(nodes, ..)| (one < nodes) != (other < nodes))
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrives { request, edge, attempt } => self.arrives(request, edge, attempt),
-            Event::Answers { node, life, run, request, edge } => self.answers(node, life, run, request, edge),
-            Event::Ends { node, life, is_harm } => self.ends(node, life, is_harm),
-            Event::Back { node } => self.nodes[node].is_up = true,
+            Event::Arrives { request, edge, attempt } => self.handle_arrival(request, edge, attempt),
+            Event::Answers { node, incarnation, run, request, edge } => {
+                self.handle_answer(node, incarnation, run, request, edge)
+            }
+            Event::Crashes { node, incarnation, is_by_request } => self.handle_crash(node, incarnation, is_by_request),
+            Event::TargetUp { node } => self.nodes[node].is_up = true,
             Event::Datagram { to, records, cleared, from } => {
                 let quarantine = &mut self.nodes[to].quarantine;
                 quarantine.record_cleared(&cleared, self.now);
-                let harmless = quarantine.merge(&records, self.now);
-                if !harmless.is_empty() {
-                    self.send(to, from, Vec::new(), harmless);
+                let completed = quarantine.merge(&records, self.now);
+                if !completed.is_empty() {
+                    self.send(to, from, Vec::new(), completed);
                 }
             }
-            Event::Round { node } => {
+            Event::GossipRound { node } => {
                 let records = self.nodes[node].quarantine.gossip_records(self.now);
-                if !records.is_empty() && self.play.telling == Telling::Datagrams {
-                    let to = self.random.gen_range(0..self.play.nodes);
+                if !records.is_empty() && self.scenario.exchange == Exchange::Datagrams {
+                    let to = self.random.gen_range(0..self.scenario.nodes);
                     self.send(node, to, records, Vec::new());
                 }
-                self.after(1.0, Event::Round { node });
+                self.after(1.0, Event::GossipRound { node });
             }
-            Event::Restarts { node } => self.restarts(node),
+            Event::GateRestarts { node } => self.restart_gate(node),
         }
     }
 
-    fn restarts(&mut self, node: usize) {
+    fn restart_gate(&mut self, node: usize) {
         self.nodes[node].quarantine = Quarantine::new(0.5);
-        if self.play.telling != Telling::Datagrams {
+        if self.scenario.exchange != Exchange::Datagrams {
             return;
         }
-        // It asks another one, which answers with all that it knows.
-        let asked = (node + 1) % self.play.nodes;
-        let records = self.nodes[asked].quarantine.all_records(self.now);
-        self.send(asked, node, records, Vec::new());
+        // It queries another gate, which answers with all its evidence.
+        let queried = (node + 1) % self.scenario.nodes;
+        let records = self.nodes[queried].quarantine.all_records(self.now);
+        self.send(queried, node, records, Vec::new());
     }
 
     fn send(&mut self, from: usize, to: usize, records: Vec<SuspectRecord>, cleared: Vec<SignatureKey>) {
         self.outcome.datagrams += 1;
-        let is_lost = self.random.gen_bool(self.play.loss) || self.is_cut(from, to);
+        let is_lost = self.random.gen_bool(self.scenario.datagram_loss) || self.is_partitioned(from, to);
         if from != to && !is_lost {
             self.after(0.002, Event::Datagram { to, records, cleared, from });
         }
     }
 
-    fn tell_all(&mut self, from: usize, records: &[SuspectRecord], cleared: &[SignatureKey]) {
-        if self.play.telling != Telling::Datagrams || (records.is_empty() && cleared.is_empty()) {
+    fn broadcast(&mut self, from: usize, records: &[SuspectRecord], cleared: &[SignatureKey]) {
+        if self.scenario.exchange != Exchange::Datagrams || (records.is_empty() && cleared.is_empty()) {
             return;
         }
-        for to in 0..self.play.nodes {
+        for to in 0..self.scenario.nodes {
             self.send(from, to, records.to_vec(), cleared.to_vec());
         }
     }
 
-    /// Whether the node that remembers refuses the request.
+    /// Returns whether the quarantine of a node refuses the request.
     fn refuses(&mut self, node: usize, request: u64) -> bool {
         let verdict = self.nodes[node].quarantine.verdict(&signature(request), self.now);
         let is_refused = matches!(verdict, Verdict::Refused(_));
-        self.outcome.refused_others += usize::from(is_refused && request != HARMFUL);
+        self.outcome.refused_others += usize::from(is_refused && request != CRASHING_REQUEST);
         is_refused
     }
 
-    fn arrives(&mut self, request: u64, edge: usize, attempt: u32) {
-        self.outcome.others += usize::from(request != HARMFUL && attempt == 1);
-        if self.play.knowing == Knowing::Edges && self.refuses(edge, request) {
+    fn handle_arrival(&mut self, request: u64, edge: usize, attempt: u32) {
+        self.outcome.others += usize::from(request != CRASHING_REQUEST && attempt == 1);
+        if self.scenario.holder == EvidenceHolder::Edges && self.refuses(edge, request) {
             return;
         }
-        let up: Vec<usize> =
-            (0..self.play.nodes).filter(|node| self.nodes[*node].is_up && !self.is_cut(edge, *node)).collect();
-        let Some(&node) = (!up.is_empty()).then(|| &up[self.random.gen_range(0..up.len())]) else { return };
-        if self.play.telling == Telling::WithCalls {
+        let available: Vec<usize> = (0..self.scenario.nodes)
+            .filter(|node| self.nodes[*node].is_up && !self.is_partitioned(edge, *node))
+            .collect();
+        let Some(&node) = (!available.is_empty()).then(|| &available[self.random.gen_range(0..available.len())]) else {
+            return;
+        };
+        if self.scenario.exchange == Exchange::WithCalls {
             let carried = std::mem::take(&mut self.carried[edge]);
             self.nodes[node].quarantine.merge(&carried, self.now);
         }
-        if self.play.knowing == Knowing::Gates && self.refuses(node, request) {
+        if self.scenario.holder == EvidenceHolder::Gates && self.refuses(node, request) {
             return;
         }
         let now = self.now;
         let gate = &mut self.nodes[node];
         let run = gate.runs.begin(signature(request), now);
         gate.running.push((run, request, edge, attempt));
-        let life = gate.life;
-        if request == HARMFUL {
+        let incarnation = gate.incarnation;
+        if request == CRASHING_REQUEST {
             let after = self.random.gen_range(0.03..0.3);
-            self.after(after, Event::Ends { node, life, is_harm: true });
+            self.after(after, Event::Crashes { node, incarnation, is_by_request: true });
         } else {
-            let after = self.random.gen_range(self.play.work.0..self.play.work.1);
-            self.after(after, Event::Answers { node, life, run, request, edge });
+            let after = self.random.gen_range(self.scenario.run_time_s.0..self.scenario.run_time_s.1);
+            self.after(after, Event::Answers { node, incarnation, run, request, edge });
         }
     }
 
-    fn answers(&mut self, node: usize, life: u32, run: RunId, request: u64, edge: usize) {
+    fn handle_answer(&mut self, node: usize, incarnation: u32, run: RunId, request: u64, edge: usize) {
         let gate = &mut self.nodes[node];
-        if gate.life != life {
+        if gate.incarnation != incarnation {
             return;
         }
         gate.running.retain(|(running, ..)| *running != run);
         gate.runs.completed(run);
-        let holder = if self.play.knowing == Knowing::Edges { edge } else { node };
+        let holder = if self.scenario.holder == EvidenceHolder::Edges { edge } else { node };
         let cleared = self.nodes[holder].quarantine.record_completion(&signature(request), self.now);
-        self.tell_all(holder, &[], &cleared);
-        if self.play.telling == Telling::WithCalls && self.play.knowing == Knowing::Gates {
+        self.broadcast(holder, &[], &cleared);
+        if self.scenario.exchange == Exchange::WithCalls && self.scenario.holder == EvidenceHolder::Gates {
             let known = self.nodes[node].quarantine.all_records(self.now);
             self.carried[edge] = known;
         }
     }
 
-    fn ends(&mut self, node: usize, life: u32, is_harm: bool) {
+    fn handle_crash(&mut self, node: usize, incarnation: u32, is_by_request: bool) {
         let gate = &mut self.nodes[node];
-        if !gate.is_up || (is_harm && gate.life != life) {
+        if !gate.is_up || (is_by_request && gate.incarnation != incarnation) {
             return;
         }
-        if is_harm {
-            self.outcome.ends.push(self.now.0 as f64 / 1e6);
+        if is_by_request {
+            self.outcome.crashes.push(self.now.0 as f64 / 1e6);
         }
-        let target = format!("i-{node}-{}", gate.life);
-        gate.life += 1;
+        let target = format!("i-{node}-{}", gate.incarnation);
+        gate.incarnation += 1;
         gate.is_up = false;
         let running = std::mem::take(&mut gate.running);
         for (run, ..) in &running {
             gate.runs.connection_lost(*run, Some(target.as_str().into()), self.now);
         }
-        let end = gate.runs.target_crashed();
-        match (self.play.knowing, end) {
-            (Knowing::Gates, Some(end)) => {
-                let records = self.nodes[node].quarantine.record_crash(&end, self.now);
-                self.tell_all(node, &records, &[]);
+        let crash = gate.runs.target_crashed();
+        match (self.scenario.holder, crash) {
+            (EvidenceHolder::Gates, Some(crash)) => {
+                let records = self.nodes[node].quarantine.record_crash(&crash, self.now);
+                self.broadcast(node, &records, &[]);
             }
-            (Knowing::Edges, Some(end)) => {
+            (EvidenceHolder::Edges, Some(crash)) => {
                 for (_, request, edge, _) in &running {
-                    let own = quillhatch_mesh::quarantine::TargetCrash {
-                        target: end.target.clone(),
+                    let edge_crash = quillhatch_mesh::quarantine::TargetCrash {
+                        target: crash.target.clone(),
                         signatures: vec![signature(*request)],
                     };
-                    let records = self.nodes[*edge].quarantine.record_crash(&own, self.now);
-                    self.tell_all(*edge, &records, &[]);
+                    let records = self.nodes[*edge].quarantine.record_crash(&edge_crash, self.now);
+                    self.broadcast(*edge, &records, &[]);
                 }
             }
             _ => {}
         }
         for (_, request, edge, attempt) in running {
-            if attempt < self.play.attempts {
+            if attempt < self.scenario.attempts {
                 self.after(0.001, Event::Arrives { request, edge, attempt: attempt + 1 });
             }
         }
-        self.after(DOWN_S, Event::Back { node });
+        self.after(TARGET_RESTART_S, Event::TargetUp { node });
     }
 }
