--- a/crates/mesh/benches/tenants.rs
+++ b/crates/mesh/benches/tenants.rs
@@ -1,6 +1,7 @@
-//! What a call with a key costs: the look-up of its tenant and the tenant's limit; and what a new configuration costs.
+//! The cost of the key look-up and the rate limit of a call, and of building the table of tenants for a new
+//! configuration.
 
-#![allow(missing_docs)] // The macro adds a function without any.
+#![allow(missing_docs)] // The macro of criterion generates a public function without documentation.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -24,8 +25,8 @@
     for number in 0..TENANTS {
         let limit = Some(RateLimit { rate: 20.0, burst: 20.0 });
         let tenant = Arc::new(Tenant { name: Arc::from(format!("tenant{number}")), priority: 0, limit });
-        for place in 0..KEYS {
-            table.add_key(&tenant, key(number, place).as_bytes());
+        for index in 0..KEYS {
+            table.add_key(&tenant, key(number, index).as_bytes());
         }
         table.add(tenant);
     }
@@ -37,13 +38,13 @@
     let keys: Vec<String> = (0..TENANTS).map(|number| key(number, number % KEYS)).collect();
     let bounds = LimitBounds { window: Duration::from_secs(5), tolerance: 0.25, slack: 20.0 };
     let mut limits = LocalLimits::new(bounds);
-    let mut round = 0;
+    let mut call = 0;
     criterion.bench_function("key, tenant and limit of a call", |bencher| {
         bencher.iter(|| {
-            round += 1;
-            let key = &keys[round % keys.len()];
+            call += 1;
+            let key = &keys[call % keys.len()];
             let tenant = table.tenant_by_key(black_box(key.as_bytes())).expect("a tenant");
-            let now = Timestamp(round as u64 * 100);
+            let now = Timestamp(call as u64 * 100);
             limits.admit(tenant, NODES, report_period(NODES), 0.5, now)
         });
     });
--- a/crates/mesh/tests/freshness/main.rs
+++ b/crates/mesh/tests/freshness/main.rs
@@ -1,5 +1,6 @@
-//! Random histories of reads, calls between nodes, pauses and restarts: no node believes a key for longer than the bound after a
-//! configuration without it was written. Rules that are wrong in one point are shown to break it.
+//! Random histories of reads, calls between nodes, pauses and restarts. After a configuration without a key was
+//! written, no node accepts the key for longer than the bound. Mutations of the rules, each wrong in one point, violate
+//! the bound.
 
 use std::time::Duration;
 
@@ -12,24 +13,24 @@
 const NODES: usize = 4;
 const HISTORIES: u64 = 3000;
 const STEPS: u32 = 250;
-/// How long watches may say nothing though changes are made.
-const SILENT_WATCH_MS: u64 = 1000;
+/// How long a watch may stay without a response although there are changes.
+const MAX_WATCH_LAG_MS: u64 = 1000;
 
-/// How a node counts its proofs.
+/// How a node determines the age of its proofs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// As the product does.
+    /// By the rules of the product.
     Product,
-    /// From when the answer of the store came.
-    FromAnswer,
-    /// Another node's age counts from when its answer came.
-    HeardFromAnswer,
-    /// Another node's word counts whatever configuration it speaks of.
+    /// A read of the store counts from the arrival of its response.
+    ReadFromResponse,
+    /// The proof of another node counts from the arrival of its response.
+    ProofFromResponse,
+    /// The proof of another node counts whatever configuration it is about.
     AnyVersion,
 }
 
 struct Node {
-    /// The moment of true time at which the process started.
+    /// When the process started, in global time.
     started: u64,
     version: u64,
     lease: FreshnessLease,
@@ -47,23 +48,24 @@
     }
 }
 
-/// Something that arrives at a node.
+/// A message on its way to a node.
 struct Delivery {
     at: u64,
     node: usize,
-    /// The start of the process that waits for it.
+    /// The start of the process at that node when the message was sent.
     started: u64,
+    /// When the read or call was sent, in global time.
     sent: u64,
-    what: What,
+    message: Message,
 }
 
-enum What {
-    /// The store's answer: the version that it holds.
-    Read(u64),
-    /// A call of another node, by the process that started then.
+enum Message {
+    /// The store's response to a read, with the configuration version that it holds.
+    ReadResponse(u64),
+    /// A call of another node, from the process that started at that time.
     Call { from: usize, from_started: u64 },
-    /// The answer to a call.
-    Answer(Option<FreshnessProof>),
+    /// The response to a call.
+    CallResponse(Option<FreshnessProof>),
 }
 
 struct World {
@@ -86,7 +88,7 @@
         self.written.iter().filter(|written| **written <= moment).count() as u64
     }
 
-    /// Most things take some milliseconds, some take seconds.
+    /// Most messages take some milliseconds, some take seconds.
     fn delay(&mut self) -> u64 {
         if self.random.gen_bool(0.8) {
             self.random.gen_range(1..60)
@@ -95,12 +97,12 @@
         }
     }
 
-    fn send(&mut self, node: usize, sent: u64, what: What) {
+    fn send(&mut self, node: usize, sent: u64, message: Message) {
         let delay = self.delay();
         let started = self.nodes[node].started;
-        // A tenth is lost.
+        // A tenth of the messages is lost.
         if self.random.gen_bool(0.9) {
-            self.deliveries.push(Delivery { at: self.now + delay, node, started, sent, what });
+            self.deliveries.push(Delivery { at: self.now + delay, node, started, sent, message });
         }
     }
 
@@ -112,15 +114,15 @@
             3 => self.nodes[node] = Node::new(self.now),
             4..=6 => self.nodes[node].paused_until = self.now + self.random.gen_range(100..6000),
             7..=30 => {
-                // A watch may say nothing of the last second.
-                let behind = if self.random.gen_bool(0.2) { self.random.gen_range(0..SILENT_WATCH_MS) } else { 0 };
-                let version = self.version_at(self.now.saturating_sub(behind));
-                self.send(node, self.now, What::Read(version));
+                // A watch may lack the changes of the last second.
+                let lag = if self.random.gen_bool(0.2) { self.random.gen_range(0..MAX_WATCH_LAG_MS) } else { 0 };
+                let version = self.version_at(self.now.saturating_sub(lag));
+                self.send(node, self.now, Message::ReadResponse(version));
             }
             31..=70 => {
                 let other = self.random.gen_range(0..NODES);
                 let from_started = self.nodes[node].started;
-                self.send(other, self.now, What::Call { from: node, from_started });
+                self.send(other, self.now, Message::Call { from: node, from_started });
             }
             _ => {}
         }
@@ -134,36 +136,36 @@
         let (due, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.deliveries).into_iter().partition(|delivery| is_due(delivery));
         self.deliveries = waiting;
-        for Delivery { node: place, started, sent, what, .. } in due {
+        for Delivery { node: index, started, sent, message, .. } in due {
             let rule = self.rule;
-            let node = &mut self.nodes[place];
-            if node.started != started && !matches!(what, What::Call { .. }) {
+            let node = &mut self.nodes[index];
+            if node.started != started && !matches!(message, Message::Call { .. }) {
                 continue;
             }
-            match what {
-                What::Read(version) => {
+            match message {
+                Message::ReadResponse(version) => {
                     node.version = node.version.max(version);
-                    let counted = if rule == Rule::FromAnswer { now } else { sent };
+                    let counted = if rule == Rule::ReadFromResponse { now } else { sent };
                     node.lease.record_read(node.clock(counted));
                 }
-                What::Call { from, from_started } => {
+                Message::Call { from, from_started } => {
                     let arrived = node.clock(now);
                     let proof = node.lease.proof(node.version, arrived);
                     if self.nodes[from].started == from_started {
-                        self.send(from, sent, What::Answer(proof));
+                        self.send(from, sent, Message::CallResponse(proof));
                     }
                 }
-                What::Answer(Some(proof)) => {
-                    let counted = if rule == Rule::HeardFromAnswer { now } else { sent };
+                Message::CallResponse(Some(proof)) => {
+                    let counted = if rule == Rule::ProofFromResponse { now } else { sent };
                     let own = if rule == Rule::AnyVersion { u64::MAX } else { node.version };
                     node.lease.record_proof(proof, own, node.clock(counted));
                 }
-                What::Answer(None) => {}
+                Message::CallResponse(None) => {}
             }
         }
     }
 
-    /// By how long the worst node believes keys of a configuration beyond the bound, in milliseconds.
+    /// By how much, at the worst node, keys of a replaced configuration are accepted beyond the bound, in milliseconds.
     fn overrun(&self) -> u64 {
         let beyond = self.nodes.iter().filter(|node| node.lease.is_valid(node.clock(self.now))).map(|node| {
             let replaced = self.written.get(node.version as usize).copied().unwrap_or(u64::MAX);
@@ -173,7 +175,7 @@
     }
 }
 
-/// The greatest overrun in all histories, and how often a node believed keys.
+/// The greatest overrun in all histories, and the number of node steps with a valid lease.
 fn explore(rule: Rule) -> (u64, u64) {
     let (mut worst, mut valid) = (0, 0);
     for seed in 0..HISTORIES {
@@ -189,23 +191,23 @@
 }
 
 #[test]
-fn no_key_is_believed_beyond_the_bound() {
+fn no_key_is_accepted_beyond_the_bound() {
     let (worst, valid) = explore(Rule::Product);
     assert_eq!(worst, 0, "milliseconds beyond the bound");
-    assert!(valid > HISTORIES * u64::from(STEPS), "keys are believed at a node in four at least: {valid}");
+    assert!(valid > HISTORIES * u64::from(STEPS), "keys are accepted at a quarter of the nodes at least: {valid}");
 }
 
 #[test]
-fn a_lease_that_counts_from_the_answer_breaks_the_bound() {
-    assert!(explore(Rule::FromAnswer).0 > 0);
+fn a_lease_that_starts_with_the_response_violates_the_bound() {
+    assert!(explore(Rule::ReadFromResponse).0 > 0);
 }
 
 #[test]
-fn an_age_that_counts_from_the_answer_breaks_the_bound() {
-    assert!(explore(Rule::HeardFromAnswer).0 > 0);
+fn an_age_that_counts_from_the_response_violates_the_bound() {
+    assert!(explore(Rule::ProofFromResponse).0 > 0);
 }
 
 #[test]
-fn the_word_of_a_node_with_a_newer_configuration_breaks_the_bound() {
+fn a_proof_about_a_newer_configuration_violates_the_bound() {
     assert!(explore(Rule::AnyVersion).0 > 0);
 }
--- a/crates/mesh/tests/limits/fleet.rs
+++ b/crates/mesh/tests/limits/fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes with the limits of one tenant on a virtual clock: calls arrive, reports travel, are lost, and nodes fail.
+//! A simulated fleet with the limit of one tenant on a virtual clock: calls arrive, reports are delayed or lost, and
+//! nodes fail.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
@@ -13,30 +14,30 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// What the operators allow.
+/// By how much the limit may be exceeded.
 pub const BOUNDS: LimitBounds = LimitBounds { window: Duration::from_secs(5), tolerance: 0.25, slack: 20.0 };
-/// How long a datagram is on its way, in milliseconds.
-const ON_THE_WAY_MS: u64 = 2;
-/// Tells the losses of datagrams besides regular ones from the other draws.
-const SEED_BESIDES: u64 = 0x5u64 << 32;
-/// The share of datagrams that is lost.
-const LOST: f64 = 0.01;
+/// The one-way latency of a datagram in milliseconds.
+const LATENCY_MS: u64 = 2;
+/// Changes the seed for the random losses of irregular datagrams, so that they differ from the other random numbers.
+const IRREGULAR_SEED_MASK: u64 = 0x5u64 << 32;
+/// The fraction of datagrams that is lost.
+const LOSS_RATE: f64 = 0.01;
 
-/// How nodes share a limit.
+/// How the nodes share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// By what a coordinator tells them.
+pub enum SharingMode {
+    /// Each node admits the share that a coordinator sends.
     Coordinator,
-    /// Each has an equal part.
+    /// Each node has an equal part.
     EqualParts,
 }
 
-/// What a node does at some time.
+/// A fault of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It ends and is back with nothing known after this time in milliseconds.
+    /// It stops, and is back without any state after this time in milliseconds.
     Restart(u64),
-    /// It only reaches nodes with the same number.
+    /// It can only reach nodes on the same side of the partition, which has this number.
     Partition(u8),
 }
 
@@ -67,9 +68,9 @@
 enum Message {
     Report(Vec<TenantUsage>),
     Surges(Vec<TenantSurge>),
-    /// The shares, unless the coordinator does not know the demand yet.
-    Answer(Option<Vec<TenantShare>>),
-    /// The shares, not in answer to a regular report.
+    /// The shares in response to a report, unless the coordinator does not know the demand yet.
+    Response(Option<Vec<TenantShare>>),
+    /// The shares, not in response to a regular report.
     Update(Vec<TenantShare>),
 }
 
@@ -80,22 +81,23 @@
     message: Message,
 }
 
-/// A fleet.
+/// A simulated fleet.
 pub struct Fleet {
-    way: Way,
+    mode: SharingMode,
     nodes: Vec<Node>,
     order: Vec<IpAddr>,
     limit: RateLimit,
     random: Pcg64,
-    /// For datagrams besides regular reports and their answers, so that the calls of a seed do not depend on them.
-    random_besides: Pcg64,
+    /// For datagrams other than regular reports and their responses, so that these do not change the calls of a seed.
+    irregular_random: Pcg64,
     now: u64,
-    on_the_way: Vec<Datagram>,
-    /// When calls were let in, and when calls were refused that an ideal limit would have let in; in milliseconds.
+    in_flight: Vec<Datagram>,
+    /// When calls were admitted, in milliseconds.
     pub admitted: Vec<u64>,
+    /// When calls were refused that an ideal limit would have admitted, in milliseconds.
     pub wrongly_refused: Vec<u64>,
     ideal_tokens: f64,
-    /// The datagrams that were sent.
+    /// The number of datagrams sent.
     pub datagrams: usize,
 }
 
@@ -104,17 +106,17 @@
 }
 
 impl Fleet {
-    pub fn new(way: Way, nodes: usize, limit: RateLimit, seed: u64) -> Self {
+    pub fn new(mode: SharingMode, nodes: usize, limit: RateLimit, seed: u64) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
         Fleet {
-            way,
+            mode,
             nodes: (0..nodes).map(|_| Node::new(0, &mut random)).collect(),
             order: coordinator_candidates((0..nodes).map(address).collect()),
             limit,
             random,
-            random_besides: Pcg64::seed_from_u64(seed ^ SEED_BESIDES),
+            irregular_random: Pcg64::seed_from_u64(seed ^ IRREGULAR_SEED_MASK),
             now: 0,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             admitted: Vec::new(),
             wrongly_refused: Vec::new(),
             ideal_tokens: limit.burst,
@@ -122,41 +124,41 @@
         }
     }
 
-    /// Sets another limit from now on.
+    /// Changes the limit.
     pub fn set_limit(&mut self, limit: RateLimit) {
         self.limit = limit;
     }
 
-    /// The node that coordinates.
+    /// The node that is the coordinator if no node fails.
     pub fn coordinator(&self) -> usize {
-        (0..self.nodes.len()).find(|node| address(*node) == self.order[0]).expect("it is one of them")
+        (0..self.nodes.len()).find(|node| address(*node) == self.order[0]).expect("a node")
     }
 
-    /// Lets something happen to a node.
-    pub fn strike(&mut self, node: usize, fault: Fault) {
+    /// Injects a fault into a node.
+    pub fn inject(&mut self, node: usize, fault: Fault) {
         match fault {
-            Fault::Restart(down) => {
+            Fault::Restart(downtime) => {
                 let side = self.nodes[node].side;
-                self.nodes[node] = Node { side, ..Node::new(self.now + down, &mut self.random) };
+                self.nodes[node] = Node { side, ..Node::new(self.now + downtime, &mut self.random) };
             }
             Fault::Partition(side) => self.nodes[node].side = side,
         }
     }
 
-    /// Plays `span` milliseconds in which `rate` calls a second arrive at nodes that `place` draws.
-    pub fn play(&mut self, span: u64, rate: f64, place: impl Fn(&mut Pcg64, usize) -> usize) {
-        for _ in 0..span {
+    /// Runs the fleet for `duration_ms`. Meanwhile `rate` calls per second arrive at nodes that `pick_node` selects.
+    pub fn run(&mut self, duration_ms: u64, rate: f64, pick_node: impl Fn(&mut Pcg64, usize) -> usize) {
+        for _ in 0..duration_ms {
             self.now += 1;
             self.ideal_tokens = (self.ideal_tokens + self.limit.rate / 1000.0).min(self.limit.burst);
-            let mut due = rate / 1000.0;
-            while due > 0.0 {
-                if self.random.gen::<f64>() < due.min(1.0) {
-                    let node = place(&mut self.random, self.nodes.len());
+            let mut expected_calls = rate / 1000.0;
+            while expected_calls > 0.0 {
+                if self.random.gen::<f64>() < expected_calls.min(1.0) {
+                    let node = pick_node(&mut self.random, self.nodes.len());
                     self.call(node);
                 }
-                due -= 1.0;
+                expected_calls -= 1.0;
             }
-            if self.way == Way::Coordinator {
+            if self.mode == SharingMode::Coordinator {
                 self.exchange();
             }
         }
@@ -168,13 +170,13 @@
             return;
         }
         let tenant = Tenant { name: Arc::from("first"), priority: 0, limit: Some(self.limit) };
-        let draw = self.random.gen();
-        let is_ideal = self.ideal_tokens >= 1.0;
-        self.ideal_tokens -= f64::from(u8::from(is_ideal));
+        let random = self.random.gen();
+        let is_ideally_admitted = self.ideal_tokens >= 1.0;
+        self.ideal_tokens -= f64::from(u8::from(is_ideally_admitted));
         let period = report_period(machines);
-        match self.nodes[node].limits.admit(&tenant, machines, period, draw, now) {
+        match self.nodes[node].limits.admit(&tenant, machines, period, random, now) {
             Ok(_) => self.admitted.push(self.now),
-            Err(_) if is_ideal => self.wrongly_refused.push(self.now),
+            Err(_) if is_ideally_admitted => self.wrongly_refused.push(self.now),
             Err(_) => {}
         }
     }
@@ -205,8 +207,8 @@
             self.send(from, to, Message::Report(usages), true);
         }
         let (arrived, waiting): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.on_the_way).into_iter().partition(|datagram| datagram.arrives <= self.now);
-        self.on_the_way = waiting;
+            std::mem::take(&mut self.in_flight).into_iter().partition(|datagram| datagram.arrives <= self.now);
+        self.in_flight = waiting;
         for Datagram { from, to, message, .. } in arrived {
             let machines = self.nodes.len();
             let node = &mut self.nodes[to];
@@ -218,8 +220,8 @@
                     let limit = self.limit;
                     let fleet = (machines, period);
                     let shares = node.coordinator.apply_report(address(from), usages, |_| Some(limit), fleet, now);
-                    let told = node.coordinator.is_settled(period, now).then(|| shares.clone());
-                    self.send(to, from, Message::Answer(told), true);
+                    let settled_shares = node.coordinator.is_settled(period, now).then(|| shares.clone());
+                    self.send(to, from, Message::Response(settled_shares), true);
                     self.update(to, None, &shares);
                 }
                 Message::Surges(surges) => {
@@ -229,7 +231,7 @@
                 }
                 Message::Update(shares) if node.reports_to == from => node.limits.apply_shares(&shares, now),
                 Message::Update(_) => {}
-                Message::Answer(shares) => {
+                Message::Response(shares) => {
                     node.choice.answered();
                     if let Some(shares) = shares {
                         node.limits.apply_shares(&shares, now);
@@ -239,15 +241,16 @@
         }
     }
 
-    /// Tells the shares to the node that has reported a surge, and to all nodes if these must know before they report again.
+    /// Sends the shares to the node that has reported a surge, and to all nodes if they must know before their next
+    /// reports.
     fn update(&mut self, coordinator: usize, reporter: Option<usize>, shares: &[TenantShare]) {
         let now = Timestamp::from_millis(self.now);
         let period = report_period(self.nodes.len());
-        let deciding = &mut self.nodes[coordinator].coordinator;
-        let reporter = reporter.filter(|_| deciding.is_settled(period, now));
-        let at_once = deciding.urgent_update_recipients(period, now);
+        let coordinator_state = &mut self.nodes[coordinator].coordinator;
+        let reporter = reporter.filter(|_| coordinator_state.is_settled(period, now));
+        let urgent_recipients = coordinator_state.urgent_update_recipients(period, now);
         for to in 0..self.nodes.len() {
-            if Some(to) == reporter || at_once.contains(&address(to)) {
+            if Some(to) == reporter || urgent_recipients.contains(&address(to)) {
                 self.send(coordinator, to, Message::Update(shares.to_vec()), false);
             }
         }
@@ -255,31 +258,32 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message, is_regular: bool) {
         self.datagrams += 1;
-        let random = if is_regular { &mut self.random } else { &mut self.random_besides };
+        let random = if is_regular { &mut self.random } else { &mut self.irregular_random };
         let is_connected = self.nodes[from].side == self.nodes[to].side;
-        if is_connected && random.gen::<f64>() >= LOST {
-            self.on_the_way.push(Datagram { arrives: self.now + ON_THE_WAY_MS, from, to, message });
+        if is_connected && random.gen::<f64>() >= LOSS_RATE {
+            self.in_flight.push(Datagram { arrives: self.now + LATENCY_MS, from, to, message });
         }
     }
 
-    /// The calls that were let in within a window, as a share of what the bound allows, where it is greatest from `from` on.
+    /// The highest number of calls admitted within a window, relative to the bound, among the windows that start at
+    /// `from` or later.
     pub fn worst_window(&self, limit: RateLimit, from: u64) -> f64 {
         let window = BOUNDS.window.as_millis() as u64;
         let allowed =
             (limit.rate * BOUNDS.window.as_secs_f64() + limit.burst) * (1.0 + BOUNDS.tolerance) + BOUNDS.slack;
         let counted: Vec<u64> = self.admitted.iter().copied().filter(|at| *at >= from).collect();
         let mut first = 0;
-        let mut most = 0;
+        let mut max = 0;
         for (last, at) in counted.iter().enumerate() {
             while counted[first] + window <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max = max.max(last + 1 - first);
         }
-        most as f64 / allowed
+        max as f64 / allowed
     }
 
-    /// The calls that were let in from `from` to `to`, a second.
+    /// The calls per second that were admitted from `from` to `to`.
     pub fn admitted_rate(&self, from: u64, to: u64) -> f64 {
         let count = self.admitted.iter().filter(|at| (from..to).contains(at)).count();
         count as f64 * 1000.0 / (to - from) as f64
