--- a/crates/mesh/src/mechanisms.rs
+++ b/crates/mesh/src/mechanisms.rs
@@ -1,115 +1,115 @@
-//! Which of a sidecar's mechanisms are switched on.
+//! The mechanisms of a sidecar that can be switched off.
 //!
-//! All are, unless the command line names some that are not. That is for measurements of what each is worth, and for operators who
-//! suspect one of them; the start line of the log names what is off.
+//! All are on, unless the command line names some to switch off. That is for measurements of the effect of each
+//! mechanism, and for operators who suspect one of them; the start line of the log names the mechanisms that are off.
 
 use derive_more::{Display, Error};
 
-/// A mechanism that can be switched off by itself.
+/// A mechanism that can be switched off on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Calls are refused where they enter when a service that they need is short of slots.
-    EntryCut,
-    /// Calls that don't come since others were refused are made up for in the demand.
-    MissedCalls,
-    /// Calls that wait at a gate are served in the order of importance.
-    GateOrder,
-    /// In a shortage all gates serve the calls of the same roots first.
-    SameRoots,
-    /// Calls of targets inherit the importance of the call that entered.
-    InheritedRank,
-    /// Calls wait at a gate no longer than they can bear.
-    Patience,
+    /// Calls are refused where they enter when a service that they need is out of capacity.
+    EntryAdmission,
+    /// Demand includes the calls that don't arrive because earlier ones were refused.
+    MissingCallEstimate,
+    /// Calls that wait at a gate are served by priority.
+    GatePriority,
+    /// During a shortage all gates serve the calls of the same roots first.
+    SharedRootOrder,
+    /// Calls made by targets inherit the priority of the call that entered the graph.
+    InheritedPriority,
+    /// Calls wait at a gate only for a part of their time limit.
+    QueueTimeout,
     /// Slower targets get fewer calls.
-    SpeedBalance,
+    LatencyBalancing,
     /// Busier targets get fewer calls.
-    LoadBalance,
-    /// Targets whose answers are bad get fewer calls.
-    HealthBalance,
-    /// Targets of the own zone are preferred.
-    ZoneBalance,
+    LoadBalancing,
+    /// Targets with bad answers get fewer calls.
+    HealthBalancing,
+    /// Targets in the local zone are preferred.
+    ZoneBalancing,
     /// Targets that have just started get fewer calls.
-    ColdStart,
-    /// Calls of targets leave a slow target for another one.
-    SlowAttempts,
-    /// Calls are sent to a second target after an attempt that failed.
-    Repeats,
-    /// Nodes that are silent are asked whether they are there.
-    PresenceProbes,
-    /// Changes in the store are gathered before they are read.
-    GatheredChanges,
+    SlowStart,
+    /// Calls made by targets are sent to another target if the first one is slow.
+    SlowAttemptRetry,
+    /// Calls are sent to a second target after a failed attempt.
+    Retries,
+    /// Nodes that don't answer are probed for liveness.
+    LivenessProbes,
+    /// Changes in the store are collected for a moment before they are read.
+    BatchedReads,
     /// Few nodes read the store and the others follow them; without it each node reads for itself.
     SharedReads,
-    /// Targets whose registrations are missing are kept where that may be the store's fault.
-    KeptTargets,
-    /// Nodes share the limits of tenants by demand; without it each lets in its equal part.
+    /// Targets whose registrations are missing are retained where that may be the store's fault.
+    RetainedTargets,
+    /// Nodes share the limits of tenants by demand; without it each admits an equal part.
     SharedLimits,
-    /// Nodes take the word of others for how recent their configuration is; without it each asks the store.
-    HeardFreshness,
+    /// Nodes accept proof from other nodes that their configuration is recent; without it each queries the store.
+    PeerFreshness,
     /// Requests that crash targets are refused.
     Quarantine,
 }
 
-/// A name that no mechanism has.
+/// A name that is not that of a mechanism.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("there is no mechanism {name:?}; there are {}", Mechanism::names())]
+#[display("unknown mechanism {name:?}; the mechanisms are {}", Mechanism::names())]
 pub struct UnknownMechanism {
-    /// The name that was given.
+    /// The unknown name.
     pub name: String,
 }
 
 impl Mechanism {
     /// All mechanisms.
     pub const ALL: [Mechanism; 20] = [
-        Mechanism::EntryCut,
-        Mechanism::MissedCalls,
-        Mechanism::GateOrder,
-        Mechanism::SameRoots,
-        Mechanism::InheritedRank,
-        Mechanism::Patience,
-        Mechanism::SpeedBalance,
-        Mechanism::LoadBalance,
-        Mechanism::HealthBalance,
-        Mechanism::ZoneBalance,
-        Mechanism::ColdStart,
-        Mechanism::SlowAttempts,
-        Mechanism::Repeats,
-        Mechanism::PresenceProbes,
-        Mechanism::GatheredChanges,
+        Mechanism::EntryAdmission,
+        Mechanism::MissingCallEstimate,
+        Mechanism::GatePriority,
+        Mechanism::SharedRootOrder,
+        Mechanism::InheritedPriority,
+        Mechanism::QueueTimeout,
+        Mechanism::LatencyBalancing,
+        Mechanism::LoadBalancing,
+        Mechanism::HealthBalancing,
+        Mechanism::ZoneBalancing,
+        Mechanism::SlowStart,
+        Mechanism::SlowAttemptRetry,
+        Mechanism::Retries,
+        Mechanism::LivenessProbes,
+        Mechanism::BatchedReads,
         Mechanism::SharedReads,
-        Mechanism::KeptTargets,
+        Mechanism::RetainedTargets,
         Mechanism::SharedLimits,
-        Mechanism::HeardFreshness,
+        Mechanism::PeerFreshness,
         Mechanism::Quarantine,
     ];
 
-    /// Its name on the command line and in logs.
+    /// Returns the name on the command line and in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Mechanism::EntryCut => "entry-cut",
-            Mechanism::MissedCalls => "missed-calls",
-            Mechanism::GateOrder => "gate-order",
-            Mechanism::SameRoots => "same-roots",
-            Mechanism::InheritedRank => "inherited-rank",
-            Mechanism::Patience => "patience",
-            Mechanism::SpeedBalance => "speed-balance",
-            Mechanism::LoadBalance => "load-balance",
-            Mechanism::HealthBalance => "health-balance",
-            Mechanism::ZoneBalance => "zone-balance",
-            Mechanism::ColdStart => "cold-start",
-            Mechanism::SlowAttempts => "slow-attempts",
-            Mechanism::Repeats => "repeats",
-            Mechanism::PresenceProbes => "presence-probes",
-            Mechanism::GatheredChanges => "gathered-changes",
+            Mechanism::EntryAdmission => "entry-cut",
+            Mechanism::MissingCallEstimate => "missed-calls",
+            Mechanism::GatePriority => "gate-order",
+            Mechanism::SharedRootOrder => "same-roots",
+            Mechanism::InheritedPriority => "inherited-rank",
+            Mechanism::QueueTimeout => "patience",
+            Mechanism::LatencyBalancing => "speed-balance",
+            Mechanism::LoadBalancing => "load-balance",
+            Mechanism::HealthBalancing => "health-balance",
+            Mechanism::ZoneBalancing => "zone-balance",
+            Mechanism::SlowStart => "cold-start",
+            Mechanism::SlowAttemptRetry => "slow-attempts",
+            Mechanism::Retries => "repeats",
+            Mechanism::LivenessProbes => "presence-probes",
+            Mechanism::BatchedReads => "gathered-changes",
             Mechanism::SharedReads => "shared-reads",
-            Mechanism::KeptTargets => "kept-targets",
+            Mechanism::RetainedTargets => "kept-targets",
             Mechanism::SharedLimits => "shared-limits",
-            Mechanism::HeardFreshness => "heard-freshness",
+            Mechanism::PeerFreshness => "heard-freshness",
             Mechanism::Quarantine => "quarantine",
         }
     }
 
-    /// The names of all mechanisms, for messages.
+    /// Returns the names of all mechanisms, for messages.
     pub fn names() -> String {
         Self::ALL.map(Mechanism::name).join(", ")
     }
@@ -119,36 +119,36 @@
     }
 }
 
-/// The mechanisms that are switched off.
+/// The mechanisms that are switched on or off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
-    off: u32,
+    disabled: u32,
 }
 
 impl Mechanisms {
-    /// All mechanisms but those that `text` names, separated by commas.
+    /// All mechanisms except those that `text` names, separated by commas.
     ///
     /// # Errors
     ///
-    /// Returns the first name that no mechanism has.
+    /// Returns the first name that is not that of a mechanism.
     pub fn without(text: &str) -> Result<Self, UnknownMechanism> {
-        let mut off = 0;
+        let mut disabled = 0;
         for name in text.split(',').map(str::trim) {
             let found = Mechanism::ALL.into_iter().find(|mechanism| mechanism.name() == name);
             let mechanism = found.ok_or_else(|| UnknownMechanism { name: name.to_owned() })?;
-            off |= mechanism.bit();
+            disabled |= mechanism.bit();
         }
-        Ok(Mechanisms { off })
+        Ok(Mechanisms { disabled })
     }
 
-    /// Whether a mechanism is on.
-    pub fn has(self, mechanism: Mechanism) -> bool {
-        self.off & mechanism.bit() == 0
+    /// Returns whether a mechanism is switched on.
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
+        self.disabled & mechanism.bit() == 0
     }
 
-    /// The names of those that are off, separated by commas.
-    pub fn names_off(self) -> String {
-        let off = Mechanism::ALL.into_iter().filter(|mechanism| !self.has(*mechanism));
-        off.map(Mechanism::name).collect::<Vec<_>>().join(",")
+    /// Returns the names of the mechanisms that are switched off, separated by commas.
+    pub fn disabled_names(self) -> String {
+        let disabled = Mechanism::ALL.into_iter().filter(|mechanism| !self.is_enabled(*mechanism));
+        disabled.map(Mechanism::name).collect::<Vec<_>>().join(",")
     }
 }
--- a/crates/mesh/tests/decisions/main.rs
+++ b/crates/mesh/tests/decisions/main.rs
@@ -1,9 +1,9 @@
 //! Unit tests of the decisions, one module per subject.
 
+mod admission_level;
 mod authentication;
 mod balance;
 mod capacity;
-mod cut;
 mod feed;
 mod freshness;
 mod gate;
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -19,7 +19,7 @@
 use quillhatch_mesh::authentication::Sender;
 use quillhatch_mesh::configuration::{Configuration, Route};
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::parents::{Lineage, Origin, ALL_ADMITTED};
+use quillhatch_mesh::parents::{CallOrigin, InheritedContext, ALL_ADMITTED_PERMILLE};
 use quillhatch_mesh::routing::find_route;
 use quillhatch_mesh::tenants::Tenant;
 use quillhatch_platform::headers;
@@ -49,7 +49,7 @@
     pub(super) headers: HeaderMap,
     /// Whether this node's target makes the call while it serves another one. Otherwise it is a root call.
     pub(super) is_nested: bool,
-    pub(super) lineage: Lineage,
+    pub(super) lineage: InheritedContext,
     /// The tenant that sends the call, if any.
     pub(super) tenant: Option<Arc<Tenant>>,
     pub(super) arrived: Timestamp,
@@ -115,14 +115,14 @@
     let origin = origin_of(node, &route, evidence, &sender, arrived);
     let priority = configuration.call_priority(&route, tenant.as_deref());
     let mut lineage = lineage_of(node, priority, &origin, &id);
-    let is_nested = origin != Origin::Caller;
+    let is_nested = origin != CallOrigin::Caller;
     if !is_nested && node.refuses_callers.get() {
         node.log_failure(|| {
             format!("\"event\":\"refused\",\"id\":{id:?},\"route\":\"{}\",\"why\":\"stopping\"", route.name)
         });
         return refuse(node, &id, "stopping", STOPPING_RETRY_AFTER, arrived);
     }
-    if !is_nested && node.has(Mechanism::EntryCut) {
+    if !is_nested && node.has(Mechanism::EntryAdmission) {
         if let Some(response) = refuse_at_entry(node, &configuration, &route, &mut lineage, &id, arrived) {
             return response;
         }
@@ -159,7 +159,7 @@
     let _root_call = (!is_nested).then(|| CallGauge::new(&node.root_calls));
     let response = run::run(node, call, body).await;
     if is_nested && response.status().is_server_error() {
-        node.health.borrow_mut().call_failed(node.now());
+        node.health.borrow_mut().record_downstream_failure(node.now());
     }
     response
 }
@@ -170,12 +170,12 @@
     node: &Node,
     configuration: &Configuration,
     route: &Route,
-    lineage: &mut Lineage,
+    lineage: &mut InheritedContext,
     id: &str,
     arrived: Timestamp,
 ) -> Option<Response<Body>> {
     let share = admitted_share(node, configuration, route, lineage.priority, arrived);
-    lineage.admitted_permille = (share * f64::from(ALL_ADMITTED)).round() as u16;
+    lineage.admitted_permille = (share * f64::from(ALL_ADMITTED_PERMILLE)).round() as u16;
     if !is_refused(lineage, share) {
         return None;
     }
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -9,7 +9,7 @@
 use quillhatch_mesh::authentication::{authenticate, Credentials, Denial, Sender};
 use quillhatch_mesh::configuration::{Configuration, Route};
 use quillhatch_mesh::limits::OverLimit;
-use quillhatch_mesh::parents::Origin;
+use quillhatch_mesh::parents::CallOrigin;
 use quillhatch_mesh::tenants::Tenant;
 use quillhatch_platform::headers;
 use quillhatch_types::Timestamp;
@@ -58,7 +58,9 @@
     let key = key.map(|key| if has_more { b"".as_slice() } else { key.as_bytes() });
     let may_be_target = key.is_none()
         && evidence.is_local(node)
-        && evidence.given_time.is_some_and(|given_time| node.parents.borrow().may_call(&route.name, given_time, now));
+        && evidence
+            .given_time
+            .is_some_and(|given_time| node.parents.borrow().may_originate(&route.name, given_time, now));
     authenticate(
         configuration,
         route,
@@ -78,7 +80,7 @@
         )
     });
     // A call without a key on a route that targets call may be a nested call whose parent has just ended.
-    let may_be_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_by_targets(name);
+    let may_be_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_only_by_targets(name);
     if denial == Denial::StaleConfiguration || may_be_of_ended_parent {
         return refuse(node, id, why, STALE_RETRY_AFTER, now);
     }
@@ -122,25 +124,27 @@
     evidence: CallerEvidence<'_>,
     sender: &Sender,
     now: Timestamp,
-) -> Origin {
-    let Some(given_time) = evidence.given_time.filter(|_| evidence.is_local(node)) else { return Origin::Caller };
+) -> CallOrigin {
+    let Some(given_time) = evidence.given_time.filter(|_| evidence.is_local(node)) else { return CallOrigin::Caller };
     let origin = {
         let graph = node.call_graph.borrow();
-        let rate = |parent: &Arc<str>| graph.rate(parent, &route.name);
+        let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
-            Sender::Tenant(_) => Origin::Caller,
-            Sender::Target => parents.origin_in_target(&route.name, given_time, now, rate),
+            Sender::Tenant(_) => CallOrigin::Caller,
+            Sender::Target => parents.target_call_origin(&route.name, given_time, now, rate),
             Sender::Anyone => parents.origin(&route.name, given_time, now, rate),
         }
     };
     match &origin {
-        Origin::Parent(parent, _) => node.call_graph.borrow_mut().called(&route.name, [(parent, 1.0)], now),
-        Origin::Target(Some(likely)) => {
-            let parents = likely.routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
-            node.call_graph.borrow_mut().called(&route.name, parents, now);
+        CallOrigin::KnownParent(parent, _) => {
+            node.call_graph.borrow_mut().record_call(&route.name, [(parent, 1.0)], now)
         }
-        Origin::Target(None) | Origin::Caller => {}
+        CallOrigin::UnknownParent(Some(likely)) => {
+            let parents = likely.parent_routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
+            node.call_graph.borrow_mut().record_call(&route.name, parents, now);
+        }
+        CallOrigin::UnknownParent(None) | CallOrigin::Caller => {}
     }
     origin
 }
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -13,10 +13,10 @@
 use hyper::header::{HeaderValue, CONTENT_ENCODING, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use quillhatch_mesh::callers::CalledBy;
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
+use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::gate::Refusal;
-use quillhatch_mesh::parents::Lineage;
+use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::quarantine::RequestSignature;
 use quillhatch_mesh::routing::find_route;
 use quillhatch_platform::headers;
@@ -81,7 +81,7 @@
         deadline: arrived + timeout,
     };
     if let (Some(route), Some(caller)) = (&call.route, text(headers, headers::CALLER_SERVICE)) {
-        node.caller_shares.borrow_mut().count(route, caller);
+        node.caller_shares.borrow_mut().count_call(route, caller);
     }
     let outcome = admit_and_forward(&node, &call, &forwarded, parts, body).await;
     record_health(&node, &outcome);
@@ -113,7 +113,7 @@
 
 fn outcome_of(refusal: Refusal) -> GateOutcome {
     match refusal {
-        Refusal::Full => GateOutcome::Full,
+        Refusal::Overloaded => GateOutcome::Full,
         Refusal::Closed => GateOutcome::Closed,
     }
 }
@@ -125,9 +125,9 @@
     let mut health = node.health.borrow_mut();
     match outcome {
         Ok(response) if response.status() == StatusCode::GATEWAY_TIMEOUT => {}
-        Ok(response) if response.status().is_server_error() => health.error(now),
-        Ok(_) => health.good(now),
-        Err(Failure { outcome: GateOutcome::Rejected | GateOutcome::NoResponse, .. }) => health.bad(now),
+        Ok(response) if response.status().is_server_error() => health.record_error(now),
+        Ok(_) => health.record_good(now),
+        Err(Failure { outcome: GateOutcome::Rejected | GateOutcome::NoResponse, .. }) => health.record_bad(now),
         Err(_) => {}
     }
 }
@@ -147,18 +147,21 @@
 fn attach_report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
-    let cut = call.route.as_ref().map_or(Cut::OPEN, |route| node.own_cut(route).lower(node.called_cut(route, now)));
+    let cut = call
+        .route
+        .as_ref()
+        .map_or(AdmissionLevel::FULL, |route| node.own_cut(route).lower_of(node.called_cut(route, now)));
     let present = match outcome {
         GateOutcome::Closed | GateOutcome::Rejected => {
             local_target::available_target(node).filter(|present| present.id != call.expected)
         }
         _ => None,
     };
-    let called_by = call.route.as_ref().map_or(CalledBy::Unknown, |route| {
+    let called_by = call.route.as_ref().map_or(CallerKind::Unknown, |route| {
         let targets = node.targets.borrow();
-        node.caller_shares.borrow_mut().called_by(route, || targets.service_shares())
+        node.caller_shares.borrow_mut().caller_kind(route, || targets.service_shares())
     });
-    let health = node.health.borrow_mut().share(now);
+    let health = node.health.borrow_mut().good_share(now);
     let (reach, proof) =
         (store_view::own_store_view(node), node.tenancy.peer_proof(&node.configuration.borrow(), call.arrived));
     let report = HopReport { outcome, load, cut, health, called_by, store_view: reach, proof, local_target: present };
@@ -213,7 +216,7 @@
 
 /// What is recorded of a call while it runs at the target.
 struct RunRecord {
-    lineage: Lineage,
+    lineage: InheritedContext,
     signature: RequestSignature,
 }
 
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -124,7 +124,7 @@
 /// Handles a restart of a target under the same identity: everything measured before is discarded.
 fn handle_restart(node: &Rc<Node>, id: &TargetId) {
     node.log(&format!("\"event\":\"target-restarted\",\"target\":\"{id}\""));
-    node.balance.borrow_mut().forget(id);
+    node.balance.borrow_mut().reset_target(id);
     if node.local_target_id.borrow().as_ref() == Some(id) {
         local_target::handle_restart(node, id);
     }
@@ -147,7 +147,7 @@
 fn remove_gone(node: &Node, gone: &[TargetId]) {
     let (now, until) = (node.now(), node.reregistration_deadline.get());
     let mut targets = node.targets.borrow_mut();
-    if !node.has(Mechanism::KeptTargets) {
+    if !node.has(Mechanism::RetainedTargets) {
         gone.iter().for_each(|id| targets.remove(id));
     } else if until > now {
         targets.remove_after_outage(gone, until, now);
@@ -202,7 +202,7 @@
 /// Updates the gate, the load balancer and the node's role in the feed tree after the list of targets has changed.
 pub fn on_targets_changed(node: &Rc<Node>) {
     let targets = node.targets.borrow();
-    node.balance.borrow_mut().retain(|id| targets.get(id).is_some());
+    node.balance.borrow_mut().retain_targets(|id| targets.get(id).is_some());
     let configuration = node.current_configuration();
     // An entry that names an unknown service may have been written by anyone.
     let is_known = |service: &str| configuration.as_ref().is_none_or(|current| current.services.contains_key(service));
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -242,7 +242,7 @@
         // A change is often followed by more, and each response of the store costs money. So the next watch starts
         // after a pause that batches changes. A change that comes without others before it is received at once, since
         // the watch is waiting for it.
-        if has_changes && node.has(Mechanism::GatheredChanges) {
+        if has_changes && node.has(Mechanism::BatchedReads) {
             sleep(node.settings.bounds.batch_window()).await;
         }
     }
--- a/crates/sidecar/src/tenancy.rs
+++ b/crates/sidecar/src/tenancy.rs
@@ -39,7 +39,7 @@
             coordinator: RefCell::new(LimitCoordinator::new(bounds.limits)),
             surge: Notify::new(),
             machine_count: Cell::new(0),
-            uses_peer_proofs: settings.mechanisms.has(Mechanism::HeardFreshness),
+            uses_peer_proofs: settings.mechanisms.is_enabled(Mechanism::PeerFreshness),
         }
     }
 
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -223,7 +223,7 @@
         alpha.sidecar.stop().await;
         let restarted = start_sidecar(address, "alpha", target, store);
         eventually("it is ready", || restarted.node.is_ready()).await;
-        eventually("it has quarantine entries", || restarted.node.quarantine.borrow().has_notable()).await;
+        eventually("it has quarantine entries", || restarted.node.quarantine.borrow().has_gossip()).await;
         let outbound = SocketAddr::from((address, OUTBOUND));
         for number in 0..20 {
             fleet.heartbeat();
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use proptest::prelude::{any, proptest};
-use quillhatch_mesh::callers::CalledBy;
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
+use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::freshness::FreshnessProof;
 use quillhatch_mesh::gate::Load;
-use quillhatch_mesh::parents::Lineage;
+use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::replica::Position;
 use quillhatch_messages::generated::limits::LimitMessage;
 use quillhatch_messages::generated::quarantine::QuarantineMessage;
@@ -22,7 +22,7 @@
 fn a_hop_context_round_trips() {
     let context = HopContext {
         is_root: true,
-        lineage: Lineage { priority: 2, position: 255, is_repeat: true, admitted_permille: 250 },
+        lineage: InheritedContext { priority: 2, position: 255, is_retry: true, admitted_permille: 250 },
         max_wait: Duration::from_millis(330),
         store_view: StoreView { position: Position { era: 2, revision: 77 }, store_unreachable: true },
         edge_ip: IpAddr::from([10, 1, 0, 8]),
@@ -41,9 +41,9 @@
             let report = HopReport {
                 outcome,
                 load: Load { running: 3, limit: 36, waiting: 144 },
-                cut: Cut::after(0.125),
+                cut: AdmissionLevel::from_priority_share(0.125),
                 health: 0.75,
-                called_by: CalledBy::Targets,
+                called_by: CallerKind::TargetsOnly,
                 store_view: StoreView { position: Position::default(), store_unreachable: false },
                 proof,
                 local_target,
