--- a/crates/mesh/tests/quarantine/fleet.rs
+++ b/crates/mesh/tests/quarantine/fleet.rs
@@ -269,12 +269,10 @@
         if self.scenario.holder == EvidenceHolder::Edges && self.refuses(edge, request) {
             return;
         }
-        let available: Vec<usize> = (0..self.scenario.nodes)
+        let up: Vec<usize> = (0..self.scenario.nodes)
             .filter(|node| self.nodes[*node].is_up && !self.is_partitioned(edge, *node))
             .collect();
-        let Some(&node) = (!available.is_empty()).then(|| &available[self.random.gen_range(0..available.len())]) else {
-            return;
-        };
+        let Some(&node) = (!up.is_empty()).then(|| &up[self.random.gen_range(0..up.len())]) else { return };
         if self.scenario.exchange == Exchange::WithCalls {
             let carried = std::mem::take(&mut self.carried[edge]);
             self.nodes[node].quarantine.merge(&carried, self.now);
@@ -303,9 +301,9 @@
         }
         gate.running.retain(|(running, ..)| *running != run);
         gate.runs.completed(run);
-        let holder = if self.scenario.holder == EvidenceHolder::Edges { edge } else { node };
-        let cleared = self.nodes[holder].quarantine.record_completion(&signature(request), self.now);
-        self.broadcast(holder, &[], &cleared);
+        let storing_node = if self.scenario.holder == EvidenceHolder::Edges { edge } else { node };
+        let cleared = self.nodes[storing_node].quarantine.record_completion(&signature(request), self.now);
+        self.broadcast(storing_node, &[], &cleared);
         if self.scenario.exchange == Exchange::WithCalls && self.scenario.holder == EvidenceHolder::Gates {
             let known = self.nodes[node].quarantine.all_records(self.now);
             self.carried[edge] = known;
