--- a/crates/control/src/operator/mod.rs
+++ b/crates/control/src/operator/mod.rs
@@ -10,8 +10,8 @@
 
 use derive_more::Display;
 use quillhatch_types::{
-    CallId, ClassName, Configuration, Epoch, Finding, Findings, Generation, NodeAddress, NodeId, Place, PlanId,
-    Refusal, Revision, ServiceName, Severity, SiteName,
+    CallId, ClassName, Configuration, Epoch, Finding, Findings, Generation, NodeAddress, NodeId, PlanId, Refusal,
+    Revision, ServiceName, Severity, SiteName, SourceLocation,
 };
 use serde::{Deserialize, Serialize};
 
@@ -297,7 +297,7 @@
 /// A finding about an operator's request; `path` names the part of the request.
 pub fn finding(path: &str, problem: impl Into<String>, advice: impl Into<String>) -> Finding {
     Finding {
-        place: Place { source: "request".to_owned(), line: 0, column: 0, path: path.to_owned() },
+        place: SourceLocation { source: "request".to_owned(), line: 0, column: 0, path: path.to_owned() },
         severity: Severity::Error,
         problem: problem.into(),
         advice: advice.into(),
--- a/crates/quillhatch/src/platform/tests.rs
+++ b/crates/quillhatch/src/platform/tests.rs
@@ -3,10 +3,10 @@
 use std::sync::Mutex;
 
 use super::*;
-use quillhatch_types::{Finding, Place, Severity};
+use quillhatch_types::{Finding, Severity, SourceLocation};
 
 fn refused() -> ReadError {
-    let place = Place { source: "document".to_owned(), line: 3, column: 5, path: "services".to_owned() };
+    let place = SourceLocation { source: "document".to_owned(), line: 3, column: 5, path: "services".to_owned() };
     let (problem, advice) = ("unknown".to_owned(), "remove it".to_owned());
     ReadError::Refused(Findings(vec![Finding { place, severity: Severity::Error, problem, advice }]))
 }
--- a/crates/settings/src/report.rs
+++ b/crates/settings/src/report.rs
@@ -1,6 +1,6 @@
 //! Collects findings about one input and turns origins into places.
 
-use quillhatch_types::{Finding, Findings, Place, Severity};
+use quillhatch_types::{Finding, Findings, Severity, SourceLocation};
 
 use crate::document::Origin;
 use crate::text::LineIndex;
@@ -52,7 +52,7 @@
         self.findings.push(Finding { place, severity, problem, advice });
     }
 
-    fn place(&self, spot: &Spot) -> Place {
+    fn place(&self, spot: &Spot) -> SourceLocation {
         let (source, line, column) = match spot.origin {
             Origin::Offset(offset) => {
                 let (line, column) = self.lines.position(self.text, offset);
@@ -60,6 +60,6 @@
             }
             Origin::Flag(flag) => (format!("--{flag}"), 0, 0),
         };
-        Place { source, line, column, path: spot.path.clone() }
+        SourceLocation { source, line, column, path: spot.path.clone() }
     }
 }
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/text.rs
@@ -2,7 +2,7 @@
 //!
 //! Use [`utf8_text`] before handing the content of a file to one of the parsers.
 
-use quillhatch_types::{Finding, Findings, Place, Severity};
+use quillhatch_types::{Finding, Findings, Severity, SourceLocation};
 
 /// Decodes `bytes`, the content of `source`, as UTF-8.
 ///
@@ -13,7 +13,7 @@
     std::str::from_utf8(bytes).map_err(|error| {
         let valid = String::from_utf8_lossy(&bytes[..error.valid_up_to()]).into_owned();
         let (line, column) = LineIndex::new(&valid).position(&valid, valid.len());
-        let place = Place { source: source.to_string(), line, column, path: String::new() };
+        let place = SourceLocation { source: source.to_string(), line, column, path: String::new() };
         Findings(vec![Finding {
             place,
             severity: Severity::Error,
--- a/crates/types/src/finding.rs
+++ b/crates/types/src/finding.rs
@@ -6,7 +6,7 @@
 /// Where in an input a finding lies.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{source}:{line}:{column}: {path}")]
-pub struct Place {
+pub struct SourceLocation {
     /// The file name or URL of the input.
     pub source: String,
     /// The line, counted from one; zero if the input has no lines.
@@ -34,7 +34,7 @@
 #[display("{place}: {severity}: {problem}; {advice}")]
 pub struct Finding {
     /// Where.
-    pub place: Place,
+    pub place: SourceLocation,
     /// How bad.
     pub severity: Severity,
     /// What is wrong.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -21,7 +21,7 @@
 pub use configuration::{
     ClassConfiguration, Configuration, Formation, ServiceConfiguration, SiteConfiguration, TargetConfiguration,
 };
-pub use finding::{Finding, Findings, Place, Severity};
+pub use finding::{Finding, Findings, Severity, SourceLocation};
 pub use identity::{Epoch, Generation, Incarnation, NodeAddress, NodeId, Revision, SlotId};
 pub use names::{CallerName, ClassName, DeploymentName, PlanId, ServiceName, SiteName, ZoneName};
 pub use outcome::{Feedback, Outcome, Refusal, RefusalReason};
