--- a/crates/sidecar/src/store/client.rs
+++ b/crates/sidecar/src/store/client.rs
@@ -8,7 +8,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use quillhatch_platform::headers;
-use quillhatch_platform::store::{AnswerError, Page};
+use quillhatch_platform::store::{Page, PageError};
 use tokio::time::timeout;
 
 use crate::body::Body;
@@ -31,7 +31,7 @@
     Status(StatusCode),
     /// The answer can't be understood.
     #[display("{_0}")]
-    Answer(AnswerError),
+    Answer(PageError),
     /// The store has come back from an older copy, or the answer is from before it did.
     #[display("the answer is of another era")]
     OtherEra,
@@ -61,7 +61,7 @@
     node: &Rc<Node>,
     path: &str,
     longest: Duration,
-    read: impl Fn(&[u8]) -> Result<Page, AnswerError>,
+    read: impl Fn(&[u8]) -> Result<Page, PageError>,
 ) -> Result<StoreAnswer, StoreError> {
     Counters::add(&node.counters.store_requests);
     let address = node.settings.store;
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -19,7 +19,7 @@
 use quillhatch_mesh::replica::{Change, Extent, Position, RevisedChange, Update, UpdateError};
 use quillhatch_mesh::store_reader::NextRead;
 use quillhatch_mesh::targets::Target;
-use quillhatch_platform::store::{listing_path, read_page, watch_path, Freshness};
+use quillhatch_platform::store::{listing_path, read_page, watch_path, ReadConsistency};
 use quillhatch_types::Timestamp;
 use rand::Rng;
 use tokio::time::sleep;
@@ -68,13 +68,13 @@
 async fn read_in_turn(node: &Rc<Node>, turn: ReadingTurn) -> Result<(), StoreError> {
     if turn == ReadingTurn::Start {
         node.lone_readings.set(node.lone_readings.get().another(node.now()));
-        return read_all(node, Freshness::MayLag).await;
+        return read_all(node, ReadConsistency::Stale).await;
     }
     let next = node.store_reader.borrow().next(node.position());
     match next {
         NextRead::Changes { .. } => {}
-        NextRead::Everything => read_all(node, Freshness::Current).await?,
-        NextRead::LaggingCopy => read_all(node, Freshness::MayLag).await?,
+        NextRead::Everything => read_all(node, ReadConsistency::Current).await?,
+        NextRead::LaggingCopy => read_all(node, ReadConsistency::Stale).await?,
     }
     watch(node, turn).await
 }
@@ -118,7 +118,7 @@
 }
 
 /// Reads the configuration and all targets. From a lagging copy, the first page may do: it shows whom else to ask.
-async fn read_all(node: &Rc<Node>, freshness: Freshness) -> Result<(), StoreError> {
+async fn read_all(node: &Rc<Node>, freshness: ReadConsistency) -> Result<(), StoreError> {
     let sent = node.now();
     let mut changes: Vec<RevisedChange> = Vec::new();
     let mut position: Option<Position> = None;
@@ -136,7 +136,7 @@
         if !page.more {
             break;
         }
-        if freshness == Freshness::MayLag && after.is_empty() && others_tell_the_rest(node, &changes).await {
+        if freshness == ReadConsistency::Stale && after.is_empty() && others_tell_the_rest(node, &changes).await {
             return Ok(());
         }
         after.clone_from(&page.last_key);
@@ -152,12 +152,12 @@
         node.log_failure(|| format!("\"event\":\"store-outrun\",\"revision\":{}", position.revision));
     }
     match freshness {
-        Freshness::Current => {
+        ReadConsistency::Current => {
             reached(node, sent);
             up_to_date(node, sent);
             node.targets_known.set(true);
         }
-        Freshness::MayLag => {
+        ReadConsistency::Stale => {
             tokio::task::spawn_local(caught_up(Rc::clone(node)));
         }
     }
