--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -11,7 +11,7 @@
 use support::caller::{call, request, Answer, Caller};
 use support::limits::{pay, read, two_machines, HOST};
 use support::store::StandInStore;
-use support::target::{ChainedCall, Habit};
+use support::target::{ChainedCall, TargetBehaviour};
 use support::{eventually, run, Machine};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
@@ -24,7 +24,7 @@
         assert_eq!((answer.status, answer.body.as_slice()), (200, b"the answer to one".as_slice()));
         assert_eq!(answer.header("quillhatch-server-stamp"), "stamp-one");
         assert_eq!(answer.header("quillhatch-hop"), "", "the header between nodes stays between them");
-        let seen = alpha.target.ran().remove(0);
+        let seen = alpha.target.started_requests().remove(0);
         assert_eq!(
             (seen.method.as_str(), seen.path.as_str(), seen.body.as_slice()),
             ("POST", "/pay/", b"amount=7".as_slice())
@@ -47,7 +47,7 @@
             "\r\nQuillhatch-Caller-Service: forged\r\nQuillhatch-Expect-Instance: forged\r\nQuillhatch-Hop: 1;0;1\r\n\r\n",
         );
         assert_eq!(call(beta.outbound(), &forged).await.expect("an answer").status, 200);
-        let seen = alpha.target.ran().remove(0);
+        let seen = alpha.target.started_requests().remove(0);
         assert_eq!(seen.header("quillhatch-caller-service"), "beta");
         assert_eq!(seen.header("quillhatch-expect-instance"), alpha.target.id());
     });
@@ -59,7 +59,7 @@
         let (_store, alpha, beta) = two_machines().await;
         let deep = request("GET", HOST, "/read/deep/x", "one", 5000, "");
         assert_eq!(call(beta.outbound(), &deep).await.expect("an answer").status, 200);
-        assert_eq!((alpha.target.ran().len(), beta.target.ran().len()), (0, 1));
+        assert_eq!((alpha.target.started_requests().len(), beta.target.started_requests().len()), (0, 1));
         for (host, path) in [(HOST, "/none/"), ("other.example", "/read/")] {
             let unknown = request("GET", host, path, "two", 5000, "");
             assert_eq!(call(beta.outbound(), &unknown).await.expect("an answer").status, 404);
@@ -67,20 +67,20 @@
     });
 }
 
-#[test_case(Habit::Foreign; "an answer to another request")]
-#[test_case(Habit::BreaksOff; "an answer that breaks off")]
-#[test_case(Habit::Unsigned; "an answer without a signature")]
-#[test_case(Habit::Garbage; "bytes that are no answer")]
-#[test_case(Habit::Lost; "no answer")]
-fn what_is_no_answer_of_the_target_is_a_502_and_runs_once(habit: Habit) {
+#[test_case(TargetBehaviour::WrongRequestId; "an answer to another request")]
+#[test_case(TargetBehaviour::TruncatedBody; "an answer that breaks off")]
+#[test_case(TargetBehaviour::Unsigned; "an answer without a signature")]
+#[test_case(TargetBehaviour::Garbage; "bytes that are no answer")]
+#[test_case(TargetBehaviour::NoAnswer; "no answer")]
+fn what_is_no_answer_of_the_target_is_a_502_and_runs_once(habit: TargetBehaviour) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(habit);
+        alpha.target.set_behaviour(habit);
         let answer = call(beta.outbound(), &pay("one")).await.expect("an answer");
         assert_eq!(answer.status, 502);
         assert_eq!(answer.header("quillhatch-server-stamp"), "", "a failure of ours is not signed by the target");
-        assert_eq!(alpha.target.ran().len(), 1);
-        alpha.target.set_habit(Habit::Good);
+        assert_eq!(alpha.target.started_requests().len(), 1);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
         let next = call(beta.outbound(), &pay("two")).await.expect("an answer");
         assert_eq!(next.body, b"the answer to two", "nothing of the connection before is left");
     });
@@ -90,7 +90,7 @@
 fn a_surplus_answer_is_given_to_nobody() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Surplus);
+        alpha.target.set_behaviour(TargetBehaviour::SecondAnswer);
         let mut caller = Caller::connect(beta.outbound()).await;
         for number in 0..6 {
             let id = format!("call-{number}");
@@ -108,7 +108,7 @@
 fn an_answer_without_a_length_comes_whole() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Unframed);
+        alpha.target.set_behaviour(TargetBehaviour::NoContentLength);
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!((answer.status, answer.body.as_slice()), (200, b"the answer to one".as_slice()));
     });
@@ -118,10 +118,10 @@
 fn a_targets_own_failure_goes_back_unchanged() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Failing);
+        alpha.target.set_behaviour(TargetBehaviour::ServerError);
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!((answer.status, answer.header("quillhatch-server-stamp")), (500, "stamp-one"));
-        assert_eq!(alpha.target.ran().len(), 1, "what has run and failed is not repeated here");
+        assert_eq!(alpha.target.started_requests().len(), 1, "what has run and failed is not repeated here");
     });
 }
 
@@ -148,7 +148,7 @@
             }
         }
         assert!(refused > 0, "nothing was cut");
-        assert_eq!(alpha.target.arrivals(), 40 - refused);
+        assert_eq!(alpha.target.received_count(), 40 - refused);
     });
 }
 
@@ -156,11 +156,11 @@
 fn a_target_that_sheds_is_a_refusal_with_a_time_to_come_back() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Sheds);
+        alpha.target.set_behaviour(TargetBehaviour::RefusesRequests);
         let answer = call(beta.outbound(), &pay("one")).await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(IN_TIME.contains(&told_to_come_back(&answer)), "{}", told_to_come_back(&answer));
-        assert!(alpha.target.ran().is_empty());
+        assert!(alpha.target.started_requests().is_empty());
     });
 }
 
@@ -168,7 +168,7 @@
 fn a_call_is_answered_at_its_routes_time() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(5)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
         let begun = Instant::now();
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!(answer.status, 504);
@@ -180,7 +180,7 @@
 fn a_target_is_never_given_more_than_its_slots() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(100)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(100)));
         let calls = (0..12).map(|number| {
             let outbound = beta.outbound();
             tokio::task::spawn_local(async move { call(outbound, &read(&format!("call-{number}"))).await })
@@ -191,8 +191,8 @@
             let answer = call.await.expect("the caller ends").expect("an answer");
             refused += usize::from(answer.status == 503);
         }
-        assert!(alpha.target.most_running() <= 4, "{}", alpha.target.most_running());
-        assert_eq!(alpha.target.ran().len() + refused, 12, "what does not run is refused");
+        assert!(alpha.target.max_running() <= 4, "{}", alpha.target.max_running());
+        assert_eq!(alpha.target.started_requests().len() + refused, 12, "what does not run is refused");
     });
 }
 
@@ -206,7 +206,7 @@
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &text).await.expect("an answer").status, status);
-        assert_eq!(alpha.target.arrivals(), 0);
+        assert_eq!(alpha.target.received_count(), 0);
     });
 }
 
@@ -233,7 +233,7 @@
         store.write("servers/i-frozen", Some(&entry));
         eventually("the frozen one is listed", || beta.node().targets.borrow().len() == 3).await;
         // The one that is not known yet looks better than one that has become slower, whatever noise there was before.
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(20)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(20)));
         let mut slowest = Duration::ZERO;
         for number in 0..60 {
             let begun = Instant::now();
@@ -265,7 +265,7 @@
             .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n");
         let chunks = format!("{:x}\r\n{half}\r\n{:x}\r\n{rest}\r\n0\r\n\r\n", half.len(), rest.len());
         let answer = call(beta.outbound(), &(chunked + &chunks)).await.expect("an answer");
-        let ran = alpha.target.ran();
+        let ran = alpha.target.started_requests();
         assert!(ran[0].body == body.as_bytes(), "{} of {length} bytes", ran[0].body.len());
         if length < 64 * 1024 {
             assert_eq!(answer.status, 200);
@@ -283,7 +283,7 @@
                 r#"{{"name":"{name}","kind":"safe","aim_s":1,"priority":1,"match":{{"prefix":"/{name}/"}},"action":{{"splits":[{{"service":"{service}","weight":1}}],"timeout_s":2,"max_attempts":2}}}}"#
             )
         };
-        store.configure(&format!(
+        store.write_configuration(&format!(
             r#"{{"version":"r3","listeners":[{{"host":"{HOST}","rules":[{},{}]}}],"clusters":[{{"name":"alpha","health_path":"/health"}},{{"name":"beta","health_path":"/health"}}]}}"#,
             rule("chain", "alpha"),
             rule("read", "beta")
@@ -292,7 +292,7 @@
         let alphas = [Machine::start(&store, "alpha", 8).await, Machine::start(&store, "alpha", 8).await];
         for alpha in &alphas {
             let call = ChainedCall { outbound: alpha.outbound(), host: HOST.to_owned(), path: "/read/x".to_owned() };
-            alpha.target.chain(call);
+            alpha.target.set_chained_call(call);
             eventually("all are listed", || alpha.node().targets.borrow().len() == 3).await;
         }
         eventually("all are listed", || beta.node().targets.borrow().len() == 3).await;
@@ -306,11 +306,15 @@
             alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
-        alphas.iter().for_each(|alpha| alpha.target.set_habit(Habit::Lost));
+        alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoAnswer));
         assert_eq!(call(beta.outbound(), &chain("twice")).await.expect("an answer").status, 502);
         assert_eq!(counted(), 1, "the call below the second attempt");
-        let below =
-            beta.target.ran().iter().filter(|seen| seen.header("quillhatch-request-id") == "twice-chained").count();
+        let below = beta
+            .target
+            .started_requests()
+            .iter()
+            .filter(|seen| seen.header("quillhatch-request-id") == "twice-chained")
+            .count();
         assert_eq!(below, 2);
     });
 }
@@ -327,7 +331,7 @@
             r#"{{"name":"{name}","kind":"safe","aim_s":1,"match":{{"prefix":"/{name}/"}},"action":{{"service":"{service}","timeout_s":2,"max_attempts":2}}}}"#
         )
     };
-    store.configure(&format!(
+    store.write_configuration(&format!(
         r#"{{"version":"r3","listeners":[{{"host":"{HOST}","rules":[{},{}]}}],"clusters":[{{"name":"alpha","health_path":"/health"}},{{"name":"beta","health_path":"/health"}}]}}"#,
         rule("chain", "alpha"),
         rule("read", "beta")
@@ -335,7 +339,7 @@
     let betas = [Machine::start(&store, "beta", 8).await, Machine::start(&store, "beta", 8).await];
     let alpha = Machine::start(&store, "alpha", 8).await;
     let outbound = alpha.outbound();
-    alpha.target.chain(ChainedCall { outbound, host: HOST.to_owned(), path: "/read/x".to_owned() });
+    alpha.target.set_chained_call(ChainedCall { outbound, host: HOST.to_owned(), path: "/read/x".to_owned() });
     eventually("all are listed", || betas[0].node().targets.borrow().len() == 3).await;
     for number in 0..40 {
         let answer = call(betas[0].outbound(), &chain(&format!("good-{number}"))).await.expect("an answer");
@@ -350,10 +354,10 @@
     run(async {
         let (_store, _alpha, betas) = chained_machines().await;
         // The one that is chosen at present: which of two is quicker depends on the machine that runs the test.
-        betas.iter().for_each(|beta| drop(beta.target.take_ran()));
+        betas.iter().for_each(|beta| drop(beta.target.take_started_requests()));
         assert_eq!(call(betas[0].outbound(), &chain("last")).await.expect("an answer").status, 200);
-        let slow = betas.iter().find(|beta| !beta.target.ran().is_empty()).expect("one has run it");
-        slow.target.set_habit(Habit::Slow(Duration::from_secs(4)));
+        let slow = betas.iter().find(|beta| !beta.target.started_requests().is_empty()).expect("one has run it");
+        slow.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(4)));
         let begun = Instant::now();
         for number in 0..20 {
             let answer = call(betas[0].outbound(), &chain(&format!("slow-{number}"))).await.expect("an answer");
@@ -368,7 +372,7 @@
 fn a_node_that_stops_leaves_no_slow_target() {
     run(async {
         let (_store, alpha, betas) = chained_machines().await;
-        betas.iter().for_each(|beta| beta.target.set_habit(Habit::Slow(Duration::from_millis(900))));
+        betas.iter().for_each(|beta| beta.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(900))));
         let stops = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
             alpha.node().stage.set(Stage::Stopping);
@@ -385,17 +389,17 @@
 fn a_target_that_answers_before_it_has_read_the_body_gets_no_other_bytes_in_its_place(length: usize) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Early);
+        alpha.target.set_behaviour(TargetBehaviour::EarlyAnswer);
         for number in 0..3 {
             let body = "b".repeat(length - number);
             let text = request("POST", HOST, "/pay/", &format!("early-{number}"), 5000, &body);
             let answer = call(beta.outbound(), &text).await.expect("an answer");
             assert_eq!((answer.status, answer.body), (200, format!("the answer to early-{number}").into_bytes()));
         }
-        alpha.target.set_habit(Habit::Good);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
         assert_eq!(call(beta.outbound(), &pay("after")).await.expect("an answer").status, 200);
-        let read = alpha.target.read_late();
+        let read = alpha.target.late_bodies();
         assert!(read.iter().all(|body| body.iter().all(|byte| *byte == b'b')), "foreign bytes in a body");
-        assert_eq!(alpha.target.arrivals(), 4);
+        assert_eq!(alpha.target.received_count(), 4);
     });
 }
--- a/crates/sidecar/tests/changes.rs
+++ b/crates/sidecar/tests/changes.rs
@@ -6,8 +6,8 @@
 
 use support::caller::call;
 use support::shop::{document, read, two_machines};
-use support::store::{Mode, StandInStore};
-use support::target::Habit;
+use support::store::{StandInStore, StoreMode};
+use support::target::TargetBehaviour;
 use support::{eventually, machine, run, start_sidecar, Machine, BOUNDS, OUTBOUND};
 use tokio::time::sleep;
 
@@ -16,16 +16,16 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let version = || beta.node().configuration.borrow().version();
-        store.configure(&document(7, "beta"));
+        store.write_configuration(&document(7, "beta"));
         eventually("version 7", || version() == 7).await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
-        assert_eq!((alpha.target.ran().len(), beta.target.ran().len()), (0, 1));
+        assert_eq!((alpha.target.started_requests().len(), beta.target.started_requests().len()), (0, 1));
         for refused in [document(6, "alpha"), "{\"version\":\"r9\",".to_owned(), document(9, "x").replace("r9", "9")] {
-            store.configure(&refused);
+            store.write_configuration(&refused);
             sleep(Duration::from_millis(300)).await;
             assert_eq!(version(), 7);
         }
-        store.configure(&document(8, "alpha"));
+        store.write_configuration(&document(8, "alpha"));
         eventually("version 8", || version() == 8).await;
     });
 }
@@ -50,15 +50,15 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let second = Machine::start(&store, "alpha", 8).await;
-        store.list(&alpha.target, "draining");
+        store.register(&alpha.target, "draining");
         eventually("alpha's gate closes", || alpha.node().gate.borrow().is_closed()).await;
-        let before = alpha.target.arrivals();
+        let before = alpha.target.received_count();
         for number in 0..10 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        assert_eq!(alpha.target.arrivals(), before);
-        assert_eq!(second.target.ran().len(), 10);
+        assert_eq!(alpha.target.received_count(), before);
+        assert_eq!(second.target.started_requests().len(), 10);
     });
 }
 
@@ -66,7 +66,7 @@
 fn calls_that_wait_for_a_draining_target_go_to_another() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(600)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(600)));
         let calls: Vec<_> = (0..10)
             .map(|number| {
                 let outbound = beta.outbound();
@@ -76,15 +76,15 @@
         eventually("some wait", || alpha.node().gate.borrow().load().waiting > 0).await;
         // What was let through may still be on its way to the target.
         let ran = alpha.node().gate.borrow().load().running as usize;
-        eventually("the others run", || alpha.target.ran().len() == ran).await;
+        eventually("the others run", || alpha.target.started_requests().len() == ran).await;
         let second = Machine::start(&store, "alpha", 8).await;
         eventually("the second is known at beta", || beta.node().targets.borrow().len() == 3).await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         for call in calls {
             let status = call.await.expect("the caller ends").expect("an answer").status;
             assert!(status == 200 || status == 503, "{status}");
         }
-        assert_eq!(alpha.target.ran().len(), ran, "nothing that waited has reached the gone target");
+        assert_eq!(alpha.target.started_requests().len(), ran, "nothing that waited has reached the gone target");
         drop(second);
     });
 }
@@ -94,16 +94,16 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         alpha.target.restart();
-        let before = alpha.target.arrivals();
+        let before = alpha.target.received_count();
         let mut served = 0;
         for number in 0..20 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             served += usize::from(answer.status == 200);
         }
         assert!(served >= 19, "{served}");
-        let rejected = alpha.target.arrivals() - before - served;
+        let rejected = alpha.target.received_count() - before - served;
         assert!(rejected <= 1, "the new identity is learnt from the first rejection: {rejected}");
     });
 }
@@ -116,7 +116,7 @@
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
         let former = alpha.target.id();
         alpha.target.restart();
-        store.list(&alpha.target, "ready");
+        store.register(&alpha.target, "ready");
         let present = alpha.target.id();
         eventually("beta knows it", || beta.node().targets.borrow().get(&present).is_some()).await;
         let mut served = 0;
@@ -125,7 +125,7 @@
             served += usize::from(answer.status == 200);
         }
         assert!(served >= 19, "{served}");
-        store.unlist(&former);
+        store.deregister(&former);
         eventually("the former is gone", || beta.node().targets.borrow().get(&former).is_none()).await;
         assert!(beta.node().targets.borrow().get(&present).is_some());
         assert_eq!(call(beta.outbound(), &read("last")).await.expect("an answer").status, 200);
@@ -163,8 +163,8 @@
         for number in 0..40 {
             call(beta.outbound(), &read(&format!("good-{number}"))).await.expect("an answer");
         }
-        alpha.target.set_habit(Habit::Sheds);
-        let before = alpha.target.arrivals();
+        alpha.target.set_behaviour(TargetBehaviour::RefusesRequests);
+        let before = alpha.target.received_count();
         let begun = tokio::time::Instant::now();
         let mut served = 0;
         for number in 0..60 {
@@ -174,7 +174,7 @@
         }
         assert!(served >= 58, "{served}");
         let allowed = 2 + begun.elapsed().as_millis() as usize / 200;
-        assert!(alpha.target.arrivals() - before <= allowed, "{} of 60", alpha.target.arrivals() - before);
+        assert!(alpha.target.received_count() - before <= allowed, "{} of 60", alpha.target.received_count() - before);
         drop(second);
     });
 }
@@ -188,8 +188,8 @@
         let former = alpha.target.id();
         alpha.target.restart();
         // No task runs in between, so one answer of the store brings both.
-        store.list(&alpha.target, "ready");
-        store.unlist(&former);
+        store.register(&alpha.target, "ready");
+        store.deregister(&former);
         let present = alpha.target.id();
         for machine in [&alpha, &beta] {
             let is_known = || machine.node().targets.borrow().get(&present).is_some();
@@ -207,14 +207,14 @@
 fn a_restarted_node_asks_its_target_who_it_is() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
         // Only the list still holds the identity before.
         alpha.target.restart();
         let beta = Machine::start(&store, "beta", 8).await;
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!(answer.status, 200);
-        assert_eq!((alpha.target.probes(), alpha.target.arrivals()), (1, 1), "one question, no rejected call");
+        assert_eq!((alpha.target.probes(), alpha.target.received_count()), (1, 1), "one question, no rejected call");
     });
 }
 
@@ -222,7 +222,7 @@
 fn an_address_that_another_service_has_taken_is_not_called() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         // At alpha's address a target and a node of another service start; beta still knows the former one.
         let (address, former) = (alpha.address, alpha.target.id());
         alpha.sidecar.stop().await;
@@ -231,7 +231,7 @@
         let gamma = start_sidecar(address, "gamma", local, store.address);
         let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
         assert_eq!(answer.status, 503);
-        assert!(alpha.target.ran().is_empty());
+        assert!(alpha.target.started_requests().is_empty());
         assert!(beta.node().targets.borrow().get(&former).is_some(), "no target of another service takes its place");
         drop(gamma);
     });
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -9,7 +9,7 @@
 use support::caller::{call, request, Caller};
 use support::limits::{document, pay, read, two_machines, HOST};
 use support::store::StandInStore;
-use support::target::Habit;
+use support::target::TargetBehaviour;
 use support::{eventually, run, FullListener, Machine, OUTBOUND};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
@@ -20,7 +20,7 @@
 fn answers_of_any_length_come_whole_and_keep_connections(length: usize) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Long(length));
+        alpha.target.set_behaviour(TargetBehaviour::LongBody(length));
         for id in ["one", "two", "three"] {
             let answer = call(beta.outbound(), &read(id)).await.expect("an answer");
             assert_eq!((answer.status, answer.body.len()), (200, length));
@@ -33,7 +33,7 @@
 fn requests_behind_another_begin_at_once_and_are_answered_in_order() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(300)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
         let mut caller = Caller::connect(beta.outbound()).await;
         let begun = Instant::now();
         caller.send(&read("one")).await;
@@ -48,7 +48,7 @@
             "one after the other takes 900 ms: {:?}",
             begun.elapsed()
         );
-        assert_eq!(alpha.target.ran().len(), 3);
+        assert_eq!(alpha.target.started_requests().len(), 3);
     });
 }
 
@@ -56,7 +56,7 @@
 fn a_caller_that_leaves_ends_the_work_of_all_its_requests() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(5)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&(read("one") + &read("two"))).await;
         eventually("both run", || alpha.target.running() == 2).await;
@@ -72,11 +72,11 @@
 fn connections_of_targets_that_say_close_are_not_used_again() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Closing);
+        alpha.target.set_behaviour(TargetBehaviour::ConnectionClose);
         for id in ["one", "two", "three"] {
             assert_eq!(call(beta.outbound(), &pay(id)).await.expect("an answer").status, 200);
         }
-        assert_eq!(alpha.target.ran().len(), 3);
+        assert_eq!(alpha.target.started_requests().len(), 3);
     });
 }
 
@@ -89,7 +89,7 @@
         let answer = caller.answer().await.expect("an answer");
         assert_eq!((answer.status, answer.header("connection")), (408, "close"));
         assert_eq!(caller.answer().await, None);
-        assert_eq!(alpha.target.arrivals(), 0);
+        assert_eq!(alpha.target.received_count(), 0);
     });
 }
 
@@ -112,7 +112,7 @@
     // lay unaccepted until their callers had left.
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(150)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(150)));
         let before = alpha.sidecar.open_connections();
         let mut callers = Vec::new();
         for number in 0..12 {
@@ -123,7 +123,7 @@
         for caller in &mut callers {
             caller.answer().await.expect("an answer");
         }
-        alpha.target.set_habit(Habit::Good);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
         assert!(alpha.sidecar.open_connections() > before + 3);
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(6) {
@@ -138,7 +138,7 @@
 fn answers_end_their_connections_while_descriptors_are_short() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(1));
+        store.write_configuration(&document(1));
         let alpha = Machine::start(&store, "alpha", 4).await;
         let address = support::machine();
         let settings = SidecarSettings {
@@ -170,7 +170,7 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let unreached = FullListener::start((support::machine(), alpha.inbound().port()).into()).await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         let entry = format!(
             r#"{{"service":"alpha","address":"{}:9","zone":"zone-a","version":"v1","slots":4,"state":"ready","cold_remaining_s":0,"seq":1}}"#,
             unreached.address.ip()
@@ -192,7 +192,7 @@
         let (_store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &pay("known")).await.expect("an answer").status, 200);
         let address = alpha.target.address;
-        alpha.target.end();
+        alpha.target.stop();
         let _full = FullListener::start(address).await;
         if !is_known {
             quillhatch_sidecar::present_target::out_of_reach(alpha.node());
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -13,7 +13,7 @@
 
 use support::caller::{call, request, Answer};
 use support::store::StandInStore;
-use support::target::{ChainedCall, CrashRule, Habit};
+use support::target::{ChainedCall, CrashRule, TargetBehaviour};
 use support::{eventually, run, start_sidecar, Machine, OUTBOUND};
 use tokio::time::{sleep, Instant};
 
@@ -53,12 +53,12 @@
     /// Targets that crash start again, under the identities that they had if they keep them.
     async fn start_with(keeps_id: bool) -> Self {
         let store = StandInStore::start().await;
-        store.configure(&document());
+        store.write_configuration(&document());
         let beta = Machine::start(&store, "beta", 8).await;
         let mut alphas = Vec::new();
         for _ in 0..TARGETS {
             let alpha = Machine::start(&store, "alpha", 8).await;
-            alpha.target.crash_on(CrashRule {
+            alpha.target.set_crash_rule(CrashRule {
                 path: CRASHING.to_owned(),
                 after: CRASHES_AFTER,
                 down_for: DOWN_FOR,
@@ -85,7 +85,7 @@
     /// The targets register themselves again and again.
     fn heartbeat(&self) {
         for alpha in &self.alphas {
-            self.store.list(&alpha.target, "ready");
+            self.store.register(&alpha.target, "ready");
         }
     }
 
@@ -169,7 +169,7 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Slow(Duration::from_millis(30)));
+            alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(30)));
         }
         let beside = async {
             let (mut first, mut second) = (Vec::new(), Vec::new());
@@ -192,7 +192,7 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Slow(Duration::from_millis(30)));
+            alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(30)));
         }
         let kills = async {
             for round in 0..6 {
@@ -225,7 +225,7 @@
         let outbound = SocketAddr::from((address, OUTBOUND));
         for number in 0..20 {
             fleet.heartbeat();
-            fleet.store.list(&alpha.target, "ready");
+            fleet.store.register(&alpha.target, "ready");
             call(outbound, &request("GET", HOST, CRASHING, &format!("again-{number}"), 3000, "")).await;
             sleep(Duration::from_millis(30)).await;
         }
@@ -238,7 +238,11 @@
     run(async {
         let fleet = Fleet::start().await;
         let beta = &fleet.beta;
-        beta.target.chain(ChainedCall { outbound: beta.outbound(), host: HOST.to_owned(), path: CRASHING.to_owned() });
+        beta.target.set_chained_call(ChainedCall {
+            outbound: beta.outbound(),
+            host: HOST.to_owned(),
+            path: CRASHING.to_owned(),
+        });
         let begun = Instant::now();
         for number in 0.. {
             if begun.elapsed() > Duration::from_secs(4) {
@@ -260,13 +264,13 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Lost);
+            alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
         }
         fleet.copies("/read/lost", "lost", Duration::from_secs(2)).await;
         sleep(Duration::from_millis(500)).await;
         assert!(fleet.alphas.iter().all(|alpha| alpha.node().quarantine.borrow().is_empty()));
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Good);
+            alpha.target.set_behaviour(TargetBehaviour::Normal);
         }
         served_everywhere(&fleet, "/read/lost").await;
     });
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -7,7 +7,7 @@
 
 use support::caller::call;
 use support::shop::{document, read, two_machines};
-use support::store::{Mode, StandInStore};
+use support::store::{StandInStore, StoreMode};
 use support::{eventually, run, start_sidecar, FullListener, Machine, BOUNDS};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
@@ -29,12 +29,12 @@
 
 async fn calls_in_three_seconds(count: usize) -> usize {
     let store = StandInStore::start().await;
-    store.configure(&document(5, "alpha"));
+    store.write_configuration(&document(5, "alpha"));
     let machines = machines(&store, count).await;
     sleep(Duration::from_millis(1500)).await;
     let before = store.calls();
     for version in 10..25 {
-        store.configure(&document(version, "alpha"));
+        store.write_configuration(&document(version, "alpha"));
         sleep(Duration::from_millis(200)).await;
     }
     let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 24);
@@ -55,11 +55,11 @@
 fn a_node_that_starts_does_not_take_for_recent_what_others_have_read_before() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = machines(&store, 2).await;
-        let silent_store = store.another_address().await;
-        silent_store.set_mode(Mode::Silent);
-        store.set_mode(Mode::Silent);
+        let silent_store = store.add_listener().await;
+        silent_store.set_mode(StoreMode::Unresponsive);
+        store.set_mode(StoreMode::Unresponsive);
         let lost = Instant::now();
         sleep(Duration::from_millis(1500)).await;
         let Machine { target, sidecar, address } = machines.remove(0);
@@ -79,10 +79,10 @@
 fn a_node_that_starts_asks_the_store_once_and_the_others_for_the_rest() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let machines = machines(&store, 6).await;
         // The copy shows two items at a time.
-        store.set_page(2);
+        store.set_page_size(2);
         sleep(Duration::from_millis(500)).await;
         let before = store.calls_to("/kv-range");
         let mut late: Vec<Machine> = Vec::new();
@@ -108,7 +108,7 @@
 fn a_change_reaches_all_though_a_reader_is_lost(is_killed: bool) {
     run(async move {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = machines(&store, 8).await;
         sleep(Duration::from_millis(700)).await;
         let reader = machines.iter().position(reads).expect("a reader");
@@ -117,7 +117,7 @@
         let Machine { target, sidecar, .. } = lost;
         drop(sidecar);
         let hanging = if is_killed { None } else { Some(FullListener::start(inbound).await) };
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         let begun = Instant::now();
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 6);
         eventually("all have it", all_have).await;
@@ -130,11 +130,11 @@
 fn a_change_reaches_all_though_the_store_turns_all_readers_away() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = Vec::new();
         let mut addresses = Vec::new();
         for _ in 0..8 {
-            let address = store.another_address().await;
+            let address = store.add_listener().await;
             machines.push(Machine::start(&address, "alpha", 8).await);
             addresses.push(address);
         }
@@ -143,10 +143,10 @@
         sleep(Duration::from_millis(700)).await;
         for (machine, address) in machines.iter().zip(&addresses) {
             if reads(machine) {
-                address.set_mode(Mode::Status(503));
+                address.set_mode(StoreMode::Status(503));
             }
         }
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         let begun = Instant::now();
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 6);
         eventually("all have it", all_have).await;
@@ -158,32 +158,32 @@
 fn a_store_that_comes_back_from_an_older_copy_takes_nothing_back() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
         let leaving = Machine::start(&store, "alpha", 8).await;
         let beta = Machine::start(&store, "beta", 8).await;
         eventually("all are listed", || beta.node().targets.borrow().len() == 3).await;
         sleep(Duration::from_millis(1500)).await;
-        store.configure(&document(6, "alpha"));
-        store.list(&leaving.target, "draining");
+        store.write_configuration(&document(6, "alpha"));
+        store.register(&leaving.target, "draining");
         let drains = |id: &str| beta.node().targets.borrow().get(id).is_none_or(|target| target.registration.draining);
         eventually("the drain is known", || drains(&leaving.target.id())).await;
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
 
-        let lost = store.restore(Duration::from_millis(1200));
+        let lost = store.restore_backup(Duration::from_millis(1200));
         assert_eq!(lost.len(), 2, "the copy lacks both changes");
         eventually("the new era is known", || beta.node().position().era == 2).await;
-        let arrivals = leaving.target.arrivals();
+        let arrivals = leaving.target.received_count();
         for number in 0..20 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        assert_eq!(leaving.target.arrivals(), arrivals, "one that drains gets nothing");
+        assert_eq!(leaving.target.received_count(), arrivals, "one that drains gets nothing");
         assert_eq!(beta.node().configuration.borrow().version(), 6);
 
         // Revisions are given out again; what is written then is learnt.
-        lost.iter().for_each(|write| store.write_again(write));
-        store.configure(&document(7, "alpha"));
+        lost.iter().for_each(|write| store.rewrite(write));
+        store.write_configuration(&document(7, "alpha"));
         let machines = [&alpha, &leaving, &beta];
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 7);
         eventually("version 7", all_have).await;
@@ -197,10 +197,10 @@
         sleep(Duration::from_millis(1000)).await;
         let late = Machine::start(&store, "alpha", 8).await;
         eventually("it is listed", || beta.node().targets.borrow().len() == 3).await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         eventually("the other one has left", || beta.node().targets.borrow().len() == 2).await;
         sleep(Duration::from_millis(100)).await;
-        let lost = store.restore(Duration::from_millis(900));
+        let lost = store.restore_backup(Duration::from_millis(900));
         eventually("the new era is known", || beta.node().position().era == 2).await;
         let begun = Instant::now();
         for number in 0.. {
@@ -211,8 +211,8 @@
             assert_eq!(answer.status, 200, "after {:?}", begun.elapsed());
             sleep(Duration::from_millis(30)).await;
         }
-        assert!(!late.target.ran().is_empty());
-        lost.iter().for_each(|write| store.write_again(write));
+        assert!(!late.target.started_requests().is_empty());
+        lost.iter().for_each(|write| store.rewrite(write));
         sleep(Duration::from_secs(3)).await;
         assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
     });
@@ -223,12 +223,12 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
-        store.list(&alpha.target, "draining");
+        store.register(&alpha.target, "draining");
         let id = alpha.target.id();
         let drains = || beta.node().targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
         eventually("the drain is known", drains).await;
-        alpha.target.restart_under_its_id();
-        store.list(&alpha.target, "ready");
+        alpha.target.restart_with_same_id();
+        store.register(&alpha.target, "ready");
         eventually("the new life is known", || !drains()).await;
         eventually("its gate is open", || !alpha.node().gate.borrow().is_closed()).await;
         assert_eq!(call(beta.outbound(), &read("after")).await.expect("an answer").status, 200);
@@ -238,7 +238,7 @@
             alpha.target.address
         );
         store.write(&format!("servers/{id}"), Some(&entry));
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("what came after it is known", || beta.node().configuration.borrow().version() == 6).await;
         assert!(!drains());
         assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
@@ -261,7 +261,7 @@
         for (number, entry) in forged.iter().enumerate() {
             store.write(&format!("servers/forged-{number}"), Some(entry));
         }
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(beta.node().targets.borrow().len(), 2);
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
@@ -275,7 +275,7 @@
 fn an_entry_that_names_an_unknown_service_is_asked_for_nothing() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         // Its address is that of a machine which does not answer.
         let nowhere = support::machine();
         for number in 0..20 {
@@ -299,17 +299,17 @@
 fn a_node_that_started_after_a_registration_ran_out_learns_of_the_target_from_its_node() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let others = machines(&store, 4).await;
-        let cut = store.another_address().await;
+        let cut = store.add_listener().await;
         let alpha = Machine::start(&cut, "alpha", 8).await;
         eventually("it is listed", || others[0].node().targets.borrow().len() == 5).await;
-        cut.set_mode(Mode::Silent);
+        cut.set_mode(StoreMode::Unresponsive);
         alpha.node().must_probe_store.set(true);
         alpha.node().feed.place_changed.notify_waiters();
         eventually("it knows that it is cut off", || quillhatch_sidecar::reach::own_reach(alpha.node()).is_cut_off)
             .await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         sleep(Duration::from_millis(100)).await;
         let late = Machine::start(&store, "alpha", 8).await;
         let id = alpha.target.id();
--- a/crates/sidecar/tests/leaving_targets.rs
+++ b/crates/sidecar/tests/leaving_targets.rs
@@ -7,8 +7,8 @@
 use quillhatch_sidecar::reach::own_reach;
 use support::caller::call;
 use support::shop::{document, read};
-use support::store::{Mode, StandInStore};
-use support::target::{Habit, Health};
+use support::store::{StandInStore, StoreMode};
+use support::target::{HealthStatus, TargetBehaviour};
 use support::{eventually, run, Machine, BOUNDS};
 use tokio::time::{sleep, Instant};
 
@@ -28,13 +28,13 @@
 impl Fleet {
     async fn start(count: usize) -> Self {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut addresses = Vec::new();
         let mut machines = Vec::new();
         for _ in 0..count {
-            let address = store.another_address().await;
+            let address = store.add_listener().await;
             let machine = Machine::start(&address, "alpha", 8).await;
-            machine.target.set_habit(Habit::Slow(WORK));
+            machine.target.set_behaviour(TargetBehaviour::Slow(WORK));
             machines.push(machine);
             addresses.push(address);
         }
@@ -46,7 +46,7 @@
     /// The store is in an outage, which ends for one node that had called it after the others have told that one of the end. Returns the
     /// number of the node.
     async fn outage(&self) -> usize {
-        self.addresses.iter().for_each(|address| address.set_mode(Mode::Silent));
+        self.addresses.iter().for_each(|address| address.set_mode(StoreMode::Unresponsive));
         let has_failed = |machine: &Machine| {
             let node = machine.node();
             !node.feed.place.borrow().is_head && node.own_access_lost.get()
@@ -55,14 +55,14 @@
         let last = self.machines.iter().position(has_failed).expect("one has");
         for (number, address) in self.addresses.iter().enumerate() {
             if number != last {
-                address.set_mode(Mode::Normal);
+                address.set_mode(StoreMode::Normal);
             }
         }
         let follows = |machine: &Machine| machine.node().feed.loss.get().since().is_none();
         eventually("all have a way to the store", || self.machines.iter().all(follows)).await;
         sleep(CALL_TIME).await;
         eventually("all still have one", || self.machines.iter().all(follows)).await;
-        self.addresses[last].set_mode(Mode::Normal);
+        self.addresses[last].set_mode(StoreMode::Normal);
         last
     }
 
@@ -95,13 +95,13 @@
         let number = follower(&fleet);
         let leaving = &fleet.machines[number];
         fleet.keep_calling("before", Duration::from_secs(1)).await;
-        leaving.target.set_health(Health::Leaving);
-        fleet.store.unlist(&leaving.target.id());
-        fleet.addresses[number].set_mode(Mode::Silent);
+        leaving.target.set_health(HealthStatus::Draining);
+        fleet.store.deregister(&leaving.target.id());
+        fleet.addresses[number].set_mode(StoreMode::Unresponsive);
         fleet.keep_calling("leaving", BOUNDS.drain).await;
-        leaving.target.take_ran();
+        leaving.target.take_started_requests();
         fleet.keep_calling("left", Duration::from_secs(3)).await;
-        assert_eq!(leaving.target.take_ran().len(), 0, "late calls");
+        assert_eq!(leaving.target.take_started_requests().len(), 0, "late calls");
     });
 }
 
@@ -111,16 +111,16 @@
         let fleet = Fleet::start(8).await;
         let number = follower(&fleet);
         let leaving = &fleet.machines[number];
-        fleet.addresses[number].set_mode(Mode::Silent);
-        fleet.store.unlist(&leaving.target.id());
+        fleet.addresses[number].set_mode(StoreMode::Unresponsive);
+        fleet.store.deregister(&leaving.target.id());
         fleet.keep_calling("cut off", Duration::from_secs(4)).await;
-        assert!(!leaving.target.take_ran().is_empty(), "its registration has run out, and it serves");
-        fleet.addresses[number].set_mode(Mode::Normal);
-        leaving.target.set_health(Health::Leaving);
+        assert!(!leaving.target.take_started_requests().is_empty(), "its registration has run out, and it serves");
+        fleet.addresses[number].set_mode(StoreMode::Normal);
+        leaving.target.set_health(HealthStatus::Draining);
         fleet.keep_calling("leaving", BOUNDS.drain).await;
-        leaving.target.take_ran();
+        leaving.target.take_started_requests();
         fleet.keep_calling("left", Duration::from_secs(3)).await;
-        assert_eq!(leaving.target.take_ran().len(), 0, "late calls");
+        assert_eq!(leaving.target.take_started_requests().len(), 0, "late calls");
     });
 }
 
@@ -130,13 +130,13 @@
         let fleet = Fleet::start(8).await;
         let number = follower(&fleet);
         let full = &fleet.machines[number];
-        full.target.set_health(Health::Full);
-        fleet.addresses[number].set_mode(Mode::Silent);
-        fleet.store.unlist(&full.target.id());
+        full.target.set_health(HealthStatus::AtCapacity);
+        fleet.addresses[number].set_mode(StoreMode::Unresponsive);
+        fleet.store.deregister(&full.target.id());
         fleet.keep_calling("cut off", Duration::from_secs(4)).await;
-        full.target.take_ran();
+        full.target.take_started_requests();
         fleet.keep_calling("still cut off", Duration::from_secs(1)).await;
-        assert!(!full.target.take_ran().is_empty(), "its registration has run out, and it serves");
+        assert!(!full.target.take_started_requests().is_empty(), "its registration has run out, and it serves");
     });
 }
 
@@ -149,11 +149,11 @@
         let leaving = &fleet.machines[number];
         let reports_loss = own_reach(leaving.node()).is_cut_off;
 
-        fleet.store.unlist(&leaving.target.id());
+        fleet.store.deregister(&leaving.target.id());
         fleet.keep_calling("leaving", BOUNDS.drain).await;
-        leaving.target.take_ran();
+        leaving.target.take_started_requests();
         fleet.keep_calling("left", Duration::from_secs(2)).await;
-        let late = leaving.target.take_ran().len();
+        let late = leaving.target.take_started_requests().len();
         assert_eq!((late, reports_loss), (0, false), "late calls, and whether its node reported a lost store before");
     });
 }
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -8,8 +8,8 @@
 use quillhatch_mesh::cut::Cut;
 use quillhatch_sidecar::reach::{heard, own_reach};
 use support::caller::{call, request};
-use support::store::{Mode, StandInStore};
-use support::target::{CrashRule, Habit, Health};
+use support::store::{StandInStore, StoreMode};
+use support::target::{CrashRule, HealthStatus, TargetBehaviour};
 use support::{eventually, run, start_sidecar, Machine};
 use tokio::time::sleep;
 
@@ -61,7 +61,7 @@
     log::set_max_level(log::LevelFilter::Info);
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5));
+        store.write_configuration(&document(5));
         let alpha = Machine::start(&store, "alpha", 2).await;
         let beta = Machine::start(&store, "beta", 2).await;
         eventually("both are listed", || beta.node().targets.borrow().len() == 2).await;
@@ -69,7 +69,7 @@
         let read = |id: &str| request("GET", HOST, "/read/", id, 5000, "");
 
         // A call that failed with its target.
-        alpha.target.set_habit(Habit::Lost);
+        alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
         call(beta.outbound(), &pay("lost-call")).await;
         let gate = one("gate", "lost-call");
         assert_eq!(gate["outcome"], "broken");
@@ -82,7 +82,7 @@
         );
 
         // A call that was refused under load.
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(700)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(700)));
         let calls: Vec<_> = (0..12)
             .map(|number| {
                 tokio::task::spawn_local({
@@ -116,7 +116,7 @@
         // A call that was late, and one without a route.
         call(beta.outbound(), &request("GET", HOST, "/none/", "astray", 5000, "")).await;
         assert_eq!(one("no-route", "astray")["version"], 5);
-        alpha.target.set_habit(Habit::Failing);
+        alpha.target.set_behaviour(TargetBehaviour::ServerError);
         sleep(Duration::from_secs(5)).await;
         call(beta.outbound(), &pay("failing")).await;
         assert_eq!(one("answered", "failing")["status"], 500);
@@ -128,7 +128,7 @@
             down_for: Duration::from_millis(200),
             keeps_id: false,
         };
-        alpha.target.crash_on(rule);
+        alpha.target.set_crash_rule(rule);
         let ended = alpha.target.id();
         call(beta.outbound(), &request("POST", HOST, "/pay/crash", "crashing", 5000, "x")).await;
         eventually("the end is told", || !lines_of("target-ended", &ended).is_empty()).await;
@@ -137,36 +137,36 @@
         let signature = line["signatures"][0].as_str().expect("a signature").to_owned();
         assert!(one("gate", "crashing")["why"].as_str().is_some_and(|why| why.contains(&signature)));
         eventually("the target is back", || alpha.target.id() != ended).await;
-        store.unlist(&ended);
-        store.list(&alpha.target, "ready");
+        store.deregister(&ended);
+        store.register(&alpha.target, "ready");
 
         // What changes a node's belief.
-        store.configure(&document(6));
+        store.write_configuration(&document(6));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(one("configuration", "\"version\":6")["taken"], true);
-        alpha.target.restart_under_its_id();
-        store.list(&alpha.target, "ready");
+        alpha.target.restart_with_same_id();
+        store.register(&alpha.target, "ready");
         eventually("the new life is told", || !lines_of("target-restarted", &alpha.target.id()).is_empty()).await;
         store.write("servers/odd", Some("{}"));
         eventually("the odd entry is told", || !lines_of("target-unusable", "odd").is_empty()).await;
         sleep(Duration::from_millis(50)).await;
-        store.restore(Duration::ZERO);
+        store.restore_backup(Duration::ZERO);
         eventually("the new era is told", || !lines_of("store-era", "\"era\":2").is_empty()).await;
         let position = quillhatch_mesh::replica::Position { era: 9, revision: 1_000_000 };
         let later = quillhatch_sidecar::hop::Reach { position, is_cut_off: false };
         heard(beta.node(), alpha.address.into(), later);
         eventually("another node is asked", || !lines_of("caught-up", "\"heard\":\"9.1000000\"").is_empty()).await;
-        store.configure("{");
+        store.write_configuration("{");
         eventually("the broken one is told", || !lines_of("configuration-unusable", "").is_empty()).await;
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         let (address, local) = (alpha.address, alpha.target.address);
         alpha.sidecar.stop().await;
         for event in ["stopping", "gate-closed", "stopped"] {
             one(event, &address.to_string());
         }
-        alpha.target.set_habit(Habit::Good);
-        let turned_away = store.another_address().await;
-        turned_away.set_mode(Mode::Silent);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
+        let turned_away = store.add_listener().await;
+        turned_away.set_mode(StoreMode::Unresponsive);
         let restarted = start_sidecar(address, "alpha", local, turned_away.address);
         sleep(Duration::from_millis(300)).await;
         call(beta.outbound(), &read("after-restart")).await;
@@ -178,8 +178,8 @@
         one("peer-store-access", &address.to_string());
         let reached = || lines_of("store-reached", "").len();
         let before = reached();
-        store.set_mode(Mode::Normal);
-        turned_away.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
+        turned_away.set_mode(StoreMode::Normal);
         eventually("its own access is back", || !lines_of("store-access", "\"lost\":false").is_empty()).await;
         eventually("the store is reached", || reached() > before).await;
         one("started", &address.to_string());
@@ -188,15 +188,15 @@
         // A target that is gone while its machine reports that it can't read the store.
         let id = alpha.target.id();
         eventually("it is listed", || beta.node().targets.borrow().get(&id).is_some()).await;
-        alpha.target.set_health(Health::Leaving);
-        turned_away.set_mode(Mode::Silent);
-        store.unlist(&id);
+        alpha.target.set_health(HealthStatus::Draining);
+        turned_away.set_mode(StoreMode::Unresponsive);
+        store.deregister(&id);
         eventually("that it leaves is told", || !lines_of("target-leaving", &address.to_string()).is_empty()).await;
-        store.list(&alpha.target, "ready");
+        store.register(&alpha.target, "ready");
         eventually("it is listed", || beta.node().targets.borrow().get(&id).is_some()).await;
         let beta_lost = quillhatch_sidecar::hop::Reach { is_cut_off: true, ..own_reach(beta.node()) };
         heard(beta.node(), address.into(), beta_lost);
-        store.unlist(&id);
+        store.deregister(&id);
         let is_kept = || lines_of("target-gone", &id).iter().any(|line| line["why"] == "its machine is cut off");
         eventually("why it is kept is told", is_kept).await;
         eventually("that it is dropped is told", || !lines_of("target-dropped", &id).is_empty()).await;
--- a/crates/sidecar/tests/stops.rs
+++ b/crates/sidecar/tests/stops.rs
@@ -6,7 +6,7 @@
 
 use support::caller::{call, request, Caller};
 use support::shop::{read, two_machines, HOST};
-use support::target::Habit;
+use support::target::TargetBehaviour;
 use support::{eventually, run};
 use tokio::time::sleep;
 
@@ -14,7 +14,7 @@
 fn a_stop_answers_all_that_was_read_and_leads_callers_away() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(400)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(400)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&read("one")).await;
         sleep(Duration::from_millis(20)).await;
@@ -41,7 +41,7 @@
     // Found on the users' bench: hyper did not write the answer before it closed.
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(300)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
         let mut caller = Caller::connect(beta.outbound()).await;
         // A request with a body, so that hyper gets what follows as it comes.
         caller.send(&request("POST", HOST, "/read/x", "one", 5000, "body")).await;
@@ -60,7 +60,7 @@
     // Found by days/roll-term: while most of a zone is out, callers are not led away.
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(300)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
         let outbound = beta.outbound();
         let stopping = tokio::task::spawn_local(beta.sidecar.stop());
         let mut callers = Vec::new();
@@ -77,8 +77,12 @@
             sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(stopping.await.expect("it stops"), 0, "calls that the end of the process would cut");
-        let ran: Vec<String> =
-            alpha.target.ran().iter().map(|seen| seen.header("quillhatch-request-id").to_owned()).collect();
+        let ran: Vec<String> = alpha
+            .target
+            .started_requests()
+            .iter()
+            .map(|seen| seen.header("quillhatch-request-id").to_owned())
+            .collect();
         let (mut served, mut refused) = (0, 0);
         for caller in callers {
             let Some((id, status)) = caller.await.expect("the caller ends") else { continue };
@@ -96,10 +100,10 @@
         // More than the buffers of a connection hold.
         const LENGTH: usize = 12_000_000;
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Long(LENGTH));
+        alpha.target.set_behaviour(TargetBehaviour::LongBody(LENGTH));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&[read("one"), read("two"), read("three")].concat()).await;
-        eventually("all run", || alpha.target.ran().len() == 3).await;
+        eventually("all run", || alpha.target.started_requests().len() == 3).await;
         let stopping = tokio::task::spawn_local(beta.sidecar.stop());
         // Past the time for which callers are led away, when connections that rest are ended.
         sleep(Duration::from_millis(3000)).await;
--- a/crates/sidecar/tests/store.rs
+++ b/crates/sidecar/tests/store.rs
@@ -8,15 +8,15 @@
 use quillhatch_mesh::settings::SidecarSettings;
 use support::caller::call;
 use support::shop::{document, read, two_machines};
-use support::store::{Mode, StandInStore};
+use support::store::{StandInStore, StoreMode};
 use support::{eventually, run, start_sidecar, Machine, OUTBOUND};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
 
-#[test_case(Mode::Status(429))]
-#[test_case(Mode::Status(503))]
-#[test_case(Mode::Silent)]
-fn a_store_in_trouble_changes_nothing_and_is_followed_again(mode: Mode) {
+#[test_case(StoreMode::Status(429))]
+#[test_case(StoreMode::Status(503))]
+#[test_case(StoreMode::Unresponsive)]
+fn a_store_in_trouble_changes_nothing_and_is_followed_again(mode: StoreMode) {
     run(async move {
         let (store, _alpha, beta) = two_machines().await;
         let before = store.calls();
@@ -25,8 +25,8 @@
         assert!(beta.node().is_ready());
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
         assert!(store.calls() - before < 20, "two nodes ask {} times in 1.2 s", store.calls() - before);
-        store.set_mode(Mode::Normal);
-        store.configure(&document(6, "beta"));
+        store.set_mode(StoreMode::Normal);
+        store.write_configuration(&document(6, "beta"));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
     });
 }
@@ -35,11 +35,11 @@
 fn a_store_that_forgot_its_history_is_read_anew() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Forgetful);
+        store.set_mode(StoreMode::WatchGone);
         sleep(Duration::from_millis(100)).await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         eventually("the gone target is noticed", || beta.node().targets.borrow().len() == 1).await;
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
     });
 }
 
@@ -47,8 +47,8 @@
 fn a_list_of_several_pages_is_read_whole() {
     run(async {
         let store = StandInStore::start().await;
-        store.set_page(1);
-        store.configure(&document(5, "alpha"));
+        store.set_page_size(1);
+        store.write_configuration(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
         let beta = Machine::start(&store, "beta", 8).await;
         let gamma = Machine::start(&store, "alpha", 8).await;
@@ -62,10 +62,10 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         // Beta's watch hangs on a silent connection; alpha's is answered.
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         sleep(Duration::from_millis(100)).await;
-        store.set_mode(Mode::Normal);
-        store.configure(&document(6, "alpha"));
+        store.set_mode(StoreMode::Normal);
+        store.write_configuration(&document(6, "alpha"));
         let begun = Instant::now();
         eventually("alpha has it", || alpha.node().configuration.borrow().version() == 6).await;
         call(beta.outbound(), &read("one")).await.expect("an answer");
@@ -78,24 +78,24 @@
 fn a_node_whose_watch_hangs_learns_of_a_drain_from_what_others_tell() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         // Nodes that don't ask each other: only their calls tell.
         let alone = Mechanisms::without("shared-reads").expect("a mechanism");
         let alone = |settings| SidecarSettings { mechanisms: alone, ..settings };
         let alpha = Machine::start_with(&store, "alpha", 8, alone).await;
-        let hanging = store.another_address().await;
+        let hanging = store.add_listener().await;
         let beta = Machine::start_with(&hanging, "beta", 8, alone).await;
         eventually("both are listed at alpha", || alpha.node().targets.borrow().len() == 2).await;
-        hanging.set_mode(Mode::Deaf);
+        hanging.set_mode(StoreMode::WatchHangs);
         sleep(Duration::from_millis(100)).await;
-        store.list(&beta.target, "draining");
+        store.register(&beta.target, "draining");
         let begun = Instant::now();
         eventually("alpha knows", || {
             alpha.node().targets.borrow().get(&beta.target.id()).unwrap().registration.draining
         })
         .await;
         // The connection of the watch stays silent; a new one is answered.
-        hanging.set_mode(Mode::Normal);
+        hanging.set_mode(StoreMode::Normal);
         assert!(!beta.node().gate.borrow().is_closed());
         call(beta.outbound(), &read("one")).await.expect("an answer");
         eventually("beta's gate is closed", || beta.node().gate.borrow().is_closed()).await;
@@ -132,7 +132,7 @@
         let before = store.calls();
         let begun = Instant::now();
         for version in 10..40 {
-            store.configure(&document(version, "alpha"));
+            store.write_configuration(&document(version, "alpha"));
             sleep(Duration::from_millis(100)).await;
         }
         eventually("the last is in force", || beta.node().configuration.borrow().version() == 39).await;
@@ -147,7 +147,7 @@
 fn a_node_that_starts_while_the_store_is_silent_gets_the_view_of_its_callers() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         let (address, local) = (alpha.address, alpha.target.address);
         alpha.sidecar.stop().await;
         let restarted = start_sidecar(address, "alpha", local, store.address);
@@ -186,19 +186,19 @@
     // Found on the users' bench: two of three targets of a service left the list while they served.
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let beta = Machine::start(&store, "beta", 8).await;
-        let cut = store.another_address().await;
+        let cut = store.add_listener().await;
         let alpha = Machine::start(&cut, "alpha", 8).await;
         eventually("both are listed at beta", || beta.node().targets.borrow().len() == 2).await;
-        cut.set_mode(Mode::Silent);
+        cut.set_mode(StoreMode::Unresponsive);
         eventually("alpha is cut off", || {
             let reach = quillhatch_sidecar::reach::own_reach(alpha.node());
             reach.is_cut_off
         })
         .await;
         assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         let begun = Instant::now();
         for number in 0.. {
             if begun.elapsed() > Duration::from_secs(6) {
@@ -209,12 +209,12 @@
             sleep(Duration::from_millis(50)).await;
         }
         // The cut is over, and the target has written its entry again.
-        store.list(&alpha.target, "ready");
-        cut.set_mode(Mode::Normal);
+        store.register(&alpha.target, "ready");
+        cut.set_mode(StoreMode::Normal);
         sleep(Duration::from_millis(4500)).await;
         assert_eq!(call(beta.outbound(), &read("healed")).await.expect("an answer").status, 200);
         // A target that leaves while its machine reads the store is left.
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         eventually("it is left", || beta.node().targets.borrow().len() == 1).await;
     });
 }
@@ -224,17 +224,17 @@
     // Found on the users' bench: when the store came back it listed one of twelve targets.
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         sleep(Duration::from_millis(400)).await;
-        store.unlist(&alpha.target.id());
-        store.unlist(&beta.target.id());
-        store.set_mode(Mode::Normal);
+        store.deregister(&alpha.target.id());
+        store.deregister(&beta.target.id());
+        store.set_mode(StoreMode::Normal);
         eventually("the store is read", || beta.node().feed.loss.get().since().is_none()).await;
         for number in 0..5 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        store.list(&alpha.target, "ready");
+        store.register(&alpha.target, "ready");
         sleep(Duration::from_millis(4500)).await;
         let targets = || beta.node().targets.borrow().len();
         eventually("the one that was not listed again is dropped", || targets() == 1).await;
@@ -248,12 +248,12 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1500)).await;
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("the first change is taken", || beta.node().configuration.borrow().version() == 6).await;
         // Beta gathers what follows.
-        store.list(&alpha.target, "ready");
-        store.unlist(&alpha.target.id());
-        store.configure(&document(7, "alpha"));
+        store.register(&alpha.target, "ready");
+        store.deregister(&alpha.target.id());
+        store.write_configuration(&document(7, "alpha"));
         eventually("the others are taken", || beta.node().configuration.borrow().version() == 7).await;
         assert!(beta.node().targets.borrow().get(&alpha.target.id()).is_none());
     });
@@ -263,10 +263,10 @@
 fn a_node_that_starts_reads_a_copy_that_lags_and_then_what_the_copy_lacks() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.freeze_copy();
+        store.freeze_stale_copy();
         let gamma = Machine::start(&store, "alpha", 8).await;
-        store.unlist(&alpha.target.id());
-        store.configure(&document(6, "alpha"));
+        store.deregister(&alpha.target.id());
+        store.write_configuration(&document(6, "alpha"));
         eventually("beta knows the changes", || beta.node().configuration.borrow().version() == 6).await;
         let before = store.calls_to("/kv-range?prefix=&stale=1");
         let delta = Machine::start(&store, "beta", 8).await;
@@ -281,9 +281,9 @@
 fn a_node_whose_copy_lags_behind_the_history_reads_the_store_itself() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.freeze_copy();
-        store.configure(&document(6, "alpha"));
-        store.set_mode(Mode::Forgetful);
+        store.freeze_stale_copy();
+        store.write_configuration(&document(6, "alpha"));
+        store.set_mode(StoreMode::WatchGone);
         let gamma = Machine::start(&store, "alpha", 8).await;
         eventually("it reads the store itself", || gamma.node().configuration.borrow().version() == 6).await;
         drop((alpha, beta));
@@ -294,9 +294,9 @@
 fn a_store_whose_changes_cannot_be_read_is_read_anew() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Garbled);
+        store.set_mode(StoreMode::WatchGarbage);
         sleep(Duration::from_millis(100)).await;
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("beta has it", || beta.node().configuration.borrow().version() == 6).await;
         drop(alpha);
     });
@@ -306,11 +306,11 @@
 fn after_an_outage_only_the_changes_are_read() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         sleep(Duration::from_millis(1500)).await;
         let lists = store.calls_to("/kv-range");
-        store.configure(&document(6, "beta"));
-        store.set_mode(Mode::Normal);
+        store.write_configuration(&document(6, "beta"));
+        store.set_mode(StoreMode::Normal);
         eventually("alpha has it", || alpha.node().configuration.borrow().version() == 6).await;
         eventually("beta has it", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(store.calls_to("/kv-range"), lists);
@@ -321,12 +321,12 @@
 fn a_long_outage_costs_few_calls_and_is_over_soon_after_its_end() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         let before = store.calls();
         sleep(Duration::from_secs(8)).await;
         let calls = store.calls() - before;
         assert!(calls <= 2 * 14, "{calls} calls of two nodes in 8 s");
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
         let returned = Instant::now();
         let is_back = |machine: &Machine| machine.node().feed.loss.get().since().is_none();
         eventually("both read the store again", || is_back(&alpha) && is_back(&beta)).await;
@@ -340,10 +340,10 @@
         let (store, alpha, beta) = two_machines().await;
         let others = [Machine::start(&store, "beta", 8).await, Machine::start(&store, "beta", 8).await];
         eventually("all are listed", || beta.node().targets.borrow().len() == 4).await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         sleep(Duration::from_millis(1500)).await;
-        store.unlist(&alpha.target.id());
-        store.set_mode(Mode::Normal);
+        store.deregister(&alpha.target.id());
+        store.set_mode(StoreMode::Normal);
         eventually("the store is read", || beta.node().feed.loss.get().since().is_none()).await;
         let read_at = Instant::now();
         assert_eq!(call(beta.outbound(), &read("kept")).await.expect("an answer").status, 200);
--- a/crates/sidecar/tests/support/limits.rs
+++ b/crates/sidecar/tests/support/limits.rs
@@ -32,7 +32,7 @@
 /// A store, a target of `alpha` and one of `beta`; calls enter at the machine of `beta`.
 pub async fn two_machines() -> (StandInStore, Machine, Machine) {
     let store = StandInStore::start().await;
-    store.configure(&document(1));
+    store.write_configuration(&document(1));
     let alpha = Machine::start(&store, "alpha", 4).await;
     let beta = Machine::start(&store, "beta", 4).await;
     eventually("both are listed at beta", || beta.node().targets.borrow().len() == 2).await;
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -125,7 +125,7 @@
     ) -> Self {
         let address = machine();
         let target = StandInTarget::start(address, service, slots).await;
-        store.list(&target, "ready");
+        store.register(&target, "ready");
         let settings = change(settings(address, service, target.address, store.address));
         let sidecar = start(Node::new(settings, Default::default())).expect("the sidecar's addresses are free");
         eventually("the sidecar is ready", || sidecar.node.is_ready()).await;
--- a/crates/sidecar/tests/support/shop.rs
+++ b/crates/sidecar/tests/support/shop.rs
@@ -24,7 +24,7 @@
 /// A store, and a machine of alpha and one of beta.
 pub async fn two_machines() -> (StandInStore, Machine, Machine) {
     let store = StandInStore::start().await;
-    store.configure(&document(5, "alpha"));
+    store.write_configuration(&document(5, "alpha"));
     let alpha = Machine::start(&store, "alpha", 8).await;
     let beta = Machine::start(&store, "beta", 8).await;
     eventually("both are listed at beta", || beta.node().targets.borrow().len() == 2).await;
--- a/crates/sidecar/tests/support/tenancy.rs
+++ b/crates/sidecar/tests/support/tenancy.rs
@@ -62,7 +62,7 @@
     store: &StandInStore,
     store_of_beta: &StandInStore,
 ) -> (Machine, Machine) {
-    store.configure(&document(5, &[FREE_KEY]));
+    store.write_configuration(&document(5, &[FREE_KEY]));
     let alpha = Machine::start_with(store, "alpha", 8, &change).await;
     let beta = Machine::start_with(store_of_beta, "beta", 8, &change).await;
     for machine in [&alpha, &beta] {
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -8,8 +8,8 @@
 
 use support::caller::{call, request, Caller};
 use support::shop;
-use support::store::{Mode, StandInStore};
-use support::target::Habit;
+use support::store::{StandInStore, StoreMode};
+use support::target::TargetBehaviour;
 use support::tenancy::{self, strictly, FREE_KEY, REVOCATION};
 use support::{eventually, run, Machine};
 use tokio::time::{sleep, Instant};
@@ -18,11 +18,11 @@
 fn a_key_that_was_taken_away_meanwhile_is_not_believed() {
     run(async {
         let store = StandInStore::start().await;
-        let of_beta = store.another_address().await;
+        let of_beta = store.add_listener().await;
         let (_alpha, beta) = tenancy::two_machines(strictly, &store, &of_beta).await;
         assert_eq!(tenancy::read(&beta, "before", FREE_KEY).await.status, 200);
-        of_beta.set_mode(Mode::Silent);
-        store.configure(&tenancy::document(6, &["another-key"]));
+        of_beta.set_mode(StoreMode::Unresponsive);
+        store.write_configuration(&tenancy::document(6, &["another-key"]));
         beta.node().clock.suspend_for(REVOCATION);
         let answer = tenancy::read(&beta, "after", FREE_KEY).await;
         assert_eq!(answer.status, 503, "the configuration is older than a key may be believed");
@@ -35,10 +35,10 @@
     run(async {
         let (store, alpha, beta) = shop::two_machines().await;
         // Its watch waits for 25 s, and what the store sends meanwhile is lost.
-        store.set_mode(Mode::Deaf);
-        store.list(&alpha.target, "draining");
+        store.set_mode(StoreMode::WatchHangs);
+        store.register(&alpha.target, "draining");
         sleep(Duration::from_millis(100)).await;
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
         beta.node().clock.suspend_for(Duration::from_secs(5));
         call(beta.outbound(), &shop::read("wakes")).await;
         let begun = Instant::now();
@@ -53,7 +53,7 @@
 fn a_call_whose_time_passed_is_answered_at_once() {
     run(async {
         let (_store, alpha, beta) = shop::two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(5)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&shop::read("waits")).await;
         sleep(Duration::from_millis(100)).await;
@@ -102,7 +102,7 @@
 fn a_stop_ends_in_time_though_the_machine_is_suspended_in_between() {
     run(async {
         let (_store, alpha, beta) = shop::two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(20)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(20)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&request("GET", shop::HOST, "/read/x", "long", 20_000, "")).await;
         let clock = beta.node().clock.clone();
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -9,7 +9,7 @@
 use quillhatch_sidecar::metrics;
 use quillhatch_sidecar::node::Node;
 use support::caller::{call, Caller};
-use support::store::{Mode, StandInStore};
+use support::store::{StandInStore, StoreMode};
 use support::target::ChainedCall;
 use support::tenancy::{
     document, get, read, strictly, two_machines, with_key, FREE_KEY, HOST, LIMITED_BURST, LIMITED_KEY, LIMITED_RATE,
@@ -33,7 +33,7 @@
         for (id, headers) in [("one", with_key(FREE_KEY)), ("two", forged)] {
             assert_eq!(call(beta.outbound(), &get("read", id, &headers)).await.expect("an answer").status, 200);
         }
-        for seen in alpha.target.ran() {
+        for seen in alpha.target.started_requests() {
             assert_eq!((seen.header("quillhatch-tenant"), seen.header("x-api-key")), ("free", ""), "{}", seen.id());
         }
         assert!(!metrics::render(beta.node()).contains(FREE_KEY));
@@ -50,7 +50,7 @@
     run(async move {
         let (_store, alpha, beta) = started().await;
         assert_eq!(call(beta.outbound(), &request).await.expect("an answer").status, status);
-        assert_eq!(alpha.target.arrivals(), usize::from(status == 200));
+        assert_eq!(alpha.target.received_count(), usize::from(status == 200));
     });
 }
 
@@ -62,7 +62,7 @@
         let mut caller = Caller::connect_from(source, beta.outbound()).await.expect("a connection");
         caller.send(&get("read", "one", "")).await;
         assert_eq!(caller.answer().await.expect("an answer").status, 401);
-        assert_eq!(alpha.target.arrivals(), 0);
+        assert_eq!(alpha.target.received_count(), 0);
     });
 }
 
@@ -75,7 +75,7 @@
             let forged = format!("{headers}Quillhatch-Tenant: limited\r\n");
             assert_eq!(call(beta.outbound(), &get("open", id, &forged)).await.expect("an answer").status, 200);
         }
-        for seen in alpha.target.ran() {
+        for seen in alpha.target.started_requests() {
             assert_eq!((seen.header("quillhatch-tenant"), seen.header("x-api-key")), ("", ""), "{}", seen.id());
         }
     });
@@ -85,7 +85,7 @@
 fn calls_of_a_target_need_no_key() {
     run(async {
         let (_store, alpha, beta) = started().await;
-        alpha.target.chain(ChainedCall {
+        alpha.target.set_chained_call(ChainedCall {
             outbound: alpha.outbound(),
             host: HOST.to_owned(),
             path: "/leaf/x".to_owned(),
@@ -94,7 +94,7 @@
             let request = get("chain", &format!("c{number}"), &with_key(FREE_KEY));
             assert_eq!(call(beta.outbound(), &request).await.expect("an answer").status, 200, "{number}");
         }
-        assert_eq!(beta.target.ran().len(), 20);
+        assert_eq!(beta.target.started_requests().len(), 20);
     });
 }
 
@@ -102,7 +102,7 @@
 fn a_key_that_was_taken_away_is_refused_and_a_new_one_let_in() {
     run(async {
         let (store, alpha, beta) = started().await;
-        store.configure(&document(6, &["another-key"]));
+        store.write_configuration(&document(6, &["another-key"]));
         eventually("both have the new one", || [&alpha, &beta].iter().all(|machine| version(machine.node()) == 6))
             .await;
         assert_eq!(read(&beta, "old", FREE_KEY).await.status, 401);
@@ -150,7 +150,7 @@
         }
         // Three a second, a burst of three and a piece of the slack.
         assert!((10..=28).contains(&served), "{served} served, {refused} refused");
-        assert_eq!(alpha.target.arrivals(), served, "refused calls reach no target");
+        assert_eq!(alpha.target.received_count(), served, "refused calls reach no target");
         for number in 0..50 {
             assert_eq!(read(&beta, &format!("f{number}"), FREE_KEY).await.status, 200);
         }
@@ -203,7 +203,7 @@
         let store = StandInStore::start().await;
         let (alpha, beta) = two_machines(strictly, &store, &store).await;
         assert_eq!(read(&beta, "one", FREE_KEY).await.status, 200);
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         let silent = Instant::now();
         while read(&beta, "while", FREE_KEY).await.status == 200 {
             sleep(Duration::from_millis(20)).await;
@@ -214,7 +214,7 @@
         assert!(answer.header("retry-after").parse::<f64>().is_ok(), "it is told when to come back");
         assert!(!beta.node().is_ready(), "callers are led elsewhere");
         assert_eq!(call(beta.outbound(), &get("open", "open", "")).await.expect("an answer").status, 200);
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
         eventually("keys are believed again", || beta.node().is_ready() && alpha.node().is_ready()).await;
         assert_eq!(read(&beta, "again", FREE_KEY).await.status, 200);
     });
@@ -224,15 +224,15 @@
 fn a_node_that_cannot_read_the_store_lives_on_the_word_of_others_as_long_as_its_configuration_is_theirs() {
     run(async {
         let store = StandInStore::start().await;
-        let store_of_beta = store.another_address().await;
+        let store_of_beta = store.add_listener().await;
         let (alpha, beta) = two_machines(strictly, &store, &store_of_beta).await;
-        store_of_beta.set_mode(Mode::Silent);
+        store_of_beta.set_mode(StoreMode::Unresponsive);
         let begun = Instant::now();
         while begun.elapsed() < REVOCATION * 2 {
             assert_eq!(read(&beta, "while", FREE_KEY).await.status, 200, "after {:?}", begun.elapsed());
             sleep(Duration::from_millis(30)).await;
         }
-        store.configure(&document(6, &["another-key"]));
+        store.write_configuration(&document(6, &["another-key"]));
         let taken_away = Instant::now();
         while read(&beta, "old", FREE_KEY).await.status == 200 {
             assert!(taken_away.elapsed() < REVOCATION, "the key is believed for too long");
--- a/crates/sidecar/tests/turned_away.rs
+++ b/crates/sidecar/tests/turned_away.rs
@@ -6,8 +6,8 @@
 
 use support::caller::call;
 use support::shop::{document, read};
-use support::store::{Mode, StandInStore};
-use support::target::Habit;
+use support::store::{StandInStore, StoreMode};
+use support::target::TargetBehaviour;
 use support::{eventually, run, start_sidecar, Machine, BOUNDS, OUTBOUND};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
@@ -22,10 +22,10 @@
 }
 
 impl Fleet {
-    async fn start(mode: Mode) -> Self {
+    async fn start(mode: StoreMode) -> Self {
         let store = StandInStore::start().await;
-        let turned_away = store.another_address().await;
-        store.configure(&document(5, "alpha"));
+        let turned_away = store.add_listener().await;
+        store.write_configuration(&document(5, "alpha"));
         let beta = Machine::start(&store, "beta", 8).await;
         let gamma = Machine::start(&store, "alpha", 8).await;
         let alpha = Machine::start(&turned_away, "alpha", 8).await;
@@ -52,34 +52,34 @@
     }
 }
 
-#[test_case(Mode::Status(503))]
-#[test_case(Mode::Status(429))]
-#[test_case(Mode::Reset)]
-#[test_case(Mode::Silent)]
-#[test_case(Mode::Deaf; "only its watches hang")]
-fn a_machine_that_is_turned_away_serves_on_and_learns_of_changes_from_others(mode: Mode) {
+#[test_case(StoreMode::Status(503))]
+#[test_case(StoreMode::Status(429))]
+#[test_case(StoreMode::Reset)]
+#[test_case(StoreMode::Unresponsive)]
+#[test_case(StoreMode::WatchHangs; "only its watches hang")]
+fn a_machine_that_is_turned_away_serves_on_and_learns_of_changes_from_others(mode: StoreMode) {
     run(async move {
         let fleet = Fleet::start(mode).await;
         sleep(Duration::from_millis(1500)).await;
-        fleet.store.configure(&document(6, "alpha"));
+        fleet.store.write_configuration(&document(6, "alpha"));
         let alpha = fleet.alpha.node();
         // Until a silent connection is noticed.
         let longest = BOUNDS.contact + BOUNDS.apply;
         let is_in_force = || alpha.configuration.borrow().version() == 6;
         fleet.serve_until("configuration", longest, is_in_force).await;
-        fleet.store.list(&fleet.gamma.target, "draining");
+        fleet.store.register(&fleet.gamma.target, "draining");
         let gamma = fleet.gamma.target.id();
         let is_known = || alpha.targets.borrow().get(&gamma).is_none_or(|target| target.registration.draining);
         fleet.serve_until("drain", longest, is_known).await;
-        fleet.turned_away.set_mode(Mode::Normal);
+        fleet.turned_away.set_mode(StoreMode::Normal);
         eventually("it reads the store again", || !alpha.own_access_lost.get()).await;
     });
 }
 
-#[test_case(Mode::Status(503))]
-#[test_case(Mode::Reset)]
-#[test_case(Mode::Silent)]
-fn a_node_that_starts_while_it_is_turned_away_gets_the_view_of_others(mode: Mode) {
+#[test_case(StoreMode::Status(503))]
+#[test_case(StoreMode::Reset)]
+#[test_case(StoreMode::Unresponsive)]
+fn a_node_that_starts_while_it_is_turned_away_gets_the_view_of_others(mode: StoreMode) {
     run(async move {
         let fleet = Fleet::start(mode).await;
         let (address, target) = (fleet.alpha.address, fleet.alpha.target.address);
@@ -105,15 +105,15 @@
 #[test]
 fn a_target_whose_drain_is_known_gets_nothing_while_the_store_is_in_trouble() {
     run(async {
-        let fleet = Fleet::start(Mode::Normal).await;
+        let fleet = Fleet::start(StoreMode::Normal).await;
         let (alpha, beta) = (&fleet.alpha, &fleet.beta);
-        fleet.store.list(&alpha.target, "draining");
+        fleet.store.register(&alpha.target, "draining");
         let id = alpha.target.id();
         let knows = |machine: &Machine| machine.node().targets.borrow().get(&id).unwrap().registration.draining;
         eventually("all know", || knows(alpha) && knows(beta) && knows(&fleet.gamma)).await;
-        alpha.target.take_ran();
+        alpha.target.take_started_requests();
         for store in [&fleet.store, &fleet.turned_away] {
-            store.set_mode(Mode::Status(503));
+            store.set_mode(StoreMode::Status(503));
         }
         let begun = Instant::now();
         for number in 0.. {
@@ -126,16 +126,16 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(alpha.target.take_ran().len(), 0, "a view of the time before would have sent it calls");
+        assert_eq!(alpha.target.take_started_requests().len(), 0, "a view of the time before would have sent it calls");
     });
 }
 
 #[test]
 fn requests_that_run_when_the_store_goes_are_answered() {
     run(async {
-        let fleet = Fleet::start(Mode::Normal).await;
+        let fleet = Fleet::start(StoreMode::Normal).await;
         for machine in [&fleet.alpha, &fleet.gamma] {
-            machine.target.set_habit(Habit::Slow(Duration::from_millis(700)));
+            machine.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(700)));
         }
         let outbound = fleet.beta.outbound();
         let calls: Vec<_> = (0..8)
@@ -145,7 +145,7 @@
             .collect();
         sleep(Duration::from_millis(100)).await;
         for store in [&fleet.store, &fleet.turned_away] {
-            store.set_mode(Mode::Reset);
+            store.set_mode(StoreMode::Reset);
         }
         for call in calls {
             assert_eq!(call.await.expect("the caller ends").expect("an answer").status, 200);
@@ -158,7 +158,7 @@
     // Found on the users' bench (inc-1720): after an outage every watch hung, and nobody could tell the others.
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = Vec::new();
         for service in ["alpha", "beta", "alpha", "beta", "alpha", "beta"] {
             machines.push(Machine::start(&store, service, 8).await);
@@ -166,10 +166,10 @@
         let knows_all = |machine: &Machine| machine.node().targets.borrow().len() == 6;
         eventually("all are listed everywhere", || machines.iter().all(knows_all)).await;
         sleep(Duration::from_millis(1000)).await;
-        store.set_mode(Mode::Deaf);
+        store.set_mode(StoreMode::WatchHangs);
         sleep(Duration::from_millis(100)).await;
-        store.set_mode(Mode::Normal);
-        store.configure(&document(6, "alpha"));
+        store.set_mode(StoreMode::Normal);
+        store.write_configuration(&document(6, "alpha"));
         let written = Instant::now();
         let is_in_force = |machine: &Machine| machine.node().configuration.borrow().version() == 6;
         for number in 0.. {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use derive_more::Display;
-use quillhatch_platform_standins::store::Mode;
-use quillhatch_platform_standins::target::Habit;
+use quillhatch_platform_standins::store::StoreMode;
+use quillhatch_platform_standins::target::TargetBehaviour;
 use rand::Rng;
 use rustix::process::Signal;
 use tokio::time::sleep;
@@ -138,7 +138,7 @@
         end(kind, touched);
     }
     match kind {
-        FaultKind::TargetRestart => machine.store.unlist(&former),
+        FaultKind::TargetRestart => machine.store.deregister(&former),
         FaultKind::StoreRestored => restore(machine).await,
         _ => {}
     }
@@ -147,10 +147,10 @@
 
 /// The store comes back from an older copy; what the operator and the targets wrote since is written again.
 async fn restore(machine: &SoakMachine) {
-    let lost = machine.store.restore(COPY_AGE);
+    let lost = machine.store.restore_backup(COPY_AGE);
     sleep(WRITTEN_AGAIN_AFTER).await;
     for write in lost {
-        machine.store.write_again(&write);
+        machine.store.rewrite(&write);
     }
 }
 
@@ -211,23 +211,23 @@
         FaultKind::Kill | FaultKind::KillAll => machine.signal(Signal::KILL),
         FaultKind::TargetRestart => {
             machine.target.restart();
-            machine.store.list(&machine.target, "ready");
+            machine.store.register(&machine.target, "ready");
         }
-        FaultKind::TargetLoses => machine.target.set_habit(Habit::Lost),
-        FaultKind::TargetGarbage => machine.target.set_habit(Habit::Garbage),
-        FaultKind::TargetBreaksOff => machine.target.set_habit(Habit::BreaksOff),
-        FaultKind::TargetSurplus => machine.target.set_habit(Habit::Surplus),
-        FaultKind::TargetSheds => machine.target.set_habit(Habit::Sheds),
-        FaultKind::TargetReturns => machine.target.restart_under_its_id(),
+        FaultKind::TargetLoses => machine.target.set_behaviour(TargetBehaviour::NoAnswer),
+        FaultKind::TargetGarbage => machine.target.set_behaviour(TargetBehaviour::Garbage),
+        FaultKind::TargetBreaksOff => machine.target.set_behaviour(TargetBehaviour::TruncatedBody),
+        FaultKind::TargetSurplus => machine.target.set_behaviour(TargetBehaviour::SecondAnswer),
+        FaultKind::TargetSheds => machine.target.set_behaviour(TargetBehaviour::RefusesRequests),
+        FaultKind::TargetReturns => machine.target.restart_with_same_id(),
         FaultKind::StoreForged => forge(machine),
         FaultKind::StoreSilent | FaultKind::StoreSilentToAll | FaultKind::StoreRestored => {
-            machine.store.set_mode(Mode::Silent)
+            machine.store.set_mode(StoreMode::Unresponsive)
         }
-        FaultKind::StoreBusy => machine.store.set_mode(Mode::Status(503)),
-        FaultKind::StoreResets => machine.store.set_mode(Mode::Reset),
+        FaultKind::StoreBusy => machine.store.set_mode(StoreMode::Status(503)),
+        FaultKind::StoreResets => machine.store.set_mode(StoreMode::Reset),
         FaultKind::Throttle => {}
-        FaultKind::StoreDeaf => machine.store.set_mode(Mode::Deaf),
-        FaultKind::StoreForgetful => machine.store.set_mode(Mode::Forgetful),
+        FaultKind::StoreDeaf => machine.store.set_mode(StoreMode::WatchHangs),
+        FaultKind::StoreForgetful => machine.store.set_mode(StoreMode::WatchGone),
     }
 }
 
@@ -256,6 +256,6 @@
         | FaultKind::StoreDeaf
         | FaultKind::StoreForgetful
         | FaultKind::StoreSilentToAll
-        | FaultKind::StoreRestored => machine.store.set_mode(Mode::Normal),
+        | FaultKind::StoreRestored => machine.store.set_mode(StoreMode::Normal),
     }
 }
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -10,7 +10,7 @@
 
 use quillhatch_platform_standins::settings::{settings_document, MachineSettings, SETTINGS_VARIABLE};
 use quillhatch_platform_standins::store::StandInStore;
-use quillhatch_platform_standins::target::{ChainedCall, CrashRule, Habit, StandInTarget};
+use quillhatch_platform_standins::target::{ChainedCall, CrashRule, StandInTarget, TargetBehaviour};
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::sleep;
 
@@ -58,14 +58,14 @@
         links: Option<&Rc<RefCell<LinkProcess>>>,
     ) -> io::Result<SoakMachine> {
         let target = StandInTarget::start_at(addrs.target(), addrs.service(), SLOTS).await;
-        target.set_habit(Habit::Slow(WORK));
+        target.set_behaviour(TargetBehaviour::Slow(WORK));
         let harmful = RouteKind::Harmful.path().to_owned();
         let keeps_id = addrs.number % 2 == 1;
-        target.crash_on(CrashRule { path: harmful, after: CRASHES_AFTER, down_for: CRASHED_FOR, keeps_id });
+        target.set_crash_rule(CrashRule { path: harmful, after: CRASHES_AFTER, down_for: CRASHED_FOR, keeps_id });
         let path = RouteKind::Read.path().to_owned();
-        target.chain(ChainedCall { outbound: addrs.outbound(), host: HOST.to_owned(), path });
-        let store = store.another_address().await;
-        store.list(&target, "ready");
+        target.set_chained_call(ChainedCall { outbound: addrs.outbound(), host: HOST.to_owned(), path });
+        let store = store.add_listener().await;
+        store.register(&target, "ready");
         let link = MachineLink::open(links, addrs.number, addrs.proxy(), addrs.inbound()).await?;
         let node = format!("machine-{}", addrs.number);
         let settings = folder.join(format!("{node}.json"));
@@ -77,7 +77,7 @@
             outbound: addrs.outbound(),
             inbound: addrs.inbound(),
             ready: addrs.ready(),
-            own_ports: addrs.own_ports(),
+            project_ports: addrs.own_ports(),
             store: store.address,
         });
         std::fs::write(&settings, document)?;
@@ -143,16 +143,16 @@
 
     /// Registers the target anew whenever it has crashed and started again, until the machine ends.
     pub async fn register(self: Rc<Self>) {
-        let mut registered = (self.target.id(), self.target.started());
+        let mut registered = (self.target.id(), self.target.start_time_ms());
         loop {
             sleep(REGISTERS_EACH).await;
-            let present = (self.target.id(), self.target.started());
+            let present = (self.target.id(), self.target.start_time_ms());
             if present == registered {
                 continue;
             }
-            self.store.list(&self.target, "ready");
+            self.store.register(&self.target, "ready");
             if present.0 != registered.0 {
-                self.store.unlist(&registered.0);
+                self.store.deregister(&registered.0);
             }
             registered = present;
         }
@@ -160,7 +160,7 @@
 
     /// Lets the target answer as it should again.
     pub fn heal_target(&self) {
-        self.target.set_habit(Habit::Slow(WORK));
+        self.target.set_behaviour(TargetBehaviour::Slow(WORK));
     }
 }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,7 +8,7 @@
 
 use quillhatch_platform_standins::caller::Caller;
 use quillhatch_platform_standins::store::StandInStore;
-use quillhatch_platform_standins::target::{Health, Seen};
+use quillhatch_platform_standins::target::{HealthStatus, ReceivedRequest};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
@@ -167,7 +167,7 @@
         let others: Vec<&'static str> = SERVICES.into_iter().filter(|service| Some(*service) != former).collect();
         let moving = others[self.random.gen_range(0..others.len())];
         let number = self.record.borrow().configs.len();
-        self.store.configure(&document(self.version, number, moving));
+        self.store.write_configuration(&document(self.version, number, moving));
         self.record.borrow_mut().configs.push(ConfigWrite { moving, acked: Instant::now() });
     }
 
@@ -250,10 +250,10 @@
         let draining = Rc::clone(&self.machines[drained]);
         let id = draining.target.id();
         if self.leaving.gen() {
-            self.store.list(&draining.target, "draining");
+            self.store.register(&draining.target, "draining");
         } else {
-            draining.target.set_health(Health::Leaving);
-            self.store.unlist(&id);
+            draining.target.set_health(HealthStatus::Draining);
+            self.store.deregister(&id);
         }
         let acked = Instant::now();
         self.stop_and_start(stopped).await?;
@@ -262,8 +262,8 @@
         if draining.target.id() == id {
             self.record.borrow_mut().drains.push(DrainSpan { machine: drained, acked, until: Instant::now() });
         }
-        draining.target.set_health(Health::Good);
-        self.store.list(&draining.target, "ready");
+        draining.target.set_health(HealthStatus::Healthy);
+        self.store.register(&draining.target, "ready");
         self.look_at_targets();
         sleep(Duration::from_secs(1)).await;
         Ok(())
@@ -310,10 +310,10 @@
         for machine in &self.machines {
             let number = machine.addrs.number;
             let runs: Vec<RunRecord> =
-                machine.target.take_ran().into_iter().map(|seen| run_record(number, seen)).collect();
+                machine.target.take_started_requests().into_iter().map(|seen| run_record(number, seen)).collect();
             record.crashes.extend(runs.iter().filter(|run| run.is_harmful()).map(|run| run.at));
             record.runs.extend(runs);
-            record.most_running = record.most_running.max(machine.target.most_running() as u32);
+            record.most_running = record.most_running.max(machine.target.max_running() as u32);
         }
     }
 
@@ -354,12 +354,20 @@
     Ok(())
 }
 
-fn run_record(machine: usize, seen: Seen) -> RunRecord {
+fn run_record(machine: usize, seen: ReceivedRequest) -> RunRecord {
     let id = seen.id().to_owned();
     let caller_service = seen.caller_service().to_owned();
     let (tenant, has_key) = (seen.header("quillhatch-tenant").to_owned(), !seen.header("x-api-key").is_empty());
     let body = String::from_utf8_lossy(&seen.body).into_owned();
-    RunRecord { id, machine, at: seen.at, request: (seen.method, seen.path, body), caller_service, tenant, has_key }
+    RunRecord {
+        id,
+        machine,
+        at: seen.started_at,
+        request: (seen.method, seen.path, body),
+        caller_service,
+        tenant,
+        has_key,
+    }
 }
 
 /// Whether the process of a machine says that it takes callers.
