--- a/crates/lab/src/commands/soak.rs
+++ b/crates/lab/src/commands/soak.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use getopts::Options;
-use quillhatch_soak::checks::Promise;
-use quillhatch_soak::layout::{MOST_TARGETS_EACH, TARGETS_EACH};
+use quillhatch_soak::checks::Guarantee;
+use quillhatch_soak::layout::{DEFAULT_TARGETS_PER_SERVICE, MAX_TARGETS_PER_SERVICE};
 use quillhatch_soak::links::{serve, LINKS_ARGUMENT};
 use quillhatch_soak::run::{make_folder, run, SoakOptions, SoakReport};
 
@@ -49,7 +49,8 @@
     fn run(&self, arguments: &Arguments) -> Result<Verdict, CommandError> {
         let seed = arguments.value("seed", 1);
         let seconds = arguments.value("time", 60);
-        let targets_each = arguments.value("targets-each", TARGETS_EACH).clamp(2, MOST_TARGETS_EACH);
+        let targets_per_service =
+            arguments.value("targets-each", DEFAULT_TARGETS_PER_SERVICE).clamp(2, MAX_TARGETS_PER_SERVICE);
         let parent = arguments.text("folder").map_or_else(std::env::temp_dir, PathBuf::from);
         let program = arguments.text("program").map_or_else(beside_this_program, |text| Ok(PathBuf::from(text)));
         arguments.limit_operands(0);
@@ -57,9 +58,9 @@
         let has_faults = !arguments.has("calm");
         let folder = make_folder(&parent, seed)?;
         println!("seed {seed}, {seconds} s, settings and logs in {}", folder.display());
-        let time = Duration::from_secs(seconds);
+        let duration = Duration::from_secs(seconds);
         let links = Some(std::env::current_exe()?);
-        let options = SoakOptions { program: program?, links, folder, seed, time, targets_each, has_faults };
+        let options = SoakOptions { program: program?, links, folder, seed, duration, targets_per_service, has_faults };
         let report = run(&options)?;
         print(&report);
         Ok(Verdict::of(report.violations.is_empty()))
@@ -107,9 +108,9 @@
     for (end, count) in ends {
         println!("  {count:>7} {end}");
     }
-    let mut broken: BTreeMap<Promise, Vec<&str>> = BTreeMap::new();
+    let mut broken: BTreeMap<Guarantee, Vec<&str>> = BTreeMap::new();
     for violation in &report.violations {
-        broken.entry(violation.promise).or_default().push(&violation.what);
+        broken.entry(violation.guarantee).or_default().push(&violation.description);
     }
     for (promise, whats) in &broken {
         println!("BROKEN {promise}: {}", whats.len());
--- a/crates/quillhatch/tests/soak.rs
+++ b/crates/quillhatch/tests/soak.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use quillhatch_soak::layout::TARGETS_EACH;
+use quillhatch_soak::layout::DEFAULT_TARGETS_PER_SERVICE;
 use quillhatch_soak::run::{make_folder, run, SoakOptions};
 
 #[test]
@@ -15,8 +15,8 @@
         links: None,
         folder: folder.clone(),
         seed,
-        time: Duration::from_secs(8),
-        targets_each: TARGETS_EACH,
+        duration: Duration::from_secs(8),
+        targets_per_service: DEFAULT_TARGETS_PER_SERVICE,
         has_faults: false,
     };
     let report = run(&options).expect("the machines start");
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -6,12 +6,12 @@
 use derive_more::Display;
 use quillhatch_platform_standins::target::chained_id;
 
-use crate::harm;
+use crate::crashes;
 use crate::layout::{MachineAddrs, RouteKind, SERVICES, SLOTS};
 use crate::record::{CallEnd, CallRecord, RunRecord, SoakRecord};
 use crate::tenancy;
 
-/// How long a machine must have been without disturbance for bounds in time to hold there.
+/// How long a machine must have been without fault_span for bounds in time to hold there.
 pub const SETTLE: Duration = Duration::from_secs(3);
 /// Within this time a configuration is in force, and a draining target is left.
 pub const APPLY: Duration = Duration::from_secs(2);
@@ -20,7 +20,7 @@
 /// A connection may end without an answer so soon after a request that has not been read.
 const UNREAD: Duration = Duration::from_millis(200);
 /// The share of calls in calm that must be served.
-const SERVED_IN_CALM: f64 = 0.95;
+const MIN_SERVED_SHARE: f64 = 0.95;
 /// Repeats that a service may get in a window beyond the share of its calls.
 const RETRY_SLACK: f64 = 55.0;
 /// The share of a service's calls that may be repeats.
@@ -30,7 +30,7 @@
 
 /// What is promised.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Guarantee {
     /// An answer belongs to its request and is whole.
     #[display("own-answer")]
     OwnAnswer,
@@ -63,7 +63,7 @@
     Limits,
     /// A request that crashes targets reaches few more of them once three have ended.
     #[display("bounded-harm")]
-    BoundedHarm,
+    BoundedCrashes,
     /// In calm nothing is cut, planned stops included.
     #[display("uncut")]
     Uncut,
@@ -80,27 +80,27 @@
 
 /// A broken promise.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-#[display("{promise}: {what}")]
+#[display("{guarantee}: {description}")]
 pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub guarantee: Guarantee,
     /// What was seen.
-    pub what: String,
+    pub description: String,
 }
 
-pub(crate) fn broken(promise: Promise, what: String) -> Violation {
-    Violation { promise, what }
+pub(crate) fn violation(guarantee: Guarantee, description: String) -> Violation {
+    Violation { guarantee, description }
 }
 
 /// Checks everything.
-pub fn all(record: &SoakRecord) -> Vec<Violation> {
-    let mut found = always(record);
-    found.extend(in_calm(record));
+pub fn check_all(record: &SoakRecord) -> Vec<Violation> {
+    let mut found = check_always(record);
+    found.extend(check_fault_free(record));
     found
 }
 
 /// The promises that hold at any moment.
-pub fn always(record: &SoakRecord) -> Vec<Violation> {
+pub fn check_always(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut sent: HashMap<String, &CallRecord> = HashMap::new();
     for call in &record.calls {
@@ -109,19 +109,20 @@
             sent.insert(chained_id(&call.id), call);
         }
         if let CallEnd::Answered { is_own: false, status } = call.end {
-            found.push(broken(Promise::OwnAnswer, format!("{} got a foreign or partial answer {status}", call.id)));
+            found
+                .push(violation(Guarantee::OwnAnswer, format!("{} got a foreign or partial answer {status}", call.id)));
         }
     }
     let mut times: HashMap<&str, u32> = HashMap::new();
     for run in &record.runs {
         *times.entry(&run.id).or_default() += 1;
         let Some(call) = sent.get(&run.id) else {
-            found.push(broken(Promise::AsSent, format!("{} was never sent", run.id)));
+            found.push(violation(Guarantee::AsSent, format!("{} was never sent", run.id)));
             continue;
         };
         let kind = if run.id == call.id { call.kind } else { RouteKind::Read };
         if let Some(what) = changed(run, kind, call) {
-            found.push(broken(Promise::AsSent, what));
+            found.push(violation(Guarantee::AsSent, what));
         }
         let service = MachineAddrs::service_of(run.machine);
         let is_routed = match kind.service() {
@@ -129,7 +130,7 @@
             None => record.configs.iter().any(|config| config.moving == service),
         };
         if !is_routed {
-            found.push(broken(Promise::Routed, format!("{} ran at {service}", run.id)));
+            found.push(violation(Guarantee::Routed, format!("{} ran at {service}", run.id)));
         }
     }
     for call in &record.calls {
@@ -138,17 +139,17 @@
             continue;
         }
         if runs > 1 {
-            found.push(broken(Promise::Once, format!("{} ran {runs} times", call.id)));
+            found.push(violation(Guarantee::Once, format!("{} ran {runs} times", call.id)));
         }
         if runs > 0 && matches!(call.end, CallEnd::Answered { status: 408 | 421 | 429 | 503, .. }) {
-            found.push(broken(Promise::NotRun, format!("{} was refused and ran", call.id)));
+            found.push(violation(Guarantee::NotRun, format!("{} was refused and ran", call.id)));
         }
     }
-    if record.most_running > SLOTS {
-        found.push(broken(Promise::Slots, format!("{} of {SLOTS} slots used", record.most_running)));
+    if record.max_running > SLOTS {
+        found.push(violation(Guarantee::Slots, format!("{} of {SLOTS} slots used", record.max_running)));
     }
     found.extend(over_budget(record));
-    found.extend(harm::check(record));
+    found.extend(crashes::check(record));
     found.extend(tenancy::check(record));
     found
 }
@@ -178,7 +179,7 @@
             let asked = most_requests(&requests, *begin);
             if arrived as f64 > RETRY_RATIO * asked as f64 + RETRY_SLACK {
                 let what = format!("{service} got {arrived} repeats in a window, of {asked} requests");
-                found.push(broken(Promise::RetryBudget, what));
+                found.push(violation(Guarantee::RetryBudget, what));
                 break;
             }
         }
@@ -214,15 +215,15 @@
 }
 
 /// The promises that hold for machines that no fault has struck lately.
-pub fn in_calm(record: &SoakRecord) -> Vec<Violation> {
+pub fn check_fault_free(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let ran: HashSet<&str> = record.runs.iter().map(|run| run.id.as_str()).collect();
     let (mut served, mut asked) = (0_usize, 0_usize);
     for call in &record.calls {
-        if !record.is_all_calm(SETTLE, call.sent, call.ended) {
+        if !record.is_fault_and_crash_free(SETTLE, call.sent, call.ended) {
             continue;
         }
-        let counts = call.key.is_steady() && call.kind != RouteKind::Harmful;
+        let counts = call.key.is_steady() && call.kind != RouteKind::Crashing;
         asked += usize::from(counts);
         match call.end {
             CallEnd::Answered { status: 200, .. } => served += usize::from(counts),
@@ -238,12 +239,12 @@
                     call.end,
                     call.ended - call.sent
                 );
-                found.push(broken(Promise::Uncut, what));
+                found.push(violation(Guarantee::Uncut, what));
             }
         }
     }
-    if (served as f64) < SERVED_IN_CALM * asked as f64 {
-        found.push(broken(Promise::Served, format!("{served} of {asked} in calm")));
+    if (served as f64) < MIN_SERVED_SHARE * asked as f64 {
+        found.push(violation(Guarantee::Served, format!("{served} of {asked} in calm")));
     }
     found.extend(out_of_date(record));
     found.extend(not_left(record));
@@ -252,7 +253,9 @@
 
 fn was_stopping(record: &SoakRecord, call: &CallRecord) -> bool {
     record.stops.iter().any(|stop| {
-        stop.machine == call.machine && call.ended >= stop.asked && call.sent <= stop.asked + stop.grace + SETTLE
+        stop.machine == call.machine
+            && call.ended >= stop.requested
+            && call.sent <= stop.requested + stop.grace + SETTLE
     })
 }
 
@@ -262,7 +265,7 @@
     let sent: HashMap<&str, &CallRecord> = record.calls.iter().map(|call| (call.id.as_str(), call)).collect();
     for run in &record.runs {
         let Some(call) = sent.get(run.id.as_str()).filter(|call| call.kind == RouteKind::Moving) else { continue };
-        if !record.is_all_calm(SETTLE, call.sent, call.ended) {
+        if !record.is_fault_and_crash_free(SETTLE, call.sent, call.ended) {
             continue;
         }
         let service = MachineAddrs::service_of(run.machine);
@@ -273,7 +276,7 @@
             may_run |= config.moving == service && config.acked <= call.ended && !is_over;
         }
         if !may_run {
-            found.push(broken(Promise::InForce, format!("{} ran at {service}", run.id)));
+            found.push(violation(Guarantee::InForce, format!("{} ran at {service}", run.id)));
         }
     }
     found
@@ -285,9 +288,9 @@
     for run in &record.runs {
         for drain in record.drains.iter().filter(|drain| drain.machine == run.machine) {
             let is_late = run.at > drain.acked + APPLY + SLACK && run.at < drain.until;
-            if is_late && record.is_all_calm(SETTLE, drain.acked, run.at) {
-                found.push(broken(
-                    Promise::Drained,
+            if is_late && record.is_fault_and_crash_free(SETTLE, drain.acked, run.at) {
+                found.push(violation(
+                    Guarantee::Drained,
                     format!("{} ran {:?} after the drain", run.id, run.at - drain.acked),
                 ));
             }
--- a/crates/soak/src/harm.rs
+++ b/crates/soak/src/crashes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use crate::checks::{broken, Promise, Violation, SETTLE, SLACK};
+use crate::checks::{violation, Guarantee, Violation, SETTLE, SLACK};
 use crate::layout::{MachineAddrs, RouteKind};
 use crate::record::SoakRecord;
 
@@ -37,13 +37,14 @@
 fn check_span(record: &SoakRecord, runs: &[Instant]) -> Option<Violation> {
     let shown = runs.get(SHOWN_BY - 1)?;
     let bound = *shown + SETTLE + SLACK;
-    let later = runs.iter().filter(|at| **at > bound && record.is_without_faults(SETTLE, **at, **at)).count();
-    (later > MOST_LATER).then(|| broken(Promise::BoundedHarm, format!("{later} more targets, {} in all", runs.len())))
+    let later = runs.iter().filter(|at| **at > bound && record.is_fault_free(SETTLE, **at, **at)).count();
+    (later > MOST_LATER)
+        .then(|| violation(Guarantee::BoundedCrashes, format!("{later} more targets, {} in all", runs.len())))
 }
 
 /// When nobody knew any more what the request had done.
 fn losses(record: &SoakRecord) -> Vec<Instant> {
-    let service = RouteKind::Harmful.service();
+    let service = RouteKind::Crashing.service();
     let is_holder = |machine: usize| Some(MachineAddrs::service_of(machine)) == service;
     let holders: BTreeSet<usize> = record.runs.iter().map(|run| run.machine).filter(|one| is_holder(*one)).collect();
     let starts: Vec<_> = record.starts.iter().filter(|start| is_holder(start.machine)).collect();
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -12,7 +12,7 @@
 
 use crate::machine::SoakMachine;
 use crate::proxy::LinkState;
-use crate::record::Disturbance;
+use crate::record::FaultSpan;
 
 /// The period over which a throttled process has its quota, as the platform's pages tell it.
 const QUOTA_PERIOD: Duration = Duration::from_millis(100);
@@ -36,7 +36,8 @@
     /// Nothing comes from it.
     HoldAnswers,
     /// Both.
-    LinkSilent,
+    #[display("LinkSilent")]
+    LinkBlackhole,
     /// Its process stands still.
     Freeze,
     /// Its process gets a quota of processor time: it runs, then stands still for the rest of each tenth of a second.
@@ -46,33 +47,44 @@
     /// Its target starts again under a new identity.
     TargetRestart,
     /// Its target loses answers.
-    TargetLoses,
+    #[display("TargetLoses")]
+    TargetNoAnswer,
     /// Its target answers what is no answer.
     TargetGarbage,
     /// Its target breaks its answers off.
-    TargetBreaksOff,
+    #[display("TargetBreaksOff")]
+    TargetTruncatedBody,
     /// Its target sends second answers.
-    TargetSurplus,
+    #[display("TargetSurplus")]
+    TargetSecondAnswer,
     /// Its target refuses everything.
-    TargetSheds,
+    #[display("TargetSheds")]
+    TargetRefuses,
     /// The store says nothing to it.
-    StoreSilent,
+    #[display("StoreSilent")]
+    StoreUnresponsive,
     /// The store turns it away.
-    StoreBusy,
+    #[display("StoreBusy")]
+    StoreUnavailable,
     /// The store resets its connections.
     StoreResets,
     /// Its watches hang.
-    StoreDeaf,
+    #[display("StoreDeaf")]
+    StoreWatchHangs,
     /// Its watches are told that history is gone.
-    StoreForgetful,
+    #[display("StoreForgetful")]
+    StoreWatchGone,
     /// The store says nothing to anybody.
-    StoreSilentToAll,
+    #[display("StoreSilentToAll")]
+    StoreUnresponsiveToAll,
     /// All processes are killed and started again.
     KillAll,
     /// Its target starts again under its identity.
-    TargetReturns,
+    #[display("TargetReturns")]
+    TargetRestartSameId,
     /// Another writer leaves entries that name no target.
-    StoreForged,
+    #[display("StoreForged")]
+    StoreInvalidEntries,
     /// The store is away, and comes back from an older copy.
     StoreRestored,
 }
@@ -84,31 +96,32 @@
         FaultKind::LinkReset,
         FaultKind::HoldRequests,
         FaultKind::HoldAnswers,
-        FaultKind::LinkSilent,
+        FaultKind::LinkBlackhole,
         FaultKind::Freeze,
         FaultKind::Throttle,
         FaultKind::Kill,
         FaultKind::TargetRestart,
-        FaultKind::TargetLoses,
+        FaultKind::TargetNoAnswer,
         FaultKind::TargetGarbage,
-        FaultKind::TargetBreaksOff,
-        FaultKind::TargetSurplus,
-        FaultKind::TargetSheds,
-        FaultKind::StoreSilent,
-        FaultKind::StoreBusy,
+        FaultKind::TargetTruncatedBody,
+        FaultKind::TargetSecondAnswer,
+        FaultKind::TargetRefuses,
+        FaultKind::StoreUnresponsive,
+        FaultKind::StoreUnavailable,
         FaultKind::StoreResets,
-        FaultKind::StoreDeaf,
-        FaultKind::StoreForgetful,
-        FaultKind::StoreSilentToAll,
+        FaultKind::StoreWatchHangs,
+        FaultKind::StoreWatchGone,
+        FaultKind::StoreUnresponsiveToAll,
         FaultKind::KillAll,
     ];
 
     /// Kinds that are drawn from a schedule of their own, so that the one of a seed stays as it was.
-    pub const LATER: [FaultKind; 3] = [FaultKind::TargetReturns, FaultKind::StoreForged, FaultKind::StoreRestored];
+    pub const ADDED: [FaultKind; 3] =
+        [FaultKind::TargetRestartSameId, FaultKind::StoreInvalidEntries, FaultKind::StoreRestored];
 
     /// Draws one of the later kinds.
-    pub fn draw_later(random: &mut impl Rng) -> Self {
-        Self::LATER[random.gen_range(0..Self::LATER.len())]
+    pub fn draw_added(random: &mut impl Rng) -> Self {
+        Self::ADDED[random.gen_range(0..Self::ADDED.len())]
     }
 
     /// Draws a kind.
@@ -117,13 +130,13 @@
     }
 
     /// Whether it strikes all machines.
-    pub fn strikes_all(self) -> bool {
-        matches!(self, FaultKind::StoreSilentToAll | FaultKind::KillAll | FaultKind::StoreRestored)
+    pub fn affects_all_machines(self) -> bool {
+        matches!(self, FaultKind::StoreUnresponsiveToAll | FaultKind::KillAll | FaultKind::StoreRestored)
     }
 }
 
 /// Brings a fault in, takes it back after `span`, and returns what was disturbed.
-pub async fn strike(kind: FaultKind, machines: &[Rc<SoakMachine>], struck: usize, span: Duration) -> Disturbance {
+pub async fn inject(kind: FaultKind, machines: &[Rc<SoakMachine>], struck: usize, span: Duration) -> FaultSpan {
     let from = Instant::now();
     let machine = &machines[struck];
     let former = machine.target.id();
@@ -142,7 +155,7 @@
         FaultKind::StoreRestored => restore(machine).await,
         _ => {}
     }
-    Disturbance { machine: (!kind.strikes_all()).then_some(struck), from, until: Instant::now() }
+    FaultSpan { machine: (!kind.affects_all_machines()).then_some(struck), from, until: Instant::now() }
 }
 
 /// The store comes back from an older copy; what the operator and the targets wrote since is written again.
@@ -194,7 +207,7 @@
 }
 
 fn touched(kind: FaultKind, machines: &[Rc<SoakMachine>], struck: usize) -> impl Iterator<Item = &Rc<SoakMachine>> {
-    let all = kind.strikes_all();
+    let all = kind.affects_all_machines();
     machines.iter().enumerate().filter(move |(number, _)| all || *number == struck).map(|(_, machine)| machine)
 }
 
@@ -206,56 +219,56 @@
         FaultKind::LinkReset => machine.link.reset(),
         FaultKind::HoldRequests => machine.link.set(LinkState { holds_requests: true, ..calm }),
         FaultKind::HoldAnswers => machine.link.set(LinkState { holds_answers: true, ..calm }),
-        FaultKind::LinkSilent => machine.link.set(silent),
+        FaultKind::LinkBlackhole => machine.link.set(silent),
         FaultKind::Freeze => machine.signal(Signal::STOP),
         FaultKind::Kill | FaultKind::KillAll => machine.signal(Signal::KILL),
         FaultKind::TargetRestart => {
             machine.target.restart();
             machine.store.register(&machine.target, "ready");
         }
-        FaultKind::TargetLoses => machine.target.set_behaviour(TargetBehaviour::NoAnswer),
+        FaultKind::TargetNoAnswer => machine.target.set_behaviour(TargetBehaviour::NoAnswer),
         FaultKind::TargetGarbage => machine.target.set_behaviour(TargetBehaviour::Garbage),
-        FaultKind::TargetBreaksOff => machine.target.set_behaviour(TargetBehaviour::TruncatedBody),
-        FaultKind::TargetSurplus => machine.target.set_behaviour(TargetBehaviour::SecondAnswer),
-        FaultKind::TargetSheds => machine.target.set_behaviour(TargetBehaviour::RefusesRequests),
-        FaultKind::TargetReturns => machine.target.restart_with_same_id(),
-        FaultKind::StoreForged => forge(machine),
-        FaultKind::StoreSilent | FaultKind::StoreSilentToAll | FaultKind::StoreRestored => {
+        FaultKind::TargetTruncatedBody => machine.target.set_behaviour(TargetBehaviour::TruncatedBody),
+        FaultKind::TargetSecondAnswer => machine.target.set_behaviour(TargetBehaviour::SecondAnswer),
+        FaultKind::TargetRefuses => machine.target.set_behaviour(TargetBehaviour::RefusesRequests),
+        FaultKind::TargetRestartSameId => machine.target.restart_with_same_id(),
+        FaultKind::StoreInvalidEntries => forge(machine),
+        FaultKind::StoreUnresponsive | FaultKind::StoreUnresponsiveToAll | FaultKind::StoreRestored => {
             machine.store.set_mode(StoreMode::Unresponsive)
         }
-        FaultKind::StoreBusy => machine.store.set_mode(StoreMode::Status(503)),
+        FaultKind::StoreUnavailable => machine.store.set_mode(StoreMode::Status(503)),
         FaultKind::StoreResets => machine.store.set_mode(StoreMode::Reset),
         FaultKind::Throttle => {}
-        FaultKind::StoreDeaf => machine.store.set_mode(StoreMode::WatchHangs),
-        FaultKind::StoreForgetful => machine.store.set_mode(StoreMode::WatchGone),
+        FaultKind::StoreWatchHangs => machine.store.set_mode(StoreMode::WatchHangs),
+        FaultKind::StoreWatchGone => machine.store.set_mode(StoreMode::WatchGone),
     }
 }
 
 fn end(kind: FaultKind, machine: &SoakMachine) {
     match kind {
-        FaultKind::LinkDelay | FaultKind::HoldRequests | FaultKind::HoldAnswers | FaultKind::LinkSilent => {
+        FaultKind::LinkDelay | FaultKind::HoldRequests | FaultKind::HoldAnswers | FaultKind::LinkBlackhole => {
             machine.link.set(LinkState::default());
         }
         FaultKind::LinkReset => machine.link.reset(),
         FaultKind::Freeze => machine.signal(Signal::CONT),
         FaultKind::Kill | FaultKind::KillAll => machine.start_process().expect("the program that ran before starts"),
-        FaultKind::TargetRestart | FaultKind::TargetReturns | FaultKind::Throttle => {}
-        FaultKind::StoreForged => {
+        FaultKind::TargetRestart | FaultKind::TargetRestartSameId | FaultKind::Throttle => {}
+        FaultKind::StoreInvalidEntries => {
             for number in 0..FORGED {
                 machine.store.write(&forged_key(number), None);
             }
         }
-        FaultKind::TargetLoses
+        FaultKind::TargetNoAnswer
         | FaultKind::TargetGarbage
-        | FaultKind::TargetBreaksOff
-        | FaultKind::TargetSurplus
-        | FaultKind::TargetSheds => machine.heal_target(),
-        FaultKind::StoreSilent
-        | FaultKind::StoreBusy
+        | FaultKind::TargetTruncatedBody
+        | FaultKind::TargetSecondAnswer
+        | FaultKind::TargetRefuses => machine.reset_target_behaviour(),
+        FaultKind::StoreUnresponsive
+        | FaultKind::StoreUnavailable
         | FaultKind::StoreResets
-        | FaultKind::StoreDeaf
-        | FaultKind::StoreForgetful
-        | FaultKind::StoreSilentToAll
+        | FaultKind::StoreWatchHangs
+        | FaultKind::StoreWatchGone
+        | FaultKind::StoreUnresponsiveToAll
         | FaultKind::StoreRestored => machine.store.set_mode(StoreMode::Normal),
     }
 }
--- a/crates/soak/src/layout.rs
+++ b/crates/soak/src/layout.rs
@@ -13,14 +13,14 @@
 /// The services; all have the same number of targets.
 pub const SERVICES: [&str; 3] = ["alpha", "beta", "gamma"];
 /// The targets of a service, unless the command line names another number.
-pub const TARGETS_EACH: usize = 2;
+pub const DEFAULT_TARGETS_PER_SERVICE: usize = 2;
 /// The most targets of a service for which there are addresses.
-pub const MOST_TARGETS_EACH: usize = 75;
+pub const MAX_TARGETS_PER_SERVICE: usize = 75;
 /// The requests that a target works on at a time.
 pub const SLOTS: u32 = 24;
 
 /// For how long a crashed target is away.
-pub const CRASHED_FOR: Duration = Duration::from_millis(400);
+pub const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 
 const OUTBOUND: u16 = 22501;
 const INBOUND: u16 = 22502;
@@ -41,12 +41,12 @@
     /// May be repeated; the configuration moves it from service to service.
     Moving,
     /// May be repeated; served by beta, whose targets it crashes.
-    Harmful,
+    Crashing,
 }
 
 impl RouteKind {
     /// The kinds that do no harm.
-    pub const HARMLESS: [RouteKind; 4] = [RouteKind::Read, RouteKind::Pay, RouteKind::Chain, RouteKind::Moving];
+    pub const NON_CRASHING: [RouteKind; 4] = [RouteKind::Read, RouteKind::Pay, RouteKind::Chain, RouteKind::Moving];
 
     /// The path of its requests.
     pub fn path(self) -> &'static str {
@@ -55,7 +55,7 @@
             RouteKind::Pay => "/pay/x",
             RouteKind::Chain => "/chain/x",
             RouteKind::Moving => "/moving/x",
-            RouteKind::Harmful => "/read/harmful",
+            RouteKind::Crashing => "/read/harmful",
         }
     }
 
@@ -78,7 +78,7 @@
     /// The service that always serves it, unless the configuration moves it.
     pub fn service(self) -> Option<&'static str> {
         match self {
-            RouteKind::Read | RouteKind::Harmful => Some("beta"),
+            RouteKind::Read | RouteKind::Crashing => Some("beta"),
             RouteKind::Pay => Some("gamma"),
             RouteKind::Chain => Some("alpha"),
             RouteKind::Moving => None,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -5,12 +5,12 @@
 //! frozen, killed and started again; the store turns machines away or hangs. One kind of request crashes the targets that run it. What is promised is checked from what callers and
 //! targets saw, never from the product's own counters.
 //!
-//! Rounds of faults and of calm take turns. Some promises hold at any moment ([`checks::always`]), those with a time bound
-//! only for machines that no fault has struck lately ([`checks::in_calm`]).
+//! Rounds of faults and of calm take turns. Some promises hold at any moment ([`checks::check_always`]), those with a time bound
+//! only for machines that no fault has struck lately ([`checks::check_fault_free`]).
 
 pub mod checks;
+mod crashes;
 pub mod faults;
-mod harm;
 pub mod layout;
 pub mod links;
 pub mod machine;
--- a/crates/soak/src/links.rs
+++ b/crates/soak/src/links.rs
@@ -143,9 +143,9 @@
 #[derive(Clone)]
 pub enum MachineLink {
     /// In this process.
-    Here(LinkProxy),
+    InProcess(LinkProxy),
     /// In another one.
-    Elsewhere(Rc<RefCell<LinkProcess>>, usize),
+    OutOfProcess(Rc<RefCell<LinkProcess>>, usize),
 }
 
 impl MachineLink {
@@ -160,24 +160,24 @@
         listen: SocketAddr,
         node: SocketAddr,
     ) -> io::Result<Self> {
-        let Some(process) = process else { return Ok(MachineLink::Here(LinkProxy::open(listen, node).await?)) };
+        let Some(process) = process else { return Ok(MachineLink::InProcess(LinkProxy::open(listen, node).await?)) };
         process.borrow_mut().open(LinkCommand::Open { number, listen, node })?;
-        Ok(MachineLink::Elsewhere(Rc::clone(process), number))
+        Ok(MachineLink::OutOfProcess(Rc::clone(process), number))
     }
 
     /// Changes how what passes is treated.
     pub fn set(&self, state: LinkState) {
         match self {
-            MachineLink::Here(proxy) => proxy.set(state),
-            MachineLink::Elsewhere(process, number) => tell(process, LinkCommand::Set { number: *number, state }),
+            MachineLink::InProcess(proxy) => proxy.set(state),
+            MachineLink::OutOfProcess(process, number) => tell(process, LinkCommand::Set { number: *number, state }),
         }
     }
 
     /// Resets all connections.
     pub fn reset(&self) {
         match self {
-            MachineLink::Here(proxy) => proxy.reset(),
-            MachineLink::Elsewhere(process, number) => tell(process, LinkCommand::Reset { number: *number }),
+            MachineLink::InProcess(proxy) => proxy.reset(),
+            MachineLink::OutOfProcess(process, number) => tell(process, LinkCommand::Reset { number: *number }),
         }
     }
 }
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -14,7 +14,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::time::sleep;
 
-use crate::layout::{MachineAddrs, RouteKind, CRASHED_FOR, HOST, SLOTS};
+use crate::layout::{MachineAddrs, RouteKind, CRASH_DOWNTIME, HOST, SLOTS};
 use crate::links::{LinkProcess, MachineLink};
 
 /// How long a request takes at a target.
@@ -36,7 +36,7 @@
     /// The link from the other machines.
     pub link: MachineLink,
     /// Whether callers send new work here.
-    pub takes_callers: Cell<bool>,
+    pub accepts_callers: Cell<bool>,
     process: RefCell<Option<Child>>,
     starts: RefCell<Vec<Instant>>,
     program: PathBuf,
@@ -59,9 +59,9 @@
     ) -> io::Result<SoakMachine> {
         let target = StandInTarget::start_at(addrs.target(), addrs.service(), SLOTS).await;
         target.set_behaviour(TargetBehaviour::Slow(WORK));
-        let harmful = RouteKind::Harmful.path().to_owned();
+        let harmful = RouteKind::Crashing.path().to_owned();
         let keeps_id = addrs.number % 2 == 1;
-        target.set_crash_rule(CrashRule { path: harmful, after: CRASHES_AFTER, down_for: CRASHED_FOR, keeps_id });
+        target.set_crash_rule(CrashRule { path: harmful, after: CRASHES_AFTER, down_for: CRASH_DOWNTIME, keeps_id });
         let path = RouteKind::Read.path().to_owned();
         target.set_chained_call(ChainedCall { outbound: addrs.outbound(), host: HOST.to_owned(), path });
         let store = store.add_listener().await;
@@ -87,7 +87,7 @@
             target,
             store,
             link,
-            takes_callers: Cell::new(true),
+            accepts_callers: Cell::new(true),
             process: RefCell::default(),
             starts: RefCell::default(),
             program: program.to_owned(),
@@ -104,7 +104,7 @@
     ///
     /// Returns an error if it does not start.
     pub fn start_process(&self) -> io::Result<()> {
-        if self.runs() {
+        if self.is_running() {
             return Ok(());
         }
         let child = Command::new(&self.program)
@@ -120,14 +120,14 @@
     }
 
     /// Whether the process runs.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         let mut process = self.process.borrow_mut();
         process.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Sends a signal to the process that this machine started, if it still runs.
     pub fn signal(&self, signal: Signal) {
-        if !self.runs() {
+        if !self.is_running() {
             return;
         }
         let process = self.process.borrow();
@@ -137,12 +137,12 @@
     }
 
     /// When its process was started after another one had ended.
-    pub fn later_starts(&self) -> Vec<Instant> {
+    pub fn restarts(&self) -> Vec<Instant> {
         self.starts.borrow().iter().skip(1).copied().collect()
     }
 
     /// Registers the target anew whenever it has crashed and started again, until the machine ends.
-    pub async fn register(self: Rc<Self>) {
+    pub async fn keep_registered(self: Rc<Self>) {
         let mut registered = (self.target.id(), self.target.start_time_ms());
         loop {
             sleep(REGISTERS_EACH).await;
@@ -159,7 +159,7 @@
     }
 
     /// Lets the target answer as it should again.
-    pub fn heal_target(&self) {
+    pub fn reset_target_behaviour(&self) {
         self.target.set_behaviour(TargetBehaviour::Slow(WORK));
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::layout::{RouteKind, CRASHED_FOR};
+use crate::layout::{RouteKind, CRASH_DOWNTIME};
 use crate::tenancy::SoakKey;
 
 /// How a call ended for its caller.
@@ -63,14 +63,14 @@
 
 impl RunRecord {
     /// Whether its request crashes targets.
-    pub fn is_harmful(&self) -> bool {
-        self.request.1 == RouteKind::Harmful.path()
+    pub fn crashes_targets(&self) -> bool {
+        self.request.1 == RouteKind::Crashing.path()
     }
 }
 
 /// A time in which something was wrong with a machine, or with all of them.
 #[derive(Clone, Copy, Debug)]
-pub struct Disturbance {
+pub struct FaultSpan {
     /// The machine; `None` for all.
     pub machine: Option<usize>,
     /// When it began.
@@ -105,7 +105,7 @@
     /// The machine.
     pub machine: usize,
     /// When the process was asked to stop.
-    pub asked: Instant,
+    pub requested: Instant,
     /// How long its callers went on, and its process had to end.
     pub grace: Duration,
 }
@@ -127,7 +127,7 @@
     /// Requests at targets.
     pub runs: Vec<RunRecord>,
     /// What was wrong, and when.
-    pub disturbances: Vec<Disturbance>,
+    pub fault_spans: Vec<FaultSpan>,
     /// Configurations, in order.
     pub configs: Vec<ConfigWrite>,
     /// Drains.
@@ -139,18 +139,18 @@
     /// Starts of processes, without the first ones.
     pub starts: Vec<ProcessStart>,
     /// The most requests that a target has worked on at a time.
-    pub most_running: u32,
+    pub max_running: u32,
 }
 
 impl SoakRecord {
     /// Whether all machines were without faults from `settle` before `from` until `until`.
-    pub fn is_without_faults(&self, settle: Duration, from: Instant, until: Instant) -> bool {
-        !self.disturbances.iter().any(|disturbance| disturbance.from <= until && disturbance.until + settle >= from)
+    pub fn is_fault_free(&self, settle: Duration, from: Instant, until: Instant) -> bool {
+        !self.fault_spans.iter().any(|fault_span| fault_span.from <= until && fault_span.until + settle >= from)
     }
 
     /// The same, and no target was crashed by a request.
-    pub fn is_all_calm(&self, settle: Duration, from: Instant, until: Instant) -> bool {
-        let is_crashed = self.crashes.iter().any(|at| *at <= until && *at + CRASHED_FOR + settle >= from);
-        !is_crashed && self.is_without_faults(settle, from, until)
+    pub fn is_fault_and_crash_free(&self, settle: Duration, from: Instant, until: Instant) -> bool {
+        let is_crashed = self.crashes.iter().any(|at| *at <= until && *at + CRASH_DOWNTIME + settle >= from);
+        !is_crashed && self.is_fault_free(settle, from, until)
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -17,11 +17,11 @@
 use tokio::time::sleep;
 
 use crate::checks::{self, Violation};
-use crate::faults::{strike, FaultKind};
+use crate::faults::{inject, FaultKind};
 use crate::layout::{document, MachineAddrs, SoakNet, SERVICES};
 use crate::links::LinkProcess;
 use crate::machine::SoakMachine;
-use crate::record::{ConfigWrite, Disturbance, DrainSpan, ProcessStart, RunRecord, SoakRecord, StopSpan};
+use crate::record::{ConfigWrite, DrainSpan, FaultSpan, ProcessStart, RunRecord, SoakRecord, StopSpan};
 use crate::traffic::SoakCaller;
 
 /// Callers in all, if there are not more machines.
@@ -72,9 +72,9 @@
     /// The seed of the schedule.
     pub seed: u64,
     /// How long faults and calm take turns.
-    pub time: Duration,
+    pub duration: Duration,
     /// The targets of each service.
-    pub targets_each: usize,
+    pub targets_per_service: usize,
     /// Whether there are faults; without them only planned work is done.
     pub has_faults: bool,
 }
@@ -101,7 +101,7 @@
 }
 
 /// The machines and what is recorded of them.
-struct SoakWorld {
+struct SoakRun {
     store: StandInStore,
     machines: Vec<Rc<SoakMachine>>,
     record: Rc<RefCell<SoakRecord>>,
@@ -115,10 +115,10 @@
 }
 
 async fn soak(options: &SoakOptions) -> io::Result<SoakReport> {
-    let mut world = SoakWorld::start(options).await?;
+    let mut world = SoakRun::start(options).await?;
     world.configure();
     world.wait_until_ready().await?;
-    let end = Instant::now() + options.time;
+    let end = Instant::now() + options.duration;
     let callers = world.start_callers(end);
     while Instant::now() < end {
         if options.has_faults {
@@ -135,7 +135,7 @@
     Ok(world.report())
 }
 
-impl SoakWorld {
+impl SoakRun {
     async fn start(options: &SoakOptions) -> io::Result<Self> {
         let mut random = Pcg64::seed_from_u64(options.seed);
         let later = Pcg64::seed_from_u64(options.seed ^ LATER_SEED);
@@ -144,7 +144,7 @@
         let store = StandInStore::start().await;
         let mut machines = Vec::new();
         let mut links = None;
-        for number in 0..SERVICES.len() * options.targets_each {
+        for number in 0..SERVICES.len() * options.targets_per_service {
             let addrs = MachineAddrs::new(net, number);
             if let Some(program) = options.links.as_ref().filter(|_| number % LINKS_EACH == 0) {
                 links = Some(Rc::new(RefCell::new(LinkProcess::start(program)?)));
@@ -152,12 +152,12 @@
             let files = (options.program.as_path(), options.folder.as_path());
             let machine = SoakMachine::start(addrs, &store, files, links.as_ref()).await?;
             let machine = Rc::new(machine);
-            spawn_local(Rc::clone(&machine).register());
+            spawn_local(Rc::clone(&machine).keep_registered());
             machines.push(machine);
         }
         let version = random.gen_range(1..50);
         let record = Rc::default();
-        Ok(SoakWorld { store, machines, record, faults: Vec::new(), random, later, leaving, version })
+        Ok(SoakRun { store, machines, record, faults: Vec::new(), random, later, leaving, version })
     }
 
     /// Writes a configuration that moves a route to another service.
@@ -191,7 +191,7 @@
             for number in 0..callers_each {
                 let random = Pcg64::seed_from_u64(self.random.gen());
                 let (machine, record) = (Rc::clone(machine), Rc::clone(&self.record));
-                let caller = SoakCaller { machine, number, record, clings: number == 0, random };
+                let caller = SoakCaller { machine, number, record, reuses_while_draining: number == 0, random };
                 callers.push(spawn_local(caller.call_until(end)));
             }
         }
@@ -208,7 +208,7 @@
             let span = Duration::from_millis(self.random.gen_range(FAULT_SPAN_MS));
             strikes.push(self.strike(kind, struck, span));
             if self.later.gen_bool(LATER_SHARE) {
-                let kind = FaultKind::draw_later(&mut self.later);
+                let kind = FaultKind::draw_added(&mut self.later);
                 let struck = self.later.gen_range(0..self.machines.len());
                 let span = Duration::from_millis(self.later.gen_range(FAULT_SPAN_MS));
                 strikes.push(self.strike(kind, struck, span));
@@ -217,8 +217,8 @@
             self.look_at_targets();
         }
         for strike in strikes {
-            if let Ok(disturbance) = strike.await {
-                self.record.borrow_mut().disturbances.push(disturbance);
+            if let Ok(fault_span) = strike.await {
+                self.record.borrow_mut().fault_spans.push(fault_span);
             }
         }
         // Faults that overlapped may have left a process frozen, down, or a link cut.
@@ -227,10 +227,10 @@
         }
     }
 
-    fn strike(&mut self, kind: FaultKind, struck: usize, span: Duration) -> JoinHandle<Disturbance> {
+    fn strike(&mut self, kind: FaultKind, struck: usize, span: Duration) -> JoinHandle<FaultSpan> {
         self.faults.push((kind, struck));
         let machines = self.machines.clone();
-        spawn_local(async move { strike(kind, &machines, struck, span).await })
+        spawn_local(async move { inject(kind, &machines, struck, span).await })
     }
 
     /// Planned work: one thing of each kind, or series of them that overlap.
@@ -311,9 +311,9 @@
             let number = machine.addrs.number;
             let runs: Vec<RunRecord> =
                 machine.target.take_started_requests().into_iter().map(|seen| run_record(number, seen)).collect();
-            record.crashes.extend(runs.iter().filter(|run| run.is_harmful()).map(|run| run.at));
+            record.crashes.extend(runs.iter().filter(|run| run.crashes_targets()).map(|run| run.at));
             record.runs.extend(runs);
-            record.most_running = record.most_running.max(machine.target.max_running() as u32);
+            record.max_running = record.max_running.max(machine.target.max_running() as u32);
         }
     }
 
@@ -322,27 +322,27 @@
         let mut record = self.record.borrow().clone();
         for machine in &self.machines {
             let number = machine.addrs.number;
-            record.starts.extend(machine.later_starts().into_iter().map(|at| ProcessStart { machine: number, at }));
+            record.starts.extend(machine.restarts().into_iter().map(|at| ProcessStart { machine: number, at }));
         }
-        let violations = checks::all(&record);
+        let violations = checks::check_all(&record);
         SoakReport { record, faults: self.faults, violations }
     }
 }
 
 /// Asks a process to stop, and starts another one after its end.
 async fn stop_and_start(machine: &SoakMachine, record: &RefCell<SoakRecord>) -> io::Result<()> {
-    let asked = Instant::now();
-    record.borrow_mut().stops.push(StopSpan { machine: machine.addrs.number, asked, grace: GRACE });
+    let requested = Instant::now();
+    record.borrow_mut().stops.push(StopSpan { machine: machine.addrs.number, requested, grace: GRACE });
     machine.signal(Signal::TERM);
     sleep(LED_AWAY).await;
-    machine.takes_callers.set(false);
-    while machine.runs() && asked.elapsed() < GRACE {
+    machine.accepts_callers.set(false);
+    while machine.is_running() && requested.elapsed() < GRACE {
         sleep(CHECK).await;
     }
-    if machine.runs() {
+    if machine.is_running() {
         machine.signal(Signal::KILL);
     }
-    while machine.runs() {
+    while machine.is_running() {
         sleep(CHECK).await;
     }
     machine.start_process()?;
@@ -350,7 +350,7 @@
     while !is_ready(machine).await && begun.elapsed() < START {
         sleep(CHECK).await;
     }
-    machine.takes_callers.set(true);
+    machine.accepts_callers.set(true);
     Ok(())
 }
 
--- a/crates/soak/src/tenancy.rs
+++ b/crates/soak/src/tenancy.rs
@@ -6,7 +6,7 @@
 use quillhatch_platform_standins::settings::REVOCATION_S;
 use rand::Rng;
 
-use crate::checks::{broken, Promise, Violation, SLACK};
+use crate::checks::{violation, Guarantee, Violation, SLACK};
 use crate::record::{CallRecord, SoakRecord};
 
 /// Calls a second of the limited tenant, and its burst.
@@ -92,23 +92,26 @@
     let mut limited = Vec::new();
     for run in &record.runs {
         if run.has_key {
-            found.push(broken(Promise::Keys, format!("{} brought the key to its target", run.id)));
+            found.push(violation(Guarantee::Keys, format!("{} brought the key to its target", run.id)));
         }
         let Some(call) = sent.get(run.id.as_str()) else {
             // A target's own call has no tenant.
             if !run.tenant.is_empty() {
-                found.push(broken(Promise::Keys, format!("{} ran as {:?} without a key", run.id, run.tenant)));
+                found.push(violation(Guarantee::Keys, format!("{} ran as {:?} without a key", run.id, run.tenant)));
             }
             continue;
         };
         if call.key.tenant() != Some(&run.tenant) {
-            found.push(broken(Promise::Keys, format!("{} ran as {:?}, sent with {:?}", run.id, run.tenant, call.key)));
+            found.push(violation(
+                Guarantee::Keys,
+                format!("{} ran as {:?}, sent with {:?}", run.id, run.tenant, call.key),
+            ));
         }
         match call.key {
-            SoakKey::Unknown => found.push(broken(Promise::Keys, format!("{} ran with a key of nobody", run.id))),
+            SoakKey::Unknown => found.push(violation(Guarantee::Keys, format!("{} ran with a key of nobody", run.id))),
             SoakKey::Limited => limited.push((run.id.as_str(), run.at)),
             SoakKey::Rotating(number) if is_revoked(record, number, call.sent) => {
-                found.push(broken(Promise::Revoked, format!("{} ran with a key that was taken away", run.id)));
+                found.push(violation(Guarantee::Revoked, format!("{} ran with a key that was taken away", run.id)));
             }
             SoakKey::Rotating(_) | SoakKey::Steady => {}
         }
@@ -140,8 +143,8 @@
     let since_first_call = begin.saturating_duration_since(first_call).as_secs_f64();
     let started = |from: Instant| record.starts.iter().filter(|start| start.at >= from && start.at <= end).count();
     let (before, within) = (started(begin - LIMIT_WINDOW), started(begin));
-    Some(broken(
-        Promise::Limits,
+    Some(violation(
+        Guarantee::Limits,
         format!(
             "{most} calls in the window from {since_first_call:.1} s on, {allowed} allowed; {within} processes started in it, {} in the window before",
             before - within
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -23,7 +23,7 @@
 /// The pause between two requests.
 const PAUSE_MS: std::ops::Range<u64> = 20..60;
 /// The share of requests that crash the targets that run them.
-const HARMFUL_SHARE: f64 = 0.01;
+const CRASHING_SHARE: f64 = 0.01;
 /// The share of answers after which a connection is used again.
 const KEPT_SHARE: f64 = 0.9;
 
@@ -36,7 +36,7 @@
     /// Where it records what it sees.
     pub record: Rc<RefCell<SoakRecord>>,
     /// Whether it goes on using an open connection for as long as there is one, also while its machine is led away from.
-    pub clings: bool,
+    pub reuses_while_draining: bool,
     /// Its random numbers.
     pub random: Pcg64,
 }
@@ -49,8 +49,8 @@
             if Instant::now() >= end {
                 return;
             }
-            let has_connection = self.clings && kept.is_some();
-            if !self.machine.takes_callers.get() && !has_connection {
+            let has_connection = self.reuses_while_draining && kept.is_some();
+            if !self.machine.accepts_callers.get() && !has_connection {
                 kept = None;
                 sleep(AWAY_PAUSE).await;
                 continue;
@@ -64,10 +64,10 @@
     }
 
     fn draw_kind(&mut self) -> RouteKind {
-        if self.random.gen_bool(HARMFUL_SHARE) {
-            return RouteKind::Harmful;
+        if self.random.gen_bool(CRASHING_SHARE) {
+            return RouteKind::Crashing;
         }
-        RouteKind::HARMLESS[self.random.gen_range(0..RouteKind::HARMLESS.len())]
+        RouteKind::NON_CRASHING[self.random.gen_range(0..RouteKind::NON_CRASHING.len())]
     }
 
     /// Sends one request; returns the connection if it can be used again.
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use quillhatch_soak::checks::{all, Promise};
+use quillhatch_soak::checks::{check_all, Guarantee};
 use quillhatch_soak::layout::{RouteKind, SLOTS};
 use quillhatch_soak::record::{
-    CallEnd, CallRecord, ConfigWrite, Disturbance, DrainSpan, ProcessStart, RunRecord, SoakRecord, StopSpan,
+    CallEnd, CallRecord, ConfigWrite, DrainSpan, FaultSpan, ProcessStart, RunRecord, SoakRecord, StopSpan,
 };
 use quillhatch_soak::tenancy::SoakKey;
 use test_case::test_case;
@@ -75,22 +75,23 @@
 
     fn disturb(&mut self, from_ms: u64, until_ms: u64) {
         let (from, until) = (self.at(from_ms), self.at(until_ms));
-        self.record.disturbances.push(Disturbance { machine: None, from, until });
+        self.record.fault_spans.push(FaultSpan { machine: None, from, until });
     }
 
-    /// Harmful requests run at these times.
+    /// Crashing requests run at these times.
     fn harm(&mut self, times: &[u64]) {
         for (number, at) in times.iter().enumerate() {
             let id = format!("harmful-{number}");
-            self.call(&id, RouteKind::Harmful, *at, status(502));
-            self.run(&id, RouteKind::Harmful, BETA, *at);
+            self.call(&id, RouteKind::Crashing, *at, status(502));
+            self.run(&id, RouteKind::Crashing, BETA, *at);
             let at = self.at(*at);
             self.record.crashes.push(at);
         }
     }
 
-    fn broken(&self) -> Vec<Promise> {
-        let mut broken: Vec<Promise> = all(&self.record).into_iter().map(|violation| violation.promise).collect();
+    fn broken(&self) -> Vec<Guarantee> {
+        let mut broken: Vec<Guarantee> =
+            check_all(&self.record).into_iter().map(|violation| violation.guarantee).collect();
         broken.sort();
         broken.dedup();
         broken
@@ -122,23 +123,23 @@
     assert_eq!(Story::new().broken(), []);
 }
 
-#[test_case(Promise::OwnAnswer, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Answered { status: 200, is_own: false }))]
-#[test_case(Promise::AsSent, |story| story.run("nobody-sent", RouteKind::Read, BETA, 6_000))]
-#[test_case(Promise::AsSent, |story| story.record.runs[0].request.1 = "/read/y".to_owned())]
-#[test_case(Promise::AsSent, |story| story.record.runs[0].caller_service = "beta".to_owned())]
-#[test_case(Promise::Keys, |story| story.record.runs[0].has_key = true)]
-#[test_case(Promise::Keys, |story| story.record.runs[0].tenant = "rotating".to_owned())]
-#[test_case(Promise::Keys, |story| story.record.runs[0].tenant.clear())]
-#[test_case(Promise::Keys, |story| story.record.runs.last_mut().expect("a run").tenant = "steady".to_owned())]
-#[test_case(Promise::BoundedHarm, |story| story.harm(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]))]
-#[test_case(Promise::Revoked, |story| {
+#[test_case(Guarantee::OwnAnswer, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Answered { status: 200, is_own: false }))]
+#[test_case(Guarantee::AsSent, |story| story.run("nobody-sent", RouteKind::Read, BETA, 6_000))]
+#[test_case(Guarantee::AsSent, |story| story.record.runs[0].request.1 = "/read/y".to_owned())]
+#[test_case(Guarantee::AsSent, |story| story.record.runs[0].caller_service = "beta".to_owned())]
+#[test_case(Guarantee::Keys, |story| story.record.runs[0].has_key = true)]
+#[test_case(Guarantee::Keys, |story| story.record.runs[0].tenant = "rotating".to_owned())]
+#[test_case(Guarantee::Keys, |story| story.record.runs[0].tenant.clear())]
+#[test_case(Guarantee::Keys, |story| story.record.runs.last_mut().expect("a run").tenant = "steady".to_owned())]
+#[test_case(Guarantee::BoundedCrashes, |story| story.harm(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]))]
+#[test_case(Guarantee::Revoked, |story| {
     let acked = story.at(0);
     story.record.configs.push(ConfigWrite { moving: "beta", acked });
     story.record.calls[30].key = SoakKey::Rotating(0);
     story.record.calls[30].sent = story.at(5_600);
     story.record.runs[30].tenant = "rotating".to_owned();
 })]
-#[test_case(Promise::Limits, |story| {
+#[test_case(Guarantee::Limits, |story| {
     for number in 0..100 {
         let id = format!("limited-{number}");
         story.call(&id, RouteKind::Read, 6_000, ok());
@@ -147,20 +148,20 @@
         story.record.runs.last_mut().expect("a run").tenant = "limited".to_owned();
     }
 })]
-#[test_case(Promise::Once, |story| story.run("pay", RouteKind::Pay, GAMMA, 6_500))]
-#[test_case(Promise::Routed, |story| story.record.runs[0].machine = GAMMA)]
-#[test_case(Promise::Routed, |story| {
+#[test_case(Guarantee::Once, |story| story.run("pay", RouteKind::Pay, GAMMA, 6_500))]
+#[test_case(Guarantee::Routed, |story| story.record.runs[0].machine = GAMMA)]
+#[test_case(Guarantee::Routed, |story| {
     story.call("x", RouteKind::Moving, 6_000, status(500));
     story.run("x", RouteKind::Moving, GAMMA, 6_010);
     story.disturb(5_900, 6_100);
 })]
-#[test_case(Promise::Slots, |story| story.record.most_running = SLOTS + 1)]
-#[test_case(Promise::Uncut, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Cut))]
-#[test_case(Promise::Uncut, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Silent))]
-fn a_broken_promise_is_found(promise: Promise, breaks: fn(&mut Story)) {
+#[test_case(Guarantee::Slots, |story| story.record.max_running = SLOTS + 1)]
+#[test_case(Guarantee::Uncut, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Cut))]
+#[test_case(Guarantee::Uncut, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Silent))]
+fn a_broken_promise_is_found(guarantee: Guarantee, breaks: fn(&mut Story)) {
     let mut story = Story::new();
     breaks(&mut story);
-    assert_eq!(story.broken(), [promise]);
+    assert_eq!(story.broken(), [guarantee]);
 }
 
 #[test]
@@ -168,7 +169,7 @@
     let mut story = Story::new();
     story.call("refused", RouteKind::Pay, 6_000, status(503));
     story.run("refused", RouteKind::Pay, GAMMA, 6_700);
-    assert_eq!(story.broken(), [Promise::NotRun]);
+    assert_eq!(story.broken(), [Guarantee::NotRun]);
 }
 
 #[test]
@@ -178,7 +179,7 @@
     for number in 0..64 {
         story.run(&format!("read-{}", number % 40), RouteKind::Read, BETA, 6_500);
     }
-    assert_eq!(story.broken(), [Promise::RetryBudget]);
+    assert_eq!(story.broken(), [Guarantee::RetryBudget]);
     story.record.runs.pop();
     assert_eq!(story.broken(), []);
 }
@@ -189,7 +190,7 @@
     for number in 0..4 {
         story.call(&format!("x-{number}"), RouteKind::Read, 6_000, status(503));
     }
-    assert_eq!(story.broken(), [Promise::Served]);
+    assert_eq!(story.broken(), [Guarantee::Served]);
     story.disturb(5_900, 5_950);
     assert_eq!(story.broken(), [], "faults excuse it for a while");
 }
@@ -212,7 +213,7 @@
     assert_eq!(story.broken(), []);
     story.call("late", RouteKind::Moving, 8_600, ok());
     story.run("late", RouteKind::Moving, BETA, 8_610);
-    assert_eq!(story.broken(), [Promise::InForce]);
+    assert_eq!(story.broken(), [Guarantee::InForce]);
 }
 
 #[test]
@@ -223,7 +224,7 @@
     assert_eq!(story.broken(), []);
     story.call("late", RouteKind::Read, 6_600, ok());
     story.run("late", RouteKind::Read, BETA, 6_610);
-    assert_eq!(story.broken(), [Promise::Drained]);
+    assert_eq!(story.broken(), [Guarantee::Drained]);
 }
 
 #[test]
@@ -232,8 +233,8 @@
     for number in 0..10 {
         story.call(&format!("x-{number}"), RouteKind::Read, 6_000, CallEnd::Unreached);
     }
-    assert_eq!(story.broken(), [Promise::Served]);
-    let asked = story.at(5_900);
-    story.record.stops.push(StopSpan { machine: ALPHA, asked, grace: Duration::from_secs(6) });
+    assert_eq!(story.broken(), [Guarantee::Served]);
+    let requested = story.at(5_900);
+    story.record.stops.push(StopSpan { machine: ALPHA, requested, grace: Duration::from_secs(6) });
     assert_eq!(story.broken(), []);
 }
