--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration model: what the platform's configuration document says, after it was checked.
+//! The configuration model: the contents of the platform's configuration document after validation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Formation {
-    /// No call was ever served: a group of which every configured target has no memory starts with no lost claims.
+    /// No call was ever served: a group whose configured targets all start without stored state has lost no claims.
     New,
-    /// Calls were served before: a group formed from nothing must assume that claims were lost.
+    /// Calls were served before: a group formed without stored state must assume that claims were lost.
     #[default]
     Existing,
 }
@@ -29,7 +29,7 @@
     pub zones: Vec<ZoneName>,
 }
 
-/// One target: a back end and the node beside it.
+/// One target: a back end and the node that runs beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetConfiguration {
     /// The peer address of the node beside the back end.
@@ -38,13 +38,13 @@
     pub site: SiteName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Calls that the back end runs at once, as a first guess of the concurrency limit.
+    /// Calls that the back end can run concurrently; the initial value of the concurrency limit.
     pub slots: u32,
     /// Connections that the back end accepts.
     pub connections: u32,
 }
 
-/// A class of calls: which requests belong to it and how they are treated.
+/// A class of calls: the requests that belong to it and how they are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassConfiguration {
     /// The class.
@@ -53,17 +53,17 @@
     pub methods: Vec<String>,
     /// The path prefix that matches, below the service's own prefix; the longest match wins.
     pub path_prefix: String,
-    /// How important the class is.
+    /// The importance of the class.
     pub priority: Priority,
     /// Whether a call may run more than once.
     pub repeatable: bool,
     /// The time after which a caller is assumed to have given up, if the call itself gives no deadline.
     pub deadline: Duration,
-    /// Retry tokens that the first edge gives a root call of this class.
+    /// Retry tokens that the first edge assigns to a root call of this class.
     pub retry_budget: u16,
-    /// The largest share of retries in first tries, in percent.
+    /// The maximum ratio of retries to first attempts, in percent.
     pub retry_ratio_percent: u8,
-    /// Whether answers are large downloads, which are limited by bytes in flight and not by count alone.
+    /// Whether responses are large downloads, which are limited by bytes in flight as well as by count.
     pub large_answers: bool,
 }
 
@@ -74,34 +74,34 @@
     pub name: ServiceName,
     /// `Host` values that select the service; the first path segment equal to its name selects it too.
     pub hosts: Vec<String>,
-    /// The number of slots that the service's keys fall into; fixed for the life of the deployment.
+    /// The number of slots that the service's keys are hashed to; fixed for the lifetime of the deployment.
     pub slot_count: u16,
-    /// How long a claim is kept after its call ended.
+    /// How long a claim is retained after its call ended.
     pub claim_retention: Duration,
-    /// The largest number of claims that one voter keeps for the service.
+    /// The maximum number of claims that one voter retains for the service.
     pub claim_capacity: u32,
-    /// The largest answer that is recorded with a claim for replay, in bytes.
+    /// The maximum size of a response that is recorded with a claim for replay, in bytes.
     pub replay_limit_bytes: u32,
-    /// Status codes by which a back end says that it refused a call before running it.
+    /// Status codes with which a back end reports that it refused a call before running it.
     pub refused_before_running: Vec<u16>,
-    /// The shortest time in which the service can answer; a call with less time left is refused before any work.
+    /// The minimum time that the service needs to respond; a call with less time left is refused before any work.
     pub minimum_time: Duration,
-    /// The longest time a call waits in a gate's queue.
+    /// The maximum time that a call waits in a gate's queue.
     pub queue_timeout: Duration,
     /// The share of slots of each site when the service's groups are first formed, in percent.
     pub site_shares: BTreeMap<SiteName, u8>,
     /// The epoch below which no group of the service may start.
     pub minimum_epoch: Epoch,
-    /// Its classes, tried by longest path prefix.
+    /// Its classes, matched by longest path prefix.
     pub classes: Vec<ClassConfiguration>,
     /// Its targets.
     pub targets: Vec<TargetConfiguration>,
 }
 
-/// A whole, checked configuration document.
+/// A complete, validated configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The deployment it is for.
+    /// The deployment that it configures.
     pub deployment: DeploymentName,
     /// Its revision.
     pub revision: Revision,
--- a/crates/types/src/finding.rs
+++ b/crates/types/src/finding.rs
@@ -1,9 +1,9 @@
-//! Findings: what is wrong with an input, where, and what to do; collected and reported together.
+//! Findings: the problems of an input, with their location and advice, collected and reported together.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Where in an input a finding lies.
+/// The location of a finding in an input.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{source}:{line}:{column}: {path}")]
 pub struct SourceLocation {
@@ -21,25 +21,25 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// The input is refused whole.
+    /// The whole input is rejected.
     #[display("error")]
     Error,
-    /// The input is usable, but something is likely not meant.
+    /// The input is usable, but it probably contains a mistake.
     #[display("warning")]
     Warning,
 }
 
-/// One thing that is wrong with an input.
+/// One problem of an input.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{place}: {severity}: {problem}; {advice}")]
 pub struct Finding {
-    /// Where.
+    /// The location of the problem.
     pub place: SourceLocation,
-    /// How bad.
+    /// Whether the problem makes the input unusable.
     pub severity: Severity,
-    /// What is wrong.
+    /// A description of the problem.
     pub problem: String,
-    /// What to do.
+    /// How to fix the problem.
     pub advice: String,
 }
 
@@ -58,7 +58,7 @@
         self.0.iter().any(|finding| finding.severity == Severity::Error)
     }
 
-    /// Whether there is no finding at all.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/types/src/hexadecimal.rs
+++ b/crates/types/src/hexadecimal.rs
@@ -1,10 +1,10 @@
-//! Writes 128-bit identities as hexadecimal digits, as they are displayed.
+//! Serializes 128-bit identifiers as hexadecimal digits, in the form in which they are displayed.
 //!
-//! JSON numbers are not exact at this size, and serde cannot read them inside a tagged enum.
+//! JSON numbers are not exact at this size, and serde cannot deserialize 128-bit integers inside a tagged enum.
 
 use serde::{de::Error, Deserialize, Deserializer, Serializer};
 
-/// Writes `value` as 32 hexadecimal digits.
+/// Serializes `value` as 32 hexadecimal digits.
 ///
 /// # Errors
 ///
@@ -13,7 +13,7 @@
     serializer.collect_str(&format_args!("{value:032x}"))
 }
 
-/// Reads hexadecimal digits.
+/// Deserializes a number from hexadecimal digits.
 ///
 /// # Errors
 ///
--- a/crates/types/src/identity.rs
+++ b/crates/types/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identities of nodes and the counters that order what they agree on.
+//! Identities of nodes, and the counters that order the state they agree on.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeAddress(pub SocketAddr);
 
-/// A random number drawn when a process starts and never used again.
+/// A random number generated when a process starts and never reused.
 ///
-/// A machine that lost its memory comes back with another incarnation, so it cannot contradict a vote that it forgot.
+/// A machine that lost its state restarts with a new incarnation, so it cannot contradict a vote that it no longer has.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{_0:016x}")]
 pub struct Incarnation(pub u64);
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{address}#{incarnation}")]
 pub struct NodeId {
-    /// Where the node is reached.
+    /// The peer address of the node.
     pub address: NodeAddress,
-    /// Which run of the node is meant.
+    /// The run of the node.
     pub incarnation: Incarnation,
 }
 
@@ -48,14 +48,14 @@
     Epoch
 );
 counter_type!(
-    /// Counts how often a service's group at a site was formed from nothing.
+    /// Counts how often a service's group at a site was formed without an earlier group's state.
     Generation
 );
 counter_type!(
-    /// The revision of a configuration document, given by the platform.
+    /// The revision of a configuration document, assigned by the platform.
     Revision
 );
 
-/// One of the fixed number of slots that a service's keys fall into.
+/// One of the fixed number of slots that a service's keys are hashed to.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotId(pub u16);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,7 @@
 //! Names, identities, times and the configuration model shared by all crates.
 //!
-//! This is the leaf of the workspace: it performs no input or output, reads no clock and draws no random number.
+//! This crate depends on no other crate of the workspace. It performs no I/O, reads no clock and generates no random
+//! numbers.
 
 pub mod admission;
 pub mod call;
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -1,23 +1,23 @@
-//! Checked names of the things a configuration speaks of.
+//! Validated names of the entities in a configuration.
 
 use std::sync::Arc;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// The longest name accepted, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAXIMUM_NAME_LENGTH: usize = 64;
 
-/// Why a text is no valid name.
+/// Why a string is not a valid name.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum NameError {
-    /// The name has no characters.
+    /// The name is empty.
     #[display("a name must not be empty")]
     Empty,
     /// The name is longer than [`MAXIMUM_NAME_LENGTH`].
     #[display("a name must not be longer than {MAXIMUM_NAME_LENGTH} bytes")]
     TooLong,
-    /// The name holds a character outside `a-z A-Z 0-9 - _ .`.
+    /// The name contains a character outside `a-z A-Z 0-9 - _ .`.
     #[display("the character {character:?} is not allowed in a name; use letters, digits, '-', '_' and '.'")]
     Character {
         /// The first character that is not allowed.
@@ -25,7 +25,7 @@
     },
 }
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
@@ -47,13 +47,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes a name of it.
+            /// Validates `text` and creates a name from it.
             ///
             /// # Errors
             ///
-            /// Returns why the text is no valid name.
+            /// Returns an error if the text is not a valid name.
             pub fn new(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
@@ -100,10 +100,10 @@
     ClassName
 );
 name_type!(
-    /// A caller as the edge tells it apart: its address, or the name it authenticated with.
+    /// A caller as identified by the edge: by its address, or by the name it authenticated with.
     CallerName
 );
 name_type!(
-    /// A plan: a hash over all that the plan contains and rests on.
+    /// The id of a plan: a hash over the plan's contents and the state that it is based on.
     PlanId
 );
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when the answer is not the back end's own.
+//! Outcomes and refusals: the result that a caller receives when the back end's own response can't be delivered.
 
 use std::time::Duration;
 
@@ -8,50 +8,50 @@
 use crate::admission::AdmissionLevel;
 use crate::identity::{Epoch, Revision};
 
-/// What is known of whether a call ran.
+/// Whether a call ran, as far as it is known.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Proven: no back end saw the call.
+    /// It is proven that no back end received the call.
     #[display("not-run")]
     NotRun,
-    /// The call may have run; nobody can say.
+    /// The call may have run; this cannot be determined.
     #[display("unknown")]
     Unknown,
-    /// The call ran, and its answer could not be delivered whole.
+    /// The call ran, but its response could not be delivered completely.
     #[display("failed")]
     Failed,
 }
 
-/// Why a call was not answered by its back end.
+/// Why a caller received no complete response from the back end.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
     /// The target, or every target, is overloaded and refused the call by rank.
     #[display("overloaded")]
     Overloaded,
-    /// The call waited in a queue for as long as it may.
+    /// The call reached the maximum waiting time of a queue.
     #[display("queue-timeout")]
     QueueTimeout,
-    /// The time left is below what the service needs.
+    /// The time left is shorter than the minimum that the service needs.
     #[display("deadline-too-short")]
     DeadlineTooShort,
-    /// The caller's time ran out.
+    /// The caller's deadline passed.
     #[display("deadline-passed")]
     DeadlinePassed,
-    /// The back end is leaving and takes no new call.
+    /// The back end is draining and accepts no new calls.
     #[display("draining")]
     Draining,
-    /// The node is stopping and takes no new call.
+    /// The node is stopping and accepts no new calls.
     #[display("stopping")]
     Stopping,
     /// The node has not finished starting.
     #[display("not-ready")]
     NotReady,
-    /// The gate does not own the slot of the call's key, or its lease ran out.
+    /// The gate does not own the slot of the call's key, or its lease expired.
     #[display("not-owner")]
     NotOwner,
-    /// The slot of the call's key is on its way to another owner.
+    /// The slot of the call's key is being moved to another owner.
     #[display("slot-moving")]
     SlotMoving,
     /// The claim could not be recorded on a majority of voters.
@@ -60,37 +60,37 @@
     /// A call with the same key is running or may have run.
     #[display("key-in-progress")]
     KeyInProgress,
-    /// The key was used before for another request.
+    /// The key was already used for a different request.
     #[display("key-conflict")]
     KeyConflict,
-    /// The key's request ran before, and its answer was not kept for replay.
+    /// The key's request already ran, but its response was not retained for replay.
     #[display("answer-not-kept")]
     AnswerNotKept,
     /// The store of claims is full.
     #[display("claim-store-full")]
     ClaimStoreFull,
-    /// The group lost the memory of its claims, and retention has not passed.
+    /// The group lost its claims, and the retention period has not passed.
     #[display("claims-lost")]
     ClaimsLost,
     /// The retry budget or ratio does not allow another attempt.
     #[display("retries-exhausted")]
     RetriesExhausted,
-    /// The caller repeats more often than it may.
+    /// The caller exceeded its rate of calls or of retries.
     #[display("caller-rate")]
     CallerRate,
-    /// The service has no target that takes calls.
+    /// The service has no target that accepts calls.
     #[display("no-target")]
     NoTarget,
-    /// The target could not be reached: no byte of the call left the edge.
+    /// The connection to the target could not be opened: the edge sent no byte of the call.
     #[display("connect-failed")]
     ConnectFailed,
-    /// The connection broke before the answer began.
+    /// The connection was lost before the response began.
     #[display("connection-lost")]
     ConnectionLost,
-    /// The answer broke off in the middle.
+    /// The response was truncated.
     #[display("answer-broken")]
     AnswerBroken,
-    /// The caller went away.
+    /// The caller cancelled the call.
     #[display("cancelled")]
     Cancelled,
     /// The call chain is deeper than allowed.
@@ -104,20 +104,20 @@
     BadRequest,
 }
 
-/// The final answer to a call that its back end did not answer.
+/// The final result of a call whose back end's response could not be delivered.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[display("{outcome}: {reason}")]
 pub struct Refusal {
-    /// What is known of whether the call ran.
+    /// Whether the call ran, as far as it is known.
     pub outcome: Outcome,
-    /// Why.
+    /// Why the back end's response was not delivered.
     pub reason: RefusalReason,
-    /// When the caller may come back, if that helps.
+    /// How long the caller should wait before it retries, if a retry may help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that proves the call did not run.
+    /// A refusal of a call that is proven not to have run.
     pub fn not_run(reason: RefusalReason) -> Self {
         Refusal { outcome: Outcome::NotRun, reason, retry_after: None }
     }
@@ -127,18 +127,18 @@
         Refusal { outcome: Outcome::Unknown, reason, retry_after: None }
     }
 
-    /// A call that ran and whose answer was lost or broken.
+    /// A refusal of a call that ran but whose response was lost or truncated.
     pub fn failed(reason: RefusalReason) -> Self {
         Refusal { outcome: Outcome::Failed, reason, retry_after: None }
     }
 
-    /// The same refusal, with advice on when to come back.
+    /// The same refusal with a time to wait before a retry.
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Refusal { retry_after: Some(retry_after), ..self }
     }
 }
 
-/// What a gate tells the edge with every answer.
+/// The state that a gate reports to the edge with every response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Feedback {
     /// The gate admits calls below this level.
@@ -151,7 +151,7 @@
     pub limit: u32,
     /// Retry tokens that the attempt did not use.
     pub tokens_left: u16,
-    /// The service's epoch as the gate knows it; an edge that is behind fetches the table.
+    /// The service's epoch known to the gate; an edge with a lower epoch fetches the routing table.
     pub epoch: Epoch,
     /// The configuration revision that the gate has in force.
     pub revision: Revision,
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -1,17 +1,17 @@
-//! The table that a service's group at one site agrees on and that edges route by.
+//! The routing table that a service's group at one site agrees on and that edges use to route calls.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{Epoch, Generation, NodeId, SlotId};
 use crate::names::{ServiceName, SiteName, ZoneName};
 
-/// Whether a gate takes calls.
+/// Whether a gate accepts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GateStatus {
-    /// Takes new calls.
+    /// Accepts new calls.
     Serving,
-    /// Finishes what runs and takes no new call.
+    /// Finishes running calls and accepts no new ones.
     Draining,
 }
 
@@ -22,13 +22,13 @@
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneName,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub status: GateStatus,
     /// Connections that the back end accepts.
     pub connections: u32,
 }
 
-/// Who runs the non-repeatable calls of a slot, as one site's group knows it.
+/// The owner of a slot, which runs the slot's non-repeatable calls, as one site's group knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum SlotState {
@@ -37,7 +37,7 @@
         /// The owner.
         owner: NodeId,
     },
-    /// Nobody runs the slot's non-repeatable calls: its claims are on the way to `destination`.
+    /// No gate runs the slot's non-repeatable calls while its claims are transferred to `destination`.
     Sealed {
         /// The site that takes over.
         destination: SiteName,
@@ -47,7 +47,7 @@
         /// The owning site.
         site: SiteName,
     },
-    /// The slot belongs to this site and has no owner at present.
+    /// The slot belongs to this site and currently has no owner.
     Vacant,
 }
 
@@ -58,7 +58,7 @@
     pub slot: SlotId,
     /// The epoch of the assignment; the higher one wins, also between sites.
     pub epoch: Epoch,
-    /// Who has it.
+    /// The owner of the slot, or its state while it has none.
     pub state: SlotState,
 }
 
@@ -71,9 +71,9 @@
     pub site: SiteName,
     /// How often the group was formed.
     pub generation: Generation,
-    /// The highest epoch in the table; rises with every change of it.
+    /// The highest epoch in the table; it increases with every change of the table.
     pub epoch: Epoch,
-    /// All slots, by ascending slot number.
+    /// All slots, in ascending order.
     pub slots: Vec<SlotAssignment>,
     /// The gates of the service at the site.
     pub gates: Vec<GateEntry>,
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time that is handed to the decision code by its driver.
+//! Monotonic time, which the driver passes to the decision code.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 /// A point on one process's monotonic clock, in microseconds since an arbitrary start.
 ///
-/// Timestamps of different processes must never be compared; only spans travel between nodes.
+/// Timestamps of different processes must never be compared; nodes only send each other durations.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{_0}us")]
 pub struct Timestamp(pub u64);
@@ -22,12 +22,12 @@
         Timestamp(milliseconds * 1_000)
     }
 
-    /// The span since `earlier`, or zero if `earlier` is later than `self`.
+    /// The duration since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span from `self` until `later`, or zero if `later` has passed.
+    /// The duration from `self` until `later`, or zero if `later` has passed.
     pub fn until(self, later: Timestamp) -> Duration {
         later.since(self)
     }
@@ -36,8 +36,8 @@
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
-    fn add(self, span: Duration) -> Timestamp {
-        let microseconds = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Timestamp {
+        let microseconds = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Timestamp(self.0.saturating_add(microseconds))
     }
 }
@@ -45,8 +45,8 @@
 impl Sub<Duration> for Timestamp {
     type Output = Timestamp;
 
-    fn sub(self, span: Duration) -> Timestamp {
-        let microseconds = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Timestamp {
+        let microseconds = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Timestamp(self.0.saturating_sub(microseconds))
     }
 }
