--- a/crates/types/src/admission.rs
+++ b/crates/types/src/admission.rs
@@ -1,7 +1,7 @@
 //! The order in which calls are refused under overload.
 //!
-//! All nodes use the same order for a given root call. The hops of a call chain therefore refuse the same root calls, and
-//! little work is wasted on calls that a later hop refuses.
+//! All nodes use the same order for a given root call. The hops of a call chain therefore refuse the same root calls,
+//! and little work is wasted on calls that a later hop refuses.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
