--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,8 +1,8 @@
-//! The metrics page of a node.
+//! The metrics endpoint of a node.
 
 use crate::node::Node;
 
-/// The text of the page, in the Prometheus text format.
+/// Renders the metrics of the node in the Prometheus text format.
 pub fn render(node: &Node) -> String {
     let load = node.gate.borrow().load();
     let gauges = [
@@ -20,13 +20,13 @@
             "configuration_age_seconds",
             node.tenancy.freshness.borrow().age(node.now()).map_or(-1.0, |age| age.as_secs_f64()),
         ),
-        ("coordinated_nodes", node.tenancy.coordinator.borrow().nodes() as f64),
-        ("store_reader", f64::from(u8::from(node.feed.place.borrow().reads))),
+        ("coordinated_nodes", node.tenancy.coordinator.borrow().node_count() as f64),
+        ("store_reader", f64::from(u8::from(node.feed.place.borrow().is_reader))),
         ("store_era", node.position().era as f64),
         ("store_revision", node.position().revision as f64),
         ("store_lost_seconds", node.feed.loss.get().since().map_or(0.0, |since| node.now().since(since).as_secs_f64())),
         ("store_access_lost", f64::from(u8::from(node.own_access_lost.get()))),
-        ("targets_kept", node.targets.borrow().kept().count() as f64),
+        ("targets_kept", node.targets.borrow().retained().count() as f64),
         ("ready", f64::from(u8::from(node.is_ready()))),
     ];
     node.counters.render(&gauges, node.log_state().dropped())
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use quillhatch_mesh::feed::{watch_wait, ReadingTurn};
-use quillhatch_mesh::freshness::WHOLE_ANSWER;
+use quillhatch_mesh::feed::{watch_timeout, ReadReason};
+use quillhatch_mesh::freshness::MAX_COMPLETE_PAGE_CHANGES;
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::replica::{Change, Extent, Position, RevisedChange, Update, UpdateError};
+use quillhatch_mesh::replica::{Change, Position, RevisedChange, Update, UpdateError, UpdateScope};
 use quillhatch_mesh::store_reader::NextRead;
 use quillhatch_mesh::targets::Target;
 use quillhatch_platform::store::{listing_path, read_page, watch_path, ReadConsistency};
@@ -58,23 +58,23 @@
             continue;
         }
         let has_view = node.position().is_known();
-        let longest = node.store_reader.borrow_mut().failed(has_view, &node.settings.bounds);
+        let longest = node.store_reader.borrow_mut().read_failed(has_view, &node.settings.bounds);
         let pause = node.random.borrow_mut().gen_range(longest / 2..longest);
         sleep(pause).await;
     }
 }
 
 /// Reads until the turn is over or a call fails.
-async fn read_in_turn(node: &Rc<Node>, turn: ReadingTurn) -> Result<(), StoreError> {
-    if turn == ReadingTurn::Start {
-        node.lone_readings.set(node.lone_readings.get().another(node.now()));
+async fn read_in_turn(node: &Rc<Node>, turn: ReadReason) -> Result<(), StoreError> {
+    if turn == ReadReason::Initial {
+        node.lone_readings.set(node.lone_readings.get().increment(node.now()));
         return read_all(node, ReadConsistency::Stale).await;
     }
     let next = node.store_reader.borrow().next(node.position());
     match next {
-        NextRead::Changes { .. } => {}
-        NextRead::Everything => read_all(node, ReadConsistency::Current).await?,
-        NextRead::LaggingCopy => read_all(node, ReadConsistency::Stale).await?,
+        NextRead::Watch { .. } => {}
+        NextRead::List => read_all(node, ReadConsistency::Current).await?,
+        NextRead::StaleList => read_all(node, ReadConsistency::Stale).await?,
     }
     watch(node, turn).await
 }
@@ -83,9 +83,9 @@
     Counters::add(&node.counters.store_failures);
     if error.is_outage() {
         let mut loss = node.feed.loss.get();
-        loss.call_failed(sent, node.feed.read_at.get());
+        loss.store_call_failed(sent, node.feed.read_at.get());
         if node.feed.place.borrow().candidates.is_empty() {
-            loss.others_failed(sent);
+            loss.all_sources_failed(sent);
         }
         node.feed.loss.set(loss);
         if !node.own_access_lost.replace(true) {
@@ -103,7 +103,7 @@
 
 /// The store has answered a call that was sent at `sent`.
 fn reached(node: &Rc<Node>, sent: Timestamp) {
-    node.store_reader.borrow_mut().reached();
+    node.store_reader.borrow_mut().read_succeeded();
     if node.own_access_lost.replace(false) {
         node.log("\"event\":\"store-access\",\"lost\":false");
     }
@@ -142,7 +142,7 @@
         after.clone_from(&page.last_key);
     }
     let position = position.unwrap_or_default();
-    let update = Update { extent: Extent::Whole, position, changes };
+    let update = Update { scope: UpdateScope::Full, position, changes };
     let taken = take(node, update);
     if position.era < node.position().era {
         return Err(StoreError::OtherEra);
@@ -170,7 +170,7 @@
 async fn others_tell_the_rest(node: &Rc<Node>, changes: &[RevisedChange]) -> bool {
     let listed: Vec<_> = changes.iter().filter_map(|revised| hint(&revised.change)).collect();
     feed::place_among(node, listed.iter());
-    if node.feed.place.borrow().reads || node.feed.place.borrow().candidates.is_empty() {
+    if node.feed.place.borrow().is_reader || node.feed.place.borrow().candidates.is_empty() {
         return false;
     }
     turn::others_answer(node).await
@@ -198,11 +198,11 @@
 }
 
 /// Follows the changes for as long as it is this node's turn.
-async fn watch(node: &Rc<Node>, turn: ReadingTurn) -> Result<(), StoreError> {
-    let mut is_probing = turn == ReadingTurn::Once || node.feed.loss.get().since().is_some();
+async fn watch(node: &Rc<Node>, turn: ReadReason) -> Result<(), StoreError> {
+    let mut is_probing = turn == ReadReason::Once || node.feed.loss.get().since().is_some();
     loop {
         let position = node.position();
-        let wait = if is_probing { PROBING_WAIT } else { watch_wait(&node.settings.bounds) };
+        let wait = if is_probing { PROBING_WAIT } else { watch_timeout(&node.settings.bounds) };
         let path = watch_path(position.revision, wait);
         let sent = node.now();
         let answer = tokio::select! {
@@ -218,11 +218,11 @@
         if era != position.era {
             return Err(StoreError::OtherEra);
         }
-        let is_whole = page.changes.len() <= WHOLE_ANSWER;
+        let is_whole = page.changes.len() <= MAX_COMPLETE_PAGE_CHANGES;
         let has_changes = !page.changes.is_empty();
         let reaches = Position { era, revision: page.revision };
         reached(node, sent);
-        let update = Update { extent: Extent::After(position), position: reaches, changes: page.changes };
+        let update = Update { scope: UpdateScope::After(position), position: reaches, changes: page.changes };
         match take(node, update) {
             // Others may have told more meanwhile.
             Ok(()) | Err(UpdateError::Outdated) => {}
@@ -238,7 +238,7 @@
         // Where one change is, more follow; each answer has its price. A change that comes while none was gathered is known at
         // once, since the watch waits for it.
         if has_changes && node.has(Mechanism::GatheredChanges) {
-            sleep(node.settings.bounds.gather()).await;
+            sleep(node.settings.bounds.batch_window()).await;
         }
     }
 }
