--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, checked on what callers and targets saw.
+//! The guarantees, checked against what callers and targets observed.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -11,80 +11,81 @@
 use crate::record::{CallEnd, CallRecord, RunRecord, SoakRecord};
 use crate::tenancy;
 
-/// How long a machine must have been without fault_span for bounds in time to hold there.
-pub const SETTLE: Duration = Duration::from_secs(3);
-/// Within this time a configuration is in force, and a draining target is left.
-pub const APPLY: Duration = Duration::from_secs(2);
-/// What is left to the scheduling of this machine, beyond each bound.
-pub const SLACK: Duration = Duration::from_millis(500);
-/// A connection may end without an answer so soon after a request that has not been read.
-const UNREAD: Duration = Duration::from_millis(200);
-/// The share of calls in calm that must be served.
+/// The time without faults after which the time bounds of guarantees apply again.
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// The time within which a configuration must be in force, and a draining target must receive no more requests.
+pub const APPLY_BOUND: Duration = Duration::from_secs(2);
+/// The tolerance added to each time bound for scheduling delays of the test machine.
+pub const SCHEDULING_SLACK: Duration = Duration::from_millis(500);
+/// A connection that ends without a response within this time after a request may have been closed before the node read
+/// the request.
+const UNREAD_CLOSE_TOLERANCE: Duration = Duration::from_millis(200);
+/// The minimum share of calls that must be served in fault-free periods.
 const MIN_SERVED_SHARE: f64 = 0.95;
-/// Repeats that a service may get in a window beyond the share of its calls.
+/// The number of retries that a service may receive in a window in addition to the ratio.
 const RETRY_SLACK: f64 = 55.0;
-/// The share of a service's calls that may be repeats.
+/// The maximum ratio of retries to requests of a service.
 const RETRY_RATIO: f64 = 0.2;
-/// The window in which repeats are counted.
+/// The window in which retries are counted.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// What is promised.
+/// A guarantee that the soak checks.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Guarantee {
-    /// An answer belongs to its request and is whole.
+    /// A response belongs to its request and is complete.
     #[display("own-answer")]
     OwnAnswer,
-    /// Only what callers sent runs, and unchanged.
+    /// Only requests that callers sent run, and they arrive unchanged.
     #[display("as-sent")]
     AsSent,
-    /// What may not be repeated runs once at most.
+    /// A non-retryable request runs at most once.
     #[display("once")]
     Once,
-    /// What was refused has not run.
+    /// A refused request has not run.
     #[display("not-run")]
     NotRun,
-    /// A request runs at a service to which some configuration sends it.
+    /// A request runs only at a service to which some configuration routes it.
     #[display("routed")]
     Routed,
-    /// A target is not given more than it can work on.
+    /// A target never receives more concurrent requests than it has slots.
     #[display("slots")]
     Slots,
-    /// Repeats stay within their budget.
+    /// Retries stay within their budget.
     #[display("retry-budget")]
     RetryBudget,
-    /// No key reaches a target, and each call runs as its tenant's.
+    /// No API key reaches a target, and each call runs as the tenant of its key.
     #[display("keys")]
     Keys,
-    /// No call runs whose key was taken away long before.
+    /// No call runs whose key was revoked longer ago than the bound.
     #[display("revoked")]
     Revoked,
-    /// Calls of a tenant stay within its limit.
+    /// The calls of a tenant stay within its rate limit.
     #[display("limits")]
     Limits,
-    /// A request that crashes targets reaches few more of them once three have ended.
+    /// After a request has crashed three targets, it reaches only a few more.
     #[display("bounded-harm")]
     BoundedCrashes,
-    /// In calm nothing is cut, planned stops included.
+    /// In fault-free periods no call times out or loses its connection, even during planned stops.
     #[display("uncut")]
     Uncut,
-    /// In calm a configuration is in force in time.
+    /// In fault-free periods a configuration is in force within the bound.
     #[display("in-force")]
     InForce,
-    /// In calm a target that is draining or has left gets nothing new.
+    /// In fault-free periods a draining or deregistered target receives no new requests after the bound.
     #[display("drained")]
     Drained,
-    /// In calm nearly everything is served.
+    /// In fault-free periods nearly all calls are served.
     #[display("served")]
     Served,
 }
 
-/// A broken promise.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{guarantee}: {description}")]
 pub struct Violation {
-    /// Which.
+    /// The guarantee that was violated.
     pub guarantee: Guarantee,
-    /// What was seen.
+    /// What was observed.
     pub description: String,
 }
 
@@ -92,14 +93,14 @@
     Violation { guarantee, description }
 }
 
-/// Checks everything.
+/// Checks all guarantees.
 pub fn check_all(record: &SoakRecord) -> Vec<Violation> {
     let mut found = check_always(record);
     found.extend(check_fault_free(record));
     found
 }
 
-/// The promises that hold at any moment.
+/// Checks the guarantees that hold at any time.
 pub fn check_always(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut sent: HashMap<String, &CallRecord> = HashMap::new();
@@ -109,20 +110,22 @@
             sent.insert(chained_id(&call.id), call);
         }
         if let CallEnd::Answered { is_own: false, status } = call.end {
-            found
-                .push(violation(Guarantee::OwnAnswer, format!("{} got a foreign or partial answer {status}", call.id)));
+            found.push(violation(
+                Guarantee::OwnAnswer,
+                format!("{} received a foreign or incomplete response with status {status}", call.id),
+            ));
         }
     }
-    let mut times: HashMap<&str, u32> = HashMap::new();
+    let mut run_counts: HashMap<&str, u32> = HashMap::new();
     for run in &record.runs {
-        *times.entry(&run.id).or_default() += 1;
+        *run_counts.entry(&run.id).or_default() += 1;
         let Some(call) = sent.get(&run.id) else {
-            found.push(violation(Guarantee::AsSent, format!("{} was never sent", run.id)));
+            found.push(violation(Guarantee::AsSent, format!("{} ran but was never sent", run.id)));
             continue;
         };
         let kind = if run.id == call.id { call.kind } else { RouteKind::Read };
-        if let Some(what) = changed(run, kind, call) {
-            found.push(violation(Guarantee::AsSent, what));
+        if let Some(description) = describe_change(run, kind, call) {
+            found.push(violation(Guarantee::AsSent, description));
         }
         let service = MachineAddrs::service_of(run.machine);
         let is_routed = match kind.service() {
@@ -134,38 +137,39 @@
         }
     }
     for call in &record.calls {
-        let runs = times.get(call.id.as_str()).copied().unwrap_or(0);
-        if call.kind.is_repeatable() {
+        let runs = run_counts.get(call.id.as_str()).copied().unwrap_or(0);
+        if call.kind.is_retryable() {
             continue;
         }
         if runs > 1 {
             found.push(violation(Guarantee::Once, format!("{} ran {runs} times", call.id)));
         }
         if runs > 0 && matches!(call.end, CallEnd::Answered { status: 408 | 421 | 429 | 503, .. }) {
-            found.push(violation(Guarantee::NotRun, format!("{} was refused and ran", call.id)));
+            found.push(violation(Guarantee::NotRun, format!("{} was refused but ran", call.id)));
         }
     }
     if record.max_running > SLOTS {
         found.push(violation(Guarantee::Slots, format!("{} of {SLOTS} slots used", record.max_running)));
     }
-    found.extend(over_budget(record));
+    found.extend(retry_budget_violations(record));
     found.extend(crashes::check(record));
     found.extend(tenancy::check(record));
     found
 }
 
-fn changed(run: &RunRecord, kind: RouteKind, call: &CallRecord) -> Option<String> {
+fn describe_change(run: &RunRecord, kind: RouteKind, call: &CallRecord) -> Option<String> {
     let (method, path, body) = &run.request;
     if method != kind.method() || path != kind.path() || body != kind.body() {
         return Some(format!("{} arrived as {method} {path} {body:?}", run.id));
     }
     let caller = if run.id == call.id { MachineAddrs::service_of(call.machine) } else { "alpha" };
-    (run.caller_service != caller).then(|| format!("{} came from {caller}, said to be {}", run.id, run.caller_service))
+    (run.caller_service != caller)
+        .then(|| format!("{} came from {caller} but was attributed to {}", run.id, run.caller_service))
 }
 
-/// Windows in which a service got more repeats than the budget allows. A call made below a repeated one is a repeat too, as
-/// it carries the same id.
-fn over_budget(record: &SoakRecord) -> Vec<Violation> {
+/// Finds services that received more retries in a window than the budget allows. A chained call of a retried call
+/// counts as a retry too, because it has the same id.
+fn retry_budget_violations(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     for service in SERVICES {
         let mut runs: Vec<&RunRecord> =
@@ -173,13 +177,14 @@
         runs.sort_by_key(|run| run.at);
         let requests = request_times(record, service, &runs);
         let mut seen: HashSet<&str> = HashSet::new();
-        let repeats: Vec<Instant> = runs.iter().filter(|run| !seen.insert(&run.id)).map(|run| run.at).collect();
-        for begin in &repeats {
-            let arrived = count_between(&repeats, *begin, *begin + RETRY_WINDOW);
-            let asked = most_requests(&requests, *begin);
-            if arrived as f64 > RETRY_RATIO * asked as f64 + RETRY_SLACK {
-                let what = format!("{service} got {arrived} repeats in a window, of {asked} requests");
-                found.push(violation(Guarantee::RetryBudget, what));
+        let retries: Vec<Instant> = runs.iter().filter(|run| !seen.insert(&run.id)).map(|run| run.at).collect();
+        for begin in &retries {
+            let retry_count = count_between(&retries, *begin, *begin + RETRY_WINDOW);
+            let request_count = max_requests(&requests, *begin);
+            if retry_count as f64 > RETRY_RATIO * request_count as f64 + RETRY_SLACK {
+                let description =
+                    format!("{service} received {retry_count} retries of {request_count} requests in a window");
+                found.push(violation(Guarantee::RetryBudget, description));
                 break;
             }
         }
@@ -187,8 +192,8 @@
     found
 }
 
-/// When the requests for a service were made, in order: those of callers when they were sent, whether they arrived or not,
-/// and the others when they arrived first.
+/// The times of the requests for a service, in order: the send times of callers' requests, whether they arrived or not,
+/// and the first arrival times of the other requests.
 fn request_times(record: &SoakRecord, service: &str, runs: &[&RunRecord]) -> Vec<Instant> {
     let of_callers = record.calls.iter().filter(|call| call.kind.service() == Some(service));
     let mut times: HashMap<&str, Instant> = of_callers.map(|call| (call.id.as_str(), call.sent)).collect();
@@ -200,54 +205,57 @@
     times
 }
 
-/// The requests of the window from `begin`, of the one before it or of the one half a window before it, whichever has most.
-fn most_requests(requests: &[Instant], begin: Instant) -> usize {
-    let mut most = 0;
-    for earlier in [Duration::ZERO, RETRY_WINDOW / 2, RETRY_WINDOW] {
-        let Some(from) = begin.checked_sub(earlier) else { continue };
-        most = most.max(count_between(requests, from, from + RETRY_WINDOW));
+/// The maximum number of requests in the windows that start at `begin`, half a window earlier and one window earlier.
+fn max_requests(requests: &[Instant], begin: Instant) -> usize {
+    let mut max = 0;
+    for offset in [Duration::ZERO, RETRY_WINDOW / 2, RETRY_WINDOW] {
+        let Some(from) = begin.checked_sub(offset) else { continue };
+        max = max.max(count_between(requests, from, from + RETRY_WINDOW));
     }
-    most
+    max
 }
 
 fn count_between(times: &[Instant], from: Instant, until: Instant) -> usize {
     times.partition_point(|time| *time < until) - times.partition_point(|time| *time < from)
 }
 
-/// The promises that hold for machines that no fault has struck lately.
+/// Checks the guarantees that hold only in periods without recent faults or crashes.
 pub fn check_fault_free(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let ran: HashSet<&str> = record.runs.iter().map(|run| run.id.as_str()).collect();
-    let (mut served, mut asked) = (0_usize, 0_usize);
+    let (mut served, mut counted) = (0_usize, 0_usize);
     for call in &record.calls {
-        if !record.is_fault_and_crash_free(SETTLE, call.sent, call.ended) {
+        if !record.is_fault_and_crash_free(SETTLE_TIME, call.sent, call.ended) {
             continue;
         }
-        let counts = call.key.is_steady() && call.kind != RouteKind::Crashing;
-        asked += usize::from(counts);
+        let is_counted = call.key.is_steady() && call.kind != RouteKind::Crashing;
+        counted += usize::from(is_counted);
         match call.end {
-            CallEnd::Answered { status: 200, .. } => served += usize::from(counts),
+            CallEnd::Answered { status: 200, .. } => served += usize::from(is_counted),
             CallEnd::Answered { .. } => {}
-            // A process that was asked to stop may be gone, and its callers come to nobody.
-            CallEnd::Unreached => asked -= usize::from(counts && was_stopping(record, call)),
-            CallEnd::Cut if !ran.contains(call.id.as_str()) && call.ended - call.sent <= UNREAD => {}
+            // A process that was asked to stop may have ended, so that connections to it are refused.
+            CallEnd::Unreached => counted -= usize::from(is_counted && was_stopping(record, call)),
+            CallEnd::Cut if !ran.contains(call.id.as_str()) && call.ended - call.sent <= UNREAD_CLOSE_TOLERANCE => {}
             CallEnd::Cut | CallEnd::Silent => {
-                let what = format!(
+                let description = format!(
                     "{} at machine {} ended as {:?} after {:?}",
                     call.id,
                     call.machine,
                     call.end,
                     call.ended - call.sent
                 );
-                found.push(violation(Guarantee::Uncut, what));
+                found.push(violation(Guarantee::Uncut, description));
             }
         }
     }
-    if (served as f64) < MIN_SERVED_SHARE * asked as f64 {
-        found.push(violation(Guarantee::Served, format!("{served} of {asked} in calm")));
+    if (served as f64) < MIN_SERVED_SHARE * counted as f64 {
+        found.push(violation(
+            Guarantee::Served,
+            format!("{served} of {counted} calls were served in fault-free periods"),
+        ));
     }
-    found.extend(out_of_date(record));
-    found.extend(not_left(record));
+    found.extend(stale_configuration_violations(record));
+    found.extend(drain_violations(record));
     found
 }
 
@@ -255,25 +263,25 @@
     record.stops.iter().any(|stop| {
         stop.machine == call.machine
             && call.ended >= stop.requested
-            && call.sent <= stop.requested + stop.grace + SETTLE
+            && call.sent <= stop.requested + stop.grace + SETTLE_TIME
     })
 }
 
-/// Requests that ran at a service to which only configurations send them that should be in force no longer.
-fn out_of_date(record: &SoakRecord) -> Vec<Violation> {
+/// Finds requests that ran at a service to which only replaced configurations route them.
+fn stale_configuration_violations(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let sent: HashMap<&str, &CallRecord> = record.calls.iter().map(|call| (call.id.as_str(), call)).collect();
     for run in &record.runs {
         let Some(call) = sent.get(run.id.as_str()).filter(|call| call.kind == RouteKind::Moving) else { continue };
-        if !record.is_fault_and_crash_free(SETTLE, call.sent, call.ended) {
+        if !record.is_fault_and_crash_free(SETTLE_TIME, call.sent, call.ended) {
             continue;
         }
         let service = MachineAddrs::service_of(run.machine);
         let mut may_run = false;
         for (index, config) in record.configs.iter().enumerate() {
             let replaced = record.configs.get(index + 1).map(|next| next.acked);
-            let is_over = replaced.is_some_and(|replaced| call.sent > replaced + APPLY + SLACK);
-            may_run |= config.moving == service && config.acked <= call.ended && !is_over;
+            let is_replaced = replaced.is_some_and(|replaced| call.sent > replaced + APPLY_BOUND + SCHEDULING_SLACK);
+            may_run |= config.moving == service && config.acked <= call.ended && !is_replaced;
         }
         if !may_run {
             found.push(violation(Guarantee::InForce, format!("{} ran at {service}", run.id)));
@@ -282,13 +290,13 @@
     found
 }
 
-/// Requests that reached a target long after its drain, or its end, was acknowledged.
-fn not_left(record: &SoakRecord) -> Vec<Violation> {
+/// Finds requests that reached a target longer than the bound after its drain or deregistration was acknowledged.
+fn drain_violations(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     for run in &record.runs {
         for drain in record.drains.iter().filter(|drain| drain.machine == run.machine) {
-            let is_late = run.at > drain.acked + APPLY + SLACK && run.at < drain.until;
-            if is_late && record.is_fault_and_crash_free(SETTLE, drain.acked, run.at) {
+            let is_late = run.at > drain.acked + APPLY_BOUND + SCHEDULING_SLACK && run.at < drain.until;
+            if is_late && record.is_fault_and_crash_free(SETTLE_TIME, drain.acked, run.at) {
                 found.push(violation(
                     Guarantee::Drained,
                     format!("{} ran {:?} after the drain", run.id, run.at - drain.acked),
--- a/crates/soak/src/crashes.rs
+++ b/crates/soak/src/crashes.rs
@@ -1,32 +1,33 @@
-//! The promise on requests that crash targets.
+//! Checks the guarantee on requests that crash targets ([`Guarantee::BoundedCrashes`]).
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use crate::checks::{violation, Guarantee, Violation, SETTLE, SLACK};
+use crate::checks::{violation, Guarantee, Violation, SCHEDULING_SLACK, SETTLE_TIME};
 use crate::layout::{MachineAddrs, RouteKind};
 use crate::record::SoakRecord;
 
-/// The ends that show that a request crashes targets.
-const SHOWN_BY: usize = 3;
-/// The targets that it may still reach later than the bound after.
-const MOST_LATER: usize = 3;
-/// Within this time of each other processes may start without having learnt what the ones before them knew.
-const LEARNS_WITHIN: Duration = Duration::from_secs(5);
+/// The number of crashes after which the crashing request counts as detected.
+const DETECTION_CRASHES: usize = 3;
+/// The maximum number of targets that the request may reach after the time bound that follows its detection.
+const MAX_LATER_CRASHES: usize = 3;
+/// The time that a restarted process may need to receive the state of the other processes. If all processes restart
+/// within this time, their state is lost.
+const STATE_TRANSFER_TIME: Duration = Duration::from_secs(5);
 
-/// Looks whether the harmful request reached too many targets after three had ended.
+/// Checks whether the crashing request reached too many targets after it had crashed three.
 ///
-/// What is known of it lies in the processes beside the targets of its service. If all of them were started anew shortly after each other,
-/// nobody knows it any more, and it is counted from there.
+/// The state on the request is held by the processes beside the targets of its service. If all of them restart shortly
+/// after each other, this state is lost, and the crashes are counted anew.
 pub(crate) fn check(record: &SoakRecord) -> Option<Violation> {
     let mut runs = record.crashes.clone();
     runs.sort_unstable();
-    let losses = losses(record);
+    let losses = state_losses(record);
     let mut from = 0;
     for loss in losses.iter().copied().map(Some).chain([None]) {
         let until = loss.map_or(runs.len(), |loss| runs.partition_point(|at| *at < loss));
-        let known = runs.get(from..until).unwrap_or_default();
-        if let Some(violation) = check_span(record, known) {
+        let span = runs.get(from..until).unwrap_or_default();
+        if let Some(violation) = check_span(record, span) {
             return Some(violation);
         }
         from = until;
@@ -35,24 +36,26 @@
 }
 
 fn check_span(record: &SoakRecord, runs: &[Instant]) -> Option<Violation> {
-    let shown = runs.get(SHOWN_BY - 1)?;
-    let bound = *shown + SETTLE + SLACK;
-    let later = runs.iter().filter(|at| **at > bound && record.is_fault_free(SETTLE, **at, **at)).count();
-    (later > MOST_LATER)
-        .then(|| violation(Guarantee::BoundedCrashes, format!("{later} more targets, {} in all", runs.len())))
+    let detected = runs.get(DETECTION_CRASHES - 1)?;
+    let bound = *detected + SETTLE_TIME + SCHEDULING_SLACK;
+    let later = runs.iter().filter(|at| **at > bound && record.is_fault_free(SETTLE_TIME, **at, **at)).count();
+    (later > MAX_LATER_CRASHES).then(|| {
+        violation(Guarantee::BoundedCrashes, format!("{later} targets after the bound, {} in total", runs.len()))
+    })
 }
 
-/// When nobody knew any more what the request had done.
-fn losses(record: &SoakRecord) -> Vec<Instant> {
+/// The times at which the processes had lost the state on the request.
+fn state_losses(record: &SoakRecord) -> Vec<Instant> {
     let service = RouteKind::Crashing.service();
     let is_holder = |machine: usize| Some(MachineAddrs::service_of(machine)) == service;
-    let holders: BTreeSet<usize> = record.runs.iter().map(|run| run.machine).filter(|one| is_holder(*one)).collect();
+    let holders: BTreeSet<usize> =
+        record.runs.iter().map(|run| run.machine).filter(|machine| is_holder(*machine)).collect();
     let starts: Vec<_> = record.starts.iter().filter(|start| is_holder(start.machine)).collect();
     let mut losses: Vec<Instant> = Vec::new();
     for start in &starts {
-        let lately = starts.iter().filter(|one| one.at <= start.at && start.at - one.at < LEARNS_WITHIN);
-        let anew: BTreeSet<usize> = lately.map(|one| one.machine).collect();
-        if anew.is_superset(&holders) {
+        let recent = starts.iter().filter(|other| other.at <= start.at && start.at - other.at < STATE_TRANSFER_TIME);
+        let restarted: BTreeSet<usize> = recent.map(|other| other.machine).collect();
+        if restarted.is_superset(&holders) {
             losses.push(start.at);
         }
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are brought in from outside, each on one machine or on the store for all, and taken back after a while.
+//! Faults that are injected from outside, each on one machine or on all, and reverted after some time.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,83 +14,84 @@
 use crate::proxy::LinkState;
 use crate::record::FaultSpan;
 
-/// The period over which a throttled process has its quota, as the platform's pages tell it.
+/// The period of the processor quota of a throttled process, as the platform documents it.
 const QUOTA_PERIOD: Duration = Duration::from_millis(100);
-/// The part of the period in which a throttled process runs: the least share of a core that the platform's machines have (0.4).
-const QUOTA_RUNS: Duration = Duration::from_millis(40);
+/// The part of the period in which a throttled process runs: the least share of a core that the platform's machines
+/// have (0.4).
+const QUOTA_RUN_TIME: Duration = Duration::from_millis(40);
 
-/// How old the copy is from which the store comes back.
-const COPY_AGE: Duration = Duration::from_secs(4);
-/// How long after its return the operator and the targets write again what it lacks.
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(600);
+/// The age of the backup from which the store is restored.
+const BACKUP_AGE: Duration = Duration::from_secs(4);
+/// The delay after which the operator and the targets repeat the writes that the backup lacks.
+const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
-/// What is done to a machine.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FaultKind {
-    /// What comes to it and from it takes longer.
+    /// The link to the machine is delayed in both directions.
     LinkDelay,
-    /// Its connections are reset.
+    /// The connections of the link to the machine are reset.
     LinkReset,
-    /// Nothing comes to it.
+    /// Bytes sent to the machine are held back.
     HoldRequests,
-    /// Nothing comes from it.
+    /// Bytes sent by the machine are held back.
     HoldAnswers,
-    /// Both.
+    /// Bytes sent to and by the machine are held back.
     #[display("LinkSilent")]
     LinkBlackhole,
-    /// Its process stands still.
+    /// The machine's process is suspended.
     Freeze,
-    /// Its process gets a quota of processor time: it runs, then stands still for the rest of each tenth of a second.
+    /// The machine's process gets a quota of processor time: it is suspended for the rest of each tenth of a second.
     Throttle,
-    /// Its process is killed and started again.
+    /// The machine's process is killed and restarted.
     Kill,
-    /// Its target starts again under a new identity.
+    /// The target restarts with a new instance id.
     TargetRestart,
-    /// Its target loses answers.
+    /// The target closes connections without a response.
     #[display("TargetLoses")]
     TargetNoAnswer,
-    /// Its target answers what is no answer.
+    /// The target responds with bytes that are not an HTTP response.
     TargetGarbage,
-    /// Its target breaks its answers off.
+    /// The target truncates its responses.
     #[display("TargetBreaksOff")]
     TargetTruncatedBody,
-    /// Its target sends second answers.
+    /// The target sends a second response to each request.
     #[display("TargetSurplus")]
     TargetSecondAnswer,
-    /// Its target refuses everything.
+    /// The target refuses all requests.
     #[display("TargetSheds")]
     TargetRefuses,
-    /// The store says nothing to it.
+    /// The store does not respond to the machine.
     #[display("StoreSilent")]
     StoreUnresponsive,
-    /// The store turns it away.
+    /// The store responds with 503 to the machine.
     #[display("StoreBusy")]
     StoreUnavailable,
-    /// The store resets its connections.
+    /// The store resets the machine's connections.
     StoreResets,
-    /// Its watches hang.
+    /// The store does not respond to the machine's watches.
     #[display("StoreDeaf")]
     StoreWatchHangs,
-    /// Its watches are told that history is gone.
+    /// The store responds to the machine's watches that the history is gone.
     #[display("StoreForgetful")]
     StoreWatchGone,
-    /// The store says nothing to anybody.
+    /// The store does not respond to any machine.
     #[display("StoreSilentToAll")]
     StoreUnresponsiveToAll,
-    /// All processes are killed and started again.
+    /// All processes are killed and restarted.
     KillAll,
-    /// Its target starts again under its identity.
+    /// The target restarts with the same instance id.
     #[display("TargetReturns")]
     TargetRestartSameId,
-    /// Another writer leaves entries that name no target.
+    /// Another writer writes target entries that are invalid or name an unknown service.
     #[display("StoreForged")]
     StoreInvalidEntries,
-    /// The store is away, and comes back from an older copy.
+    /// The store does not respond, and is then restored from an older backup.
     StoreRestored,
 }
 
 impl FaultKind {
-    /// All kinds.
+    /// The kinds that are drawn from the main schedule.
     pub const ALL: [FaultKind; 21] = [
         FaultKind::LinkDelay,
         FaultKind::LinkReset,
@@ -115,60 +116,62 @@
         FaultKind::KillAll,
     ];
 
-    /// Kinds that are drawn from a schedule of their own, so that the one of a seed stays as it was.
+    /// Kinds that were added later. They are drawn from a separate schedule, so that the main schedule of a seed does
+    /// not change.
     pub const ADDED: [FaultKind; 3] =
         [FaultKind::TargetRestartSameId, FaultKind::StoreInvalidEntries, FaultKind::StoreRestored];
 
-    /// Draws one of the later kinds.
+    /// Draws one of [`Self::ADDED`].
     pub fn draw_added(random: &mut impl Rng) -> Self {
         Self::ADDED[random.gen_range(0..Self::ADDED.len())]
     }
 
-    /// Draws a kind.
+    /// Draws one of [`Self::ALL`].
     pub fn draw(random: &mut impl Rng) -> Self {
         Self::ALL[random.gen_range(0..Self::ALL.len())]
     }
 
-    /// Whether it strikes all machines.
+    /// Whether the fault affects all machines.
     pub fn affects_all_machines(self) -> bool {
         matches!(self, FaultKind::StoreUnresponsiveToAll | FaultKind::KillAll | FaultKind::StoreRestored)
     }
 }
 
-/// Brings a fault in, takes it back after `span`, and returns what was disturbed.
-pub async fn inject(kind: FaultKind, machines: &[Rc<SoakMachine>], struck: usize, span: Duration) -> FaultSpan {
+/// Injects a fault on the machine `index`, reverts it after `duration`, and returns the affected machines and times.
+pub async fn inject(kind: FaultKind, machines: &[Rc<SoakMachine>], index: usize, duration: Duration) -> FaultSpan {
     let from = Instant::now();
-    let machine = &machines[struck];
-    let former = machine.target.id();
-    for touched in touched(kind, machines, struck) {
-        begin(kind, touched);
+    let machine = &machines[index];
+    let old_id = machine.target.id();
+    for affected in affected_machines(kind, machines, index) {
+        apply(kind, affected);
     }
     match kind {
-        FaultKind::Throttle => throttle(machine, span).await,
-        _ => sleep(span).await,
+        FaultKind::Throttle => throttle(machine, duration).await,
+        _ => sleep(duration).await,
     }
-    for touched in touched(kind, machines, struck) {
-        end(kind, touched);
+    for affected in affected_machines(kind, machines, index) {
+        revert(kind, affected);
     }
     match kind {
-        FaultKind::TargetRestart => machine.store.deregister(&former),
-        FaultKind::StoreRestored => restore(machine).await,
+        FaultKind::TargetRestart => machine.store.deregister(&old_id),
+        FaultKind::StoreRestored => restore_store(machine).await,
         _ => {}
     }
-    FaultSpan { machine: (!kind.affects_all_machines()).then_some(struck), from, until: Instant::now() }
+    FaultSpan { machine: (!kind.affects_all_machines()).then_some(index), from, until: Instant::now() }
 }
 
-/// The store comes back from an older copy; what the operator and the targets wrote since is written again.
-async fn restore(machine: &SoakMachine) {
-    let lost = machine.store.restore_backup(COPY_AGE);
-    sleep(WRITTEN_AGAIN_AFTER).await;
+/// Restores the store from an older backup; then the operator and the targets repeat their lost writes.
+async fn restore_store(machine: &SoakMachine) {
+    let lost = machine.store.restore_backup(BACKUP_AGE);
+    sleep(REWRITE_DELAY).await;
     for write in lost {
         machine.store.rewrite(&write);
     }
 }
 
-/// Entries of another writer: fields missing, of another type, or with what nobody knows; and what can't be read.
-fn forge(machine: &SoakMachine) {
+/// Writes the entries of another writer: with missing fields, with a field of the wrong type, with unknown values, and
+/// one that can't be parsed.
+fn write_invalid_entries(machine: &SoakMachine) {
     let address = machine.addrs.target();
     let entries = [
         format!(r#"{{"service":"beta","address":"{address}","state":"ready"}}"#),
@@ -184,42 +187,46 @@
         "\u{1}not an entry".to_owned(),
     ];
     for (number, entry) in entries.iter().enumerate() {
-        machine.store.write(&forged_key(number), Some(entry));
+        machine.store.write(&invalid_entry_key(number), Some(entry));
     }
 }
 
-/// The number of forged entries.
-const FORGED: usize = 5;
+/// The number of invalid entries.
+const INVALID_ENTRIES: usize = 5;
 
-fn forged_key(number: usize) -> String {
+fn invalid_entry_key(number: usize) -> String {
     format!("servers/forged-{number}")
 }
 
-/// Lets a process run for a part of each period only.
-async fn throttle(machine: &SoakMachine, span: Duration) {
-    let end = Instant::now() + span;
+/// Lets a process run only for a part of each quota period.
+async fn throttle(machine: &SoakMachine, duration: Duration) {
+    let end = Instant::now() + duration;
     while Instant::now() < end {
-        sleep(QUOTA_RUNS).await;
+        sleep(QUOTA_RUN_TIME).await;
         machine.signal(Signal::STOP);
-        sleep(QUOTA_PERIOD - QUOTA_RUNS).await;
+        sleep(QUOTA_PERIOD - QUOTA_RUN_TIME).await;
         machine.signal(Signal::CONT);
     }
 }
 
-fn touched(kind: FaultKind, machines: &[Rc<SoakMachine>], struck: usize) -> impl Iterator<Item = &Rc<SoakMachine>> {
+fn affected_machines(
+    kind: FaultKind,
+    machines: &[Rc<SoakMachine>],
+    index: usize,
+) -> impl Iterator<Item = &Rc<SoakMachine>> {
     let all = kind.affects_all_machines();
-    machines.iter().enumerate().filter(move |(number, _)| all || *number == struck).map(|(_, machine)| machine)
+    machines.iter().enumerate().filter(move |(number, _)| all || *number == index).map(|(_, machine)| machine)
 }
 
-fn begin(kind: FaultKind, machine: &SoakMachine) {
-    let calm = LinkState::default();
-    let silent = LinkState { holds_requests: true, holds_answers: true, ..calm };
+fn apply(kind: FaultKind, machine: &SoakMachine) {
+    let normal = LinkState::default();
+    let blackhole = LinkState { holds_requests: true, holds_answers: true, ..normal };
     match kind {
-        FaultKind::LinkDelay => machine.link.set(LinkState { delay: Duration::from_millis(80), ..calm }),
+        FaultKind::LinkDelay => machine.link.set(LinkState { delay: Duration::from_millis(80), ..normal }),
         FaultKind::LinkReset => machine.link.reset(),
-        FaultKind::HoldRequests => machine.link.set(LinkState { holds_requests: true, ..calm }),
-        FaultKind::HoldAnswers => machine.link.set(LinkState { holds_answers: true, ..calm }),
-        FaultKind::LinkBlackhole => machine.link.set(silent),
+        FaultKind::HoldRequests => machine.link.set(LinkState { holds_requests: true, ..normal }),
+        FaultKind::HoldAnswers => machine.link.set(LinkState { holds_answers: true, ..normal }),
+        FaultKind::LinkBlackhole => machine.link.set(blackhole),
         FaultKind::Freeze => machine.signal(Signal::STOP),
         FaultKind::Kill | FaultKind::KillAll => machine.signal(Signal::KILL),
         FaultKind::TargetRestart => {
@@ -232,7 +239,7 @@
         FaultKind::TargetSecondAnswer => machine.target.set_behaviour(TargetBehaviour::SecondAnswer),
         FaultKind::TargetRefuses => machine.target.set_behaviour(TargetBehaviour::RefusesRequests),
         FaultKind::TargetRestartSameId => machine.target.restart_with_same_id(),
-        FaultKind::StoreInvalidEntries => forge(machine),
+        FaultKind::StoreInvalidEntries => write_invalid_entries(machine),
         FaultKind::StoreUnresponsive | FaultKind::StoreUnresponsiveToAll | FaultKind::StoreRestored => {
             machine.store.set_mode(StoreMode::Unresponsive)
         }
@@ -244,18 +251,20 @@
     }
 }
 
-fn end(kind: FaultKind, machine: &SoakMachine) {
+fn revert(kind: FaultKind, machine: &SoakMachine) {
     match kind {
         FaultKind::LinkDelay | FaultKind::HoldRequests | FaultKind::HoldAnswers | FaultKind::LinkBlackhole => {
             machine.link.set(LinkState::default());
         }
         FaultKind::LinkReset => machine.link.reset(),
         FaultKind::Freeze => machine.signal(Signal::CONT),
-        FaultKind::Kill | FaultKind::KillAll => machine.start_process().expect("the program that ran before starts"),
+        FaultKind::Kill | FaultKind::KillAll => {
+            machine.start_process().expect("a program that started before starts again")
+        }
         FaultKind::TargetRestart | FaultKind::TargetRestartSameId | FaultKind::Throttle => {}
         FaultKind::StoreInvalidEntries => {
-            for number in 0..FORGED {
-                machine.store.write(&forged_key(number), None);
+            for number in 0..INVALID_ENTRIES {
+                machine.store.write(&invalid_entry_key(number), None);
             }
         }
         FaultKind::TargetNoAnswer
--- a/crates/soak/src/layout.rs
+++ b/crates/soak/src/layout.rs
@@ -1,4 +1,4 @@
-//! The deployment that is soaked: machines, services, routes and the configuration documents.
+//! The deployment under test: machines, services, routes and configuration documents.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -10,42 +10,43 @@
 
 /// The host of all routes.
 pub const HOST: &str = "soak.example";
-/// The services; all have the same number of targets.
+/// The services, all of which have the same number of targets.
 pub const SERVICES: [&str; 3] = ["alpha", "beta", "gamma"];
-/// The targets of a service, unless the command line names another number.
+/// The default number of targets of a service.
 pub const DEFAULT_TARGETS_PER_SERVICE: usize = 2;
-/// The most targets of a service for which there are addresses.
+/// The maximum number of targets of a service for which there are addresses.
 pub const MAX_TARGETS_PER_SERVICE: usize = 75;
-/// The requests that a target works on at a time.
+/// The number of requests that a target runs concurrently.
 pub const SLOTS: u32 = 24;
 
-/// For how long a crashed target is away.
+/// How long a crashed target stays down.
 pub const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 
-const OUTBOUND: u16 = 22501;
-const INBOUND: u16 = 22502;
-const READY: u16 = 22503;
-/// The ports that are left to the project: of counters, of reports on limits and of what is told of requests that crash targets.
-const OWN_PORTS: (u16, u16) = (22504, 22506);
-const TARGET: u16 = 22507;
+const OUTBOUND_PORT: u16 = 22501;
+const INBOUND_PORT: u16 = 22502;
+const READY_PORT: u16 = 22503;
+/// The first and the last of the ports reserved for the project: for the metrics page, for reports on tenants' rate
+/// limits, and for reports on requests that crash targets.
+const PROJECT_PORTS: (u16, u16) = (22504, 22506);
+const TARGET_PORT: u16 = 22507;
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// May be repeated; served by beta.
+    /// Retryable; served by beta.
     Read,
     /// Runs at most once; served by gamma.
     Pay,
-    /// May be repeated; served by alpha, whose targets call beta for it.
+    /// Retryable; served by alpha, whose targets make a chained call to beta.
     Chain,
-    /// May be repeated; the configuration moves it from service to service.
+    /// Retryable; successive configurations move it between services.
     Moving,
-    /// May be repeated; served by beta, whose targets it crashes.
+    /// Retryable; served by beta, whose targets it crashes.
     Crashing,
 }
 
 impl RouteKind {
-    /// The kinds that do no harm.
+    /// The kinds that do not crash targets.
     pub const NON_CRASHING: [RouteKind; 4] = [RouteKind::Read, RouteKind::Pay, RouteKind::Chain, RouteKind::Moving];
 
     /// The path of its requests.
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The service that always serves it, unless the configuration moves it.
+    /// The service that serves it; `None` if the configuration moves it between services.
     pub fn service(self) -> Option<&'static str> {
         match self {
             RouteKind::Read | RouteKind::Crashing => Some("beta"),
@@ -86,12 +87,13 @@
     }
 
     /// Whether its requests may run more than once.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         self != RouteKind::Pay
     }
 }
 
-/// The configuration of a version, the one with this number, in which [`RouteKind::Moving`] is served by `moving`.
+/// The configuration document with the given version and number, in which the service `moving` serves
+/// [`RouteKind::Moving`].
 pub fn document(version: u64, number: usize, moving: &str) -> String {
     let route = |name, kind, service, priority| DocumentRoute { name, kind, service, priority, timeout_s: 2 };
     let routes = [
@@ -108,17 +110,17 @@
 pub struct MachineAddrs {
     /// Its number.
     pub number: usize,
-    /// The address that others know; its callers and its target use it, and a proxy listens there for other nodes.
+    /// The public address. Its callers and its target use it, and a proxy listens on it for other nodes.
     pub public: Ipv4Addr,
-    /// The address at which its process listens.
-    pub own: Ipv4Addr,
+    /// The address on which its process listens.
+    pub process: Ipv4Addr,
 }
 
 impl MachineAddrs {
-    /// The addresses of machine `number` of the soak that drew `net`.
+    /// The addresses of machine `number` in the network `net`.
     pub fn new(net: SoakNet, number: usize) -> Self {
         let at = |third: u8| Ipv4Addr::new(127, net.0, third, 10 + number as u8);
-        MachineAddrs { number, public: at(net.1), own: at(net.1 + 1) }
+        MachineAddrs { number, public: at(net.1), process: at(net.1 + 1) }
     }
 
     /// The service of the target of machine `number`.
@@ -131,43 +133,43 @@
         Self::service_of(self.number)
     }
 
-    /// Where callers send their calls.
+    /// The address to which callers send their calls.
     pub fn outbound(&self) -> SocketAddr {
-        (self.own, OUTBOUND).into()
+        (self.process, OUTBOUND_PORT).into()
     }
 
-    /// Where other nodes send their calls.
+    /// The address to which other nodes send calls for the target; the link's proxy listens on it.
     pub fn proxy(&self) -> SocketAddr {
-        (self.public, INBOUND).into()
+        (self.public, INBOUND_PORT).into()
     }
 
-    /// Where the process takes what comes through the proxy.
+    /// The address to which the proxy forwards the calls of other nodes.
     pub fn inbound(&self) -> SocketAddr {
-        (self.own, INBOUND).into()
+        (self.process, INBOUND_PORT).into()
     }
 
-    /// Where the process says whether it is ready.
+    /// The address at which the process reports whether it is ready.
     pub fn ready(&self) -> SocketAddr {
-        (self.own, READY).into()
+        (self.process, READY_PORT).into()
     }
 
-    /// The first and the last of the ports that are left to the project.
-    pub fn own_ports(self) -> (u16, u16) {
-        OWN_PORTS
+    /// The first and the last of the ports reserved for the project.
+    pub fn project_ports(self) -> (u16, u16) {
+        PROJECT_PORTS
     }
 
-    /// Where the target listens.
+    /// The address on which the target listens.
     pub fn target(&self) -> SocketAddr {
-        (self.public, TARGET).into()
+        (self.public, TARGET_PORT).into()
     }
 }
 
-/// The part of the loopback range that one soak uses.
+/// The part of the loopback address range that one soak uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoakNet(u8, u8);
 
 impl SoakNet {
-    /// Draws a part that other soaks on this machine hardly ever use at the same time.
+    /// Draws a random part, which another concurrent soak on this machine is unlikely to use.
     pub fn draw(random: &mut impl Rng) -> Self {
         SoakNet(random.gen_range(60..250), 2 * random.gen_range(1..125))
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,13 @@
 //! A randomized fault soak of real sidecar processes on one machine.
 //!
-//! Machines are addresses of the loopback range. Each has a sidecar process, a stand-in target, callers, and a proxy through which
-//! other nodes reach it. Faults come from outside: links are delayed, reset, cut one way or silenced; processes are stopped,
-//! frozen, killed and started again; the store turns machines away or hangs. One kind of request crashes the targets that run it. What is promised is checked from what callers and
-//! targets saw, never from the product's own counters.
+//! Machines are addresses of the loopback range. Each has a sidecar process, a stand-in target, callers, and a proxy
+//! through which other nodes reach it. Faults are injected from outside: links are delayed, reset, blocked in one or
+//! both directions; processes are stopped, suspended, killed and restarted; the store refuses requests or does not
+//! respond. One kind of request crashes the targets that run it. The guarantees are checked against what callers and
+//! targets observed, never against the product's own counters.
 //!
-//! Rounds of faults and of calm take turns. Some promises hold at any moment ([`checks::check_always`]), those with a time bound
-//! only for machines that no fault has struck lately ([`checks::check_fault_free`]).
+//! Rounds of faults alternate with fault-free rounds of planned work. Some guarantees hold at any time
+//! ([`checks::check_always`]); those with a time bound hold only without recent faults ([`checks::check_fault_free`]).
 
 pub mod checks;
 mod crashes;
--- a/crates/soak/src/links.rs
+++ b/crates/soak/src/links.rs
@@ -1,7 +1,8 @@
-//! Links in processes of their own: those of a large fleet need more descriptors than one process may hold.
+//! Links in separate processes, because the links of a large fleet need more file descriptors than one process may
+//! open.
 //!
-//! The soak writes one [`LinkCommand`] a line to such a process, which ends with its input. It answers only [`LinkCommand::Open`], with one
-//! line.
+//! The soak writes one [`LinkCommand`] per line to the stdin of a link process, which exits at the end of its input.
+//! The process replies only to [`LinkCommand::Open`], with one line.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,25 +20,25 @@
 
 use crate::proxy::{LinkProxy, LinkState};
 
-/// The argument with which the program of the soak runs links.
+/// The command-line argument with which the soak's program runs as a link process.
 pub const LINKS_ARGUMENT: &str = "soak-links";
-/// What is answered to [`LinkCommand::Open`] if the link is open; else why it is not.
+/// The reply to [`LinkCommand::Open`] on success; any other reply is an error message.
 const OPENED: &str = "opened";
 
-/// What a process of links is told.
+/// A command to a link process.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LinkCommand {
-    /// Pass connections to `listen` on to `node`.
+    /// Forward connections from `listen` to `node`.
     #[display("open {number} {listen} {node}")]
     Open {
-        /// The link.
+        /// The number of the link.
         number: usize,
-        /// Where it listens.
+        /// The address on which the link listens.
         listen: SocketAddr,
-        /// Where the node listens.
+        /// The address on which the node listens.
         node: SocketAddr,
     },
-    /// Change how a link treats what passes.
+    /// Set the state of a link.
     #[display(
         "set {number} {} {} {}",
         state.delay.as_millis(),
@@ -45,22 +46,22 @@
         u8::from(state.holds_answers)
     )]
     Set {
-        /// The link.
+        /// The number of the link.
         number: usize,
-        /// How from now on.
+        /// The new state.
         state: LinkState,
     },
     /// Reset all connections of a link.
     #[display("reset {number}")]
     Reset {
-        /// The link.
+        /// The number of the link.
         number: usize,
     },
 }
 
-/// A line that is no command.
+/// A line that is not a valid command.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{line:?} is no command for links")]
+#[display("{line:?} is not a link command")]
 pub struct UnknownCommand {
     line: String,
 }
@@ -93,7 +94,7 @@
     }
 }
 
-/// A process of links, as the soak sees it.
+/// The soak's handle of a link process.
 pub struct LinkProcess {
     child: Child,
     input: Option<ChildStdin>,
@@ -101,7 +102,7 @@
 }
 
 impl LinkProcess {
-    /// Starts `program` as one.
+    /// Starts `program` as a link process.
     ///
     /// # Errors
     ///
@@ -110,22 +111,22 @@
         let mut child =
             Command::new(program).arg(LINKS_ARGUMENT).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
         let input = child.stdin.take();
-        let output = child.stdout.take().ok_or_else(|| io::Error::other("the links' process has no output"))?;
+        let output = child.stdout.take().ok_or_else(|| io::Error::other("the link process has no stdout"))?;
         Ok(LinkProcess { child, input, output: BufReader::new(output) })
     }
 
-    fn tell(&mut self, command: LinkCommand) -> io::Result<()> {
-        let input = self.input.as_mut().ok_or_else(|| io::Error::other("the links' process is about to end"))?;
+    fn send(&mut self, command: LinkCommand) -> io::Result<()> {
+        let input = self.input.as_mut().ok_or_else(|| io::Error::other("the stdin of the link process is closed"))?;
         writeln!(input, "{command}")
     }
 
     fn open(&mut self, command: LinkCommand) -> io::Result<()> {
-        self.tell(command)?;
-        let mut answer = String::new();
-        self.output.read_line(&mut answer)?;
-        match answer.trim_end() {
+        self.send(command)?;
+        let mut reply = String::new();
+        self.output.read_line(&mut reply)?;
+        match reply.trim_end() {
             OPENED => Ok(()),
-            why => Err(io::Error::other(format!("{command}: {why}"))),
+            problem => Err(io::Error::other(format!("{command}: {problem}"))),
         }
     }
 }
@@ -134,22 +135,22 @@
     fn drop(&mut self) {
         self.input = None;
         if let Err(error) = self.child.wait() {
-            eprintln!("a process of links did not end: {error}");
+            eprintln!("failed to wait for a link process: {error}");
         }
     }
 }
 
-/// The link to one machine, in this process or another one.
+/// The link to one machine, which runs in this process or in a link process.
 #[derive(Clone)]
 pub enum MachineLink {
-    /// In this process.
+    /// The link runs in this process.
     InProcess(LinkProxy),
-    /// In another one.
+    /// The link with this number runs in a link process.
     OutOfProcess(Rc<RefCell<LinkProcess>>, usize),
 }
 
 impl MachineLink {
-    /// Passes connections to `listen` on to `node`, by `process` if there is one.
+    /// Forwards connections from `listen` to `node`, in the link process `process` if there is one.
     ///
     /// # Errors
     ///
@@ -165,11 +166,11 @@
         Ok(MachineLink::OutOfProcess(Rc::clone(process), number))
     }
 
-    /// Changes how what passes is treated.
+    /// Sets the state of the link.
     pub fn set(&self, state: LinkState) {
         match self {
             MachineLink::InProcess(proxy) => proxy.set(state),
-            MachineLink::OutOfProcess(process, number) => tell(process, LinkCommand::Set { number: *number, state }),
+            MachineLink::OutOfProcess(process, number) => send(process, LinkCommand::Set { number: *number, state }),
         }
     }
 
@@ -177,21 +178,22 @@
     pub fn reset(&self) {
         match self {
             MachineLink::InProcess(proxy) => proxy.reset(),
-            MachineLink::OutOfProcess(process, number) => tell(process, LinkCommand::Reset { number: *number }),
+            MachineLink::OutOfProcess(process, number) => send(process, LinkCommand::Reset { number: *number }),
         }
     }
 }
 
-/// Without its links a soak shows nothing, so it ends.
-fn tell(process: &RefCell<LinkProcess>, command: LinkCommand) {
-    process.borrow_mut().tell(command).expect("the process of links runs as long as the soak");
+/// Sends a command to a link process. It panics on failure, because a soak without its links has no meaningful result.
+fn send(process: &RefCell<LinkProcess>, command: LinkCommand) {
+    process.borrow_mut().send(command).expect("the link process runs as long as the soak");
 }
 
-/// Runs links as the lines of `input` tell, until these end.
+/// Runs links according to the commands in `input` until its end, and writes the replies to `output`.
 ///
 /// # Errors
 ///
-/// Returns an error if there is no runtime, a line is no command, or names a link that is not open.
+/// Returns an error if the runtime can't be built, or if a line is not a valid command or refers to a link that is not
+/// open.
 pub fn serve(input: impl BufRead + Send + 'static, output: impl Write) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
     let (sender, commands) = mpsc::unbounded_channel();
@@ -203,27 +205,27 @@
             }
         }
     });
-    runtime.block_on(follow(commands, output))
+    runtime.block_on(run_commands(commands, output))
 }
 
-async fn follow(mut commands: mpsc::UnboundedReceiver<String>, mut output: impl Write) -> io::Result<()> {
+async fn run_commands(mut commands: mpsc::UnboundedReceiver<String>, mut output: impl Write) -> io::Result<()> {
     let mut links: HashMap<usize, LinkProxy> = HashMap::new();
-    let not_open = |number| io::Error::other(format!("link {number} is not open"));
+    let unknown_link = |number| io::Error::other(format!("link {number} is not open"));
     while let Some(line) = commands.recv().await {
         match line.parse().map_err(io::Error::other)? {
             LinkCommand::Open { number, listen, node } => {
-                let answer = match LinkProxy::open(listen, node).await {
+                let reply = match LinkProxy::open(listen, node).await {
                     Ok(link) => {
                         links.insert(number, link);
                         OPENED.to_owned()
                     }
                     Err(error) => error.to_string(),
                 };
-                writeln!(output, "{answer}")?;
+                writeln!(output, "{reply}")?;
                 output.flush()?;
             }
-            LinkCommand::Set { number, state } => links.get(&number).ok_or_else(|| not_open(number))?.set(state),
-            LinkCommand::Reset { number } => links.get(&number).ok_or_else(|| not_open(number))?.reset(),
+            LinkCommand::Set { number, state } => links.get(&number).ok_or_else(|| unknown_link(number))?.set(state),
+            LinkCommand::Reset { number } => links.get(&number).ok_or_else(|| unknown_link(number))?.reset(),
         }
     }
     Ok(())
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: a sidecar process, the target beside it, its address of the store and the link to it.
+//! One machine: a sidecar process, the target beside it, its own address of the store, and the link to it.
 
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -17,13 +17,13 @@
 use crate::layout::{MachineAddrs, RouteKind, CRASH_DOWNTIME, HOST, SLOTS};
 use crate::links::{LinkProcess, MachineLink};
 
-/// How long a request takes at a target.
-const WORK: Duration = Duration::from_millis(15);
+/// How long a request runs at a target.
+const REQUEST_DURATION: Duration = Duration::from_millis(15);
 
-/// How long a harmful request runs before its target crashes.
-const CRASHES_AFTER: Duration = Duration::from_millis(20);
-/// How often it is looked whether a target is another one.
-const REGISTERS_EACH: Duration = Duration::from_millis(50);
+/// How long a crashing request runs before its target crashes.
+const CRASH_DELAY: Duration = Duration::from_millis(20);
+/// The interval at which the machine checks whether its target has restarted and must be registered again.
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A machine of the soak.
 pub struct SoakMachine {
@@ -31,11 +31,11 @@
     pub addrs: MachineAddrs,
     /// Its target.
     pub target: StandInTarget,
-    /// The store as this machine meets it.
+    /// The store at the address that only this machine uses.
     pub store: StandInStore,
     /// The link from the other machines.
     pub link: MachineLink,
-    /// Whether callers send new work here.
+    /// Whether callers may open connections to the process.
     pub accepts_callers: Cell<bool>,
     process: RefCell<Option<Child>>,
     starts: RefCell<Vec<Instant>>,
@@ -45,8 +45,8 @@
 }
 
 impl SoakMachine {
-    /// Sets a machine up and starts `program` as its process; its settings and its log lie in `folder`, and its link runs in `links` if there is
-    /// such a process.
+    /// Sets up a machine and starts `program` as its process. Its settings and its log are written to `folder`. Its
+    /// link runs in the link process `links` if there is one.
     ///
     /// # Errors
     ///
@@ -58,10 +58,10 @@
         links: Option<&Rc<RefCell<LinkProcess>>>,
     ) -> io::Result<SoakMachine> {
         let target = StandInTarget::start_at(addrs.target(), addrs.service(), SLOTS).await;
-        target.set_behaviour(TargetBehaviour::Slow(WORK));
-        let harmful = RouteKind::Crashing.path().to_owned();
+        target.set_behaviour(TargetBehaviour::Slow(REQUEST_DURATION));
+        let crashing = RouteKind::Crashing.path().to_owned();
         let keeps_id = addrs.number % 2 == 1;
-        target.set_crash_rule(CrashRule { path: harmful, after: CRASHES_AFTER, down_for: CRASH_DOWNTIME, keeps_id });
+        target.set_crash_rule(CrashRule { path: crashing, after: CRASH_DELAY, down_for: CRASH_DOWNTIME, keeps_id });
         let path = RouteKind::Read.path().to_owned();
         target.set_chained_call(ChainedCall { outbound: addrs.outbound(), host: HOST.to_owned(), path });
         let store = store.add_listener().await;
@@ -77,7 +77,7 @@
             outbound: addrs.outbound(),
             inbound: addrs.inbound(),
             ready: addrs.ready(),
-            project_ports: addrs.own_ports(),
+            project_ports: addrs.project_ports(),
             store: store.address,
         });
         std::fs::write(&settings, document)?;
@@ -98,7 +98,7 @@
         Ok(machine)
     }
 
-    /// Starts the process, unless one runs.
+    /// Starts the process unless it is running.
     ///
     /// # Errors
     ///
@@ -119,55 +119,55 @@
         Ok(())
     }
 
-    /// Whether the process runs.
+    /// Whether the process is running.
     pub fn is_running(&self) -> bool {
         let mut process = self.process.borrow_mut();
         process.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends a signal to the process that this machine started, if it still runs.
+    /// Sends a signal to the process that this machine started, if it is still running.
     pub fn signal(&self, signal: Signal) {
         if !self.is_running() {
             return;
         }
         let process = self.process.borrow();
         let Some(pid) = process.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) else { return };
-        // It may have ended in this moment.
+        // The process may have exited in the meantime.
         let _ = kill_process(pid, signal);
     }
 
-    /// When its process was started after another one had ended.
+    /// The times at which its process was restarted.
     pub fn restarts(&self) -> Vec<Instant> {
         self.starts.borrow().iter().skip(1).copied().collect()
     }
 
-    /// Registers the target anew whenever it has crashed and started again, until the machine ends.
+    /// Registers the target again whenever it has restarted after a crash. Never returns.
     pub async fn keep_registered(self: Rc<Self>) {
         let mut registered = (self.target.id(), self.target.start_time_ms());
         loop {
-            sleep(REGISTERS_EACH).await;
-            let present = (self.target.id(), self.target.start_time_ms());
-            if present == registered {
+            sleep(REGISTRATION_INTERVAL).await;
+            let current = (self.target.id(), self.target.start_time_ms());
+            if current == registered {
                 continue;
             }
             self.store.register(&self.target, "ready");
-            if present.0 != registered.0 {
+            if current.0 != registered.0 {
                 self.store.deregister(&registered.0);
             }
-            registered = present;
+            registered = current;
         }
     }
 
-    /// Lets the target answer as it should again.
+    /// Resets the target to its normal behaviour.
     pub fn reset_target_behaviour(&self) {
-        self.target.set_behaviour(TargetBehaviour::Slow(WORK));
+        self.target.set_behaviour(TargetBehaviour::Slow(REQUEST_DURATION));
     }
 }
 
 impl Drop for SoakMachine {
     fn drop(&mut self) {
         let Some(child) = self.process.get_mut() else { return };
-        // It may have ended before.
+        // The process may have exited already.
         let _ = child.kill();
         let _ = child.wait();
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between nodes, through which faults of the network are brought in.
+//! A loopback proxy between nodes that injects network faults.
 
 use std::cell::Cell;
 use std::io;
@@ -14,17 +14,17 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How often held bytes look whether they may go on.
-const HELD_CHECK: Duration = Duration::from_millis(10);
+/// The interval at which held bytes check whether they may be forwarded.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How a link treats what passes.
+/// How a link handles the bytes that pass it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// What each piece takes longer.
+    /// The delay added to each chunk of bytes.
     pub delay: Duration,
-    /// Whether what goes to the node is held.
+    /// Whether bytes sent to the node are held back.
     pub holds_requests: bool,
-    /// Whether what comes from the node is held.
+    /// Whether bytes sent by the node are held back.
     pub holds_answers: bool,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl LinkProxy {
-    /// Passes connections to `listen` on to `node`.
+    /// Forwards connections from `listen` to `node`.
     ///
     /// # Errors
     ///
@@ -48,13 +48,13 @@
         spawn_local(async move {
             loop {
                 let stream = next_connection(&listener).await;
-                spawn_local(link.clone().pass(stream, node));
+                spawn_local(link.clone().forward(stream, node));
             }
         });
         Ok(proxy)
     }
 
-    /// Changes how what passes is treated.
+    /// Sets the state of the link.
     pub fn set(&self, state: LinkState) {
         self.state.set(state);
     }
@@ -64,10 +64,10 @@
         self.reset.notify_waiters();
     }
 
-    async fn pass(self, near: TcpStream, node: SocketAddr) {
+    async fn forward(self, near: TcpStream, node: SocketAddr) {
         let mut near = near;
         let Ok(mut far) = TcpStream::connect(node).await else {
-            // Nobody listens there, and the other side sees what it would see without the proxy.
+            // No process listens there. The reset shows the other side the failure that it would see without the proxy.
             let _ = near.set_zero_linger();
             return;
         };
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Copies one way until the sender ends.
+    /// Copies bytes in one direction until the sender closes its side.
     async fn copy(&self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, holds: impl Fn(LinkState) -> bool) {
         let mut buf = vec![0; 16 * 1024];
         while let Ok(count @ 1..) = from.read(&mut buf).await {
             sleep_unless_zero(self.state.get().delay).await;
             while holds(self.state.get()) {
-                sleep(HELD_CHECK).await;
+                sleep(HOLD_POLL_INTERVAL).await;
             }
             if to.write_all(&buf[..count]).await.is_err() {
                 return;
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,4 @@
-//! What callers and targets saw, and what was done to the machines.
+//! The record of a soak: what callers and targets observed, and what was done to the machines.
 
 use std::time::{Duration, Instant};
 
@@ -8,48 +8,49 @@
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// With an answer.
+    /// The caller received a complete response.
     Answered {
         /// Its status code.
         status: u16,
-        /// Whether it carries the id of the request, and as a success also the target's signature and whole body.
+        /// Whether the response has the id of the request and, on success, also the target's signature and complete
+        /// body.
         is_own: bool,
     },
-    /// The connection ended without a whole answer.
+    /// The connection was reset or closed before a complete response.
     Cut,
-    /// Nothing came in the time that the caller gave.
+    /// The call timed out.
     Silent,
-    /// Nobody took the connection.
+    /// The connection was refused.
     Unreached,
 }
 
-/// A call as its caller saw it.
+/// A call as observed by its caller.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     /// The request's id.
     pub id: String,
-    /// What was asked for.
+    /// The kind of the request.
     pub kind: RouteKind,
-    /// The key that it carries.
+    /// The API key that was sent with it.
     pub key: SoakKey,
     /// The machine whose node it was sent to.
     pub machine: usize,
     /// When its last byte was sent.
     pub sent: Instant,
-    /// When it ended.
+    /// When the call ended.
     pub ended: Instant,
-    /// How it ended.
+    /// How the call ended.
     pub end: CallEnd,
 }
 
-/// A request as a target saw it.
+/// A request as observed by a target.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     /// The request's id.
     pub id: String,
     /// The machine of the target.
     pub machine: usize,
-    /// When the target began to work on it.
+    /// When the target started to run it.
     pub at: Instant,
     /// Its method, path and body.
     pub request: (String, String, String),
@@ -57,45 +58,45 @@
     pub caller_service: String,
     /// The tenant that the node named; empty if it named none.
     pub tenant: String,
-    /// Whether it brought a key.
+    /// Whether it contained an API key.
     pub has_key: bool,
 }
 
 impl RunRecord {
-    /// Whether its request crashes targets.
+    /// Whether the request crashes targets.
     pub fn crashes_targets(&self) -> bool {
         self.request.1 == RouteKind::Crashing.path()
     }
 }
 
-/// A time in which something was wrong with a machine, or with all of them.
+/// A time span during which a fault affected one machine or all of them.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSpan {
-    /// The machine; `None` for all.
+    /// The affected machine; `None` for all.
     pub machine: Option<usize>,
-    /// When it began.
+    /// When the fault was injected.
     pub from: Instant,
-    /// When it was over.
+    /// When the fault was reverted.
     pub until: Instant,
 }
 
-/// A configuration that the store has acknowledged.
+/// A configuration whose write the store has acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigWrite {
     /// The service of [`RouteKind::Moving`] in it.
     pub moving: &'static str,
-    /// When it was acknowledged.
+    /// When the write was acknowledged.
     pub acked: Instant,
 }
 
-/// A time in which a target's entry said that it is draining, or in which it had none since it had left.
+/// A time span during which a target was registered as draining or was deregistered.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSpan {
     /// The target's machine.
     pub machine: usize,
-    /// When the store acknowledged it.
+    /// When the store acknowledged the change.
     pub acked: Instant,
-    /// When it was registered as before.
+    /// When the target was registered as ready again.
     pub until: Instant,
 }
 
@@ -106,49 +107,49 @@
     pub machine: usize,
     /// When the process was asked to stop.
     pub requested: Instant,
-    /// How long its callers went on, and its process had to end.
+    /// The time within which the process had to stop; its callers may have continued to use it during this time.
     pub grace: Duration,
 }
 
-/// A process that was started after another one had ended on its machine.
+/// A restart of a machine's process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessStart {
     /// The machine.
     pub machine: usize,
-    /// When.
+    /// When the process was restarted.
     pub at: Instant,
 }
 
-/// All that was seen.
+/// All observations of a soak.
 #[derive(Clone, Debug, Default)]
 pub struct SoakRecord {
     /// Calls, in the order of their ends.
     pub calls: Vec<CallRecord>,
-    /// Requests at targets.
+    /// Requests that targets ran.
     pub runs: Vec<RunRecord>,
-    /// What was wrong, and when.
+    /// The injected faults.
     pub fault_spans: Vec<FaultSpan>,
-    /// Configurations, in order.
+    /// Configurations, in the order in which they were written.
     pub configs: Vec<ConfigWrite>,
-    /// Drains.
+    /// Drains and deregistrations of targets.
     pub drains: Vec<DrainSpan>,
     /// Planned stops.
     pub stops: Vec<StopSpan>,
-    /// When targets began to run requests that crash them.
+    /// When targets started to run requests that crash them.
     pub crashes: Vec<Instant>,
-    /// Starts of processes, without the first ones.
+    /// Restarts of processes.
     pub starts: Vec<ProcessStart>,
-    /// The most requests that a target has worked on at a time.
+    /// The maximum number of requests that a target ran concurrently.
     pub max_running: u32,
 }
 
 impl SoakRecord {
-    /// Whether all machines were without faults from `settle` before `from` until `until`.
+    /// Whether no fault affected any machine between `from - settle` and `until`.
     pub fn is_fault_free(&self, settle: Duration, from: Instant, until: Instant) -> bool {
         !self.fault_spans.iter().any(|fault_span| fault_span.from <= until && fault_span.until + settle >= from)
     }
 
-    /// The same, and no target was crashed by a request.
+    /// Whether, in addition, no request had crashed a target in this time.
     pub fn is_fault_and_crash_free(&self, settle: Duration, from: Instant, until: Instant) -> bool {
         let is_crashed = self.crashes.iter().any(|at| *at <= until && *at + CRASH_DOWNTIME + settle >= from);
         !is_crashed && self.is_fault_free(settle, from, until)
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a soak: rounds of faults and of calm, planned work in the calm ones, and a verdict at the end.
+//! Runs a soak: rounds of faults alternate with fault-free rounds of planned work, and a final check of the guarantees.
 
 use std::cell::RefCell;
 use std::io;
@@ -24,129 +24,133 @@
 use crate::record::{ConfigWrite, DrainSpan, FaultSpan, ProcessStart, RunRecord, SoakRecord, StopSpan};
 use crate::traffic::SoakCaller;
 
-/// Callers in all, if there are not more machines.
-const CALLERS: usize = 24;
-/// The machines whose links one process runs. Each may be connected to all others, with two descriptors a connection.
-const LINKS_EACH: usize = 25;
-/// How long the processes get to start.
-const START: Duration = Duration::from_secs(10);
-/// How long a round of faults lasts.
-const STORM: Duration = Duration::from_secs(8);
-/// How long a machine rests after a storm before planned work is done.
-const REST: Duration = Duration::from_millis(3500);
-/// The pause between two faults, in milliseconds.
+/// The total number of callers; with more machines than this, each machine has one.
+const TOTAL_CALLERS: usize = 24;
+/// The number of links that one process runs. Each machine may be connected to all others, with two descriptors per
+/// connection.
+const LINKS_PER_PROCESS: usize = 25;
+/// The time within which the processes must become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// The duration of a round of faults.
+const FAULT_ROUND: Duration = Duration::from_secs(8);
+/// The pause between a round of faults and planned work.
+const SETTLE_PAUSE: Duration = Duration::from_millis(3500);
+/// The range of pauses between two faults, in milliseconds.
 const FAULT_PAUSE_MS: std::ops::Range<u64> = 300..1400;
-/// How long a fault lasts, in milliseconds.
-const FAULT_SPAN_MS: std::ops::Range<u64> = 300..3000;
-/// How often a fault of the later kinds comes with another one.
-const LATER_SHARE: f64 = 0.2;
-/// Tells the schedule of the later kinds from the other one.
-const LATER_SEED: u64 = 0x5eed;
-/// Tells the schedule of the ways in which targets leave from the others.
-const LEAVING_SEED: u64 = 0x1eaf;
-/// How long a target stays draining.
-const DRAIN: Duration = Duration::from_millis(4500);
-/// For how long callers go on to come to a process that was asked to stop: two questions a second whether it is ready.
-const LED_AWAY: Duration = Duration::from_millis(2500);
-/// The time in which a process must have stopped.
-const GRACE: Duration = Duration::from_secs(6);
-/// Changes of the configuration in a series, with a signal to each process, and the pause between them in milliseconds.
-const SERIES: usize = 5;
+/// The range of durations of a fault, in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..3000;
+/// The probability that one of [`FaultKind::ADDED`] accompanies a fault of the main schedule.
+const ADDED_FAULT_PROBABILITY: f64 = 0.2;
+/// Combined with the soak's seed for the schedule of [`FaultKind::ADDED`].
+const ADDED_SCHEDULE_SEED: u64 = 0x5eed;
+/// Combined with the soak's seed for the schedule of the ways in which targets drain.
+const DRAIN_SCHEDULE_SEED: u64 = 0x1eaf;
+/// How long a target stays draining or deregistered.
+const DRAIN_DURATION: Duration = Duration::from_millis(4500);
+/// How long callers continue to use a process after it was asked to stop: until it has failed two readiness probes,
+/// which are sent once per second.
+const READINESS_DELAY: Duration = Duration::from_millis(2500);
+/// The time within which a process must stop.
+const STOP_GRACE: Duration = Duration::from_secs(6);
+/// The number of configuration changes in a series, each with a signal to all processes, and the range of pauses
+/// between them in milliseconds.
+const SERIES_LENGTH: usize = 5;
 const SERIES_PAUSE_MS: std::ops::Range<u64> = 100..900;
-/// How long after the first of two stops the second is asked for; the first takes longer.
-const SECOND_STOP_AFTER: Duration = Duration::from_millis(1200);
-/// How long a last call may take.
-const LAST_CALLS: Duration = Duration::from_secs(5);
-/// How often it is looked whether something has happened.
-const CHECK: Duration = Duration::from_millis(20);
+/// The delay of the second of two planned stops after the first; the first takes longer than this.
+const SECOND_STOP_DELAY: Duration = Duration::from_millis(1200);
+/// The time for the last calls to finish.
+const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What to run.
+/// The options of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
     /// The quillhatch program.
     pub program: PathBuf,
-    /// A program that runs links in processes of their own ([`serve`](crate::links::serve)); without one they run in this process.
+    /// A program that runs links in separate processes ([`serve`](crate::links::serve)); without one they run in this
+    /// process.
     pub links: Option<PathBuf>,
-    /// Where settings and logs are written; it must exist.
+    /// An existing folder to which settings and logs are written.
     pub folder: PathBuf,
-    /// The seed of the schedule.
+    /// The seed of the schedules.
     pub seed: u64,
-    /// How long faults and calm take turns.
+    /// How long rounds of faults and of planned work alternate.
     pub duration: Duration,
-    /// The targets of each service.
+    /// The number of targets of each service.
     pub targets_per_service: usize,
-    /// Whether there are faults; without them only planned work is done.
+    /// Whether faults are injected; without them only planned work is done.
     pub has_faults: bool,
 }
 
-/// What came of it.
+/// The result of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// All that was seen.
+    /// All observations.
     pub record: SoakRecord,
-    /// The faults in order, each with the machine that it struck.
+    /// The faults in order, each with the machine on which it was injected.
     pub faults: Vec<(FaultKind, usize)>,
-    /// The promises that were broken.
+    /// The violations of guarantees.
     pub violations: Vec<Violation>,
 }
 
-/// Runs a soak on a runtime of its own.
+/// Runs a soak on a new runtime.
 ///
 /// # Errors
 ///
 /// Returns an error if the machines can't be set up.
 pub fn run(options: &SoakOptions) -> io::Result<SoakReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
-    runtime.block_on(soak(options))
+    runtime.block_on(run_rounds(options))
 }
 
-/// The machines and what is recorded of them.
+/// The state of a running soak.
 struct SoakRun {
     store: StandInStore,
     machines: Vec<Rc<SoakMachine>>,
     record: Rc<RefCell<SoakRecord>>,
     faults: Vec<(FaultKind, usize)>,
     random: Pcg64,
-    /// The schedule of the later kinds of faults.
-    later: Pcg64,
-    /// The schedule of the ways in which targets leave.
-    leaving: Pcg64,
+    /// The schedule of [`FaultKind::ADDED`].
+    added_schedule: Pcg64,
+    /// The schedule of the ways in which targets drain.
+    drain_schedule: Pcg64,
     version: u64,
 }
 
-async fn soak(options: &SoakOptions) -> io::Result<SoakReport> {
-    let mut world = SoakRun::start(options).await?;
-    world.configure();
-    world.wait_until_ready().await?;
+async fn run_rounds(options: &SoakOptions) -> io::Result<SoakReport> {
+    let mut run = SoakRun::start(options).await?;
+    run.configure();
+    run.wait_until_ready().await?;
     let end = Instant::now() + options.duration;
-    let callers = world.start_callers(end);
+    let callers = run.start_callers(end);
     while Instant::now() < end {
         if options.has_faults {
-            world.storm().await;
-            sleep(REST).await;
+            run.fault_round().await;
+            sleep(SETTLE_PAUSE).await;
         }
-        world.planned_work().await?;
+        run.planned_work().await?;
     }
     for caller in callers {
-        // A caller that has ended early would have panicked, and its calls are missing.
+        // A caller that failed here has panicked, and its calls are missing from the record.
         caller.await.map_err(io::Error::other)?;
     }
-    sleep(LAST_CALLS).await;
-    Ok(world.report())
+    sleep(LAST_CALLS_TIMEOUT).await;
+    Ok(run.report())
 }
 
 impl SoakRun {
     async fn start(options: &SoakOptions) -> io::Result<Self> {
         let mut random = Pcg64::seed_from_u64(options.seed);
-        let later = Pcg64::seed_from_u64(options.seed ^ LATER_SEED);
-        let leaving = Pcg64::seed_from_u64(options.seed ^ LEAVING_SEED);
+        let added_schedule = Pcg64::seed_from_u64(options.seed ^ ADDED_SCHEDULE_SEED);
+        let drain_schedule = Pcg64::seed_from_u64(options.seed ^ DRAIN_SCHEDULE_SEED);
         let net = SoakNet::draw(&mut Pcg64::from_entropy());
         let store = StandInStore::start().await;
         let mut machines = Vec::new();
         let mut links = None;
         for number in 0..SERVICES.len() * options.targets_per_service {
             let addrs = MachineAddrs::new(net, number);
-            if let Some(program) = options.links.as_ref().filter(|_| number % LINKS_EACH == 0) {
+            if let Some(program) = options.links.as_ref().filter(|_| number % LINKS_PER_PROCESS == 0) {
                 links = Some(Rc::new(RefCell::new(LinkProcess::start(program)?)));
             }
             let files = (options.program.as_path(), options.folder.as_path());
@@ -157,14 +161,15 @@
         }
         let version = random.gen_range(1..50);
         let record = Rc::default();
-        Ok(SoakRun { store, machines, record, faults: Vec::new(), random, later, leaving, version })
+        Ok(SoakRun { store, machines, record, faults: Vec::new(), random, added_schedule, drain_schedule, version })
     }
 
-    /// Writes a configuration that moves a route to another service.
+    /// Writes a configuration that moves the route of [`RouteKind::Moving`](crate::layout::RouteKind::Moving) to
+    /// another service.
     fn configure(&mut self) {
         self.version += self.random.gen_range(1..5);
-        let former = self.record.borrow().configs.last().map(|config| config.moving);
-        let others: Vec<&'static str> = SERVICES.into_iter().filter(|service| Some(*service) != former).collect();
+        let current = self.record.borrow().configs.last().map(|config| config.moving);
+        let others: Vec<&'static str> = SERVICES.into_iter().filter(|service| Some(*service) != current).collect();
         let moving = others[self.random.gen_range(0..others.len())];
         let number = self.record.borrow().configs.len();
         self.store.write_configuration(&document(self.version, number, moving));
@@ -172,13 +177,13 @@
     }
 
     async fn wait_until_ready(&self) -> io::Result<()> {
-        let begun = Instant::now();
+        let started = Instant::now();
         for machine in &self.machines {
             while !is_ready(machine).await {
-                if begun.elapsed() > START {
-                    return Err(io::Error::other(format!("machine {} does not get ready", machine.addrs.number)));
+                if started.elapsed() > START_TIMEOUT {
+                    return Err(io::Error::other(format!("machine {} did not become ready", machine.addrs.number)));
                 }
-                sleep(CHECK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -186,7 +191,7 @@
 
     fn start_callers(&mut self, end: Instant) -> Vec<JoinHandle<()>> {
         let mut callers = Vec::new();
-        let callers_each = (CALLERS / self.machines.len()).max(1);
+        let callers_each = (TOTAL_CALLERS / self.machines.len()).max(1);
         for machine in &self.machines {
             for number in 0..callers_each {
                 let random = Pcg64::seed_from_u64(self.random.gen());
@@ -198,89 +203,91 @@
         callers
     }
 
-    /// A round of faults; ends when the last of them is over.
-    async fn storm(&mut self) {
-        let end = Instant::now() + STORM;
-        let mut strikes = Vec::new();
+    /// Runs a round of faults, which ends when the last of them has been reverted.
+    async fn fault_round(&mut self) {
+        let end = Instant::now() + FAULT_ROUND;
+        let mut faults = Vec::new();
         while Instant::now() < end {
             let kind = FaultKind::draw(&mut self.random);
-            let struck = self.random.gen_range(0..self.machines.len());
-            let span = Duration::from_millis(self.random.gen_range(FAULT_SPAN_MS));
-            strikes.push(self.strike(kind, struck, span));
-            if self.later.gen_bool(LATER_SHARE) {
-                let kind = FaultKind::draw_added(&mut self.later);
-                let struck = self.later.gen_range(0..self.machines.len());
-                let span = Duration::from_millis(self.later.gen_range(FAULT_SPAN_MS));
-                strikes.push(self.strike(kind, struck, span));
+            let index = self.random.gen_range(0..self.machines.len());
+            let duration = Duration::from_millis(self.random.gen_range(FAULT_DURATION_MS));
+            faults.push(self.start_fault(kind, index, duration));
+            if self.added_schedule.gen_bool(ADDED_FAULT_PROBABILITY) {
+                let kind = FaultKind::draw_added(&mut self.added_schedule);
+                let index = self.added_schedule.gen_range(0..self.machines.len());
+                let duration = Duration::from_millis(self.added_schedule.gen_range(FAULT_DURATION_MS));
+                faults.push(self.start_fault(kind, index, duration));
             }
             sleep(Duration::from_millis(self.random.gen_range(FAULT_PAUSE_MS))).await;
-            self.look_at_targets();
+            self.collect_requests();
         }
-        for strike in strikes {
-            if let Ok(fault_span) = strike.await {
+        for fault in faults {
+            if let Ok(fault_span) = fault.await {
                 self.record.borrow_mut().fault_spans.push(fault_span);
             }
         }
-        // Faults that overlapped may have left a process frozen, down, or a link cut.
+        // Overlapping faults may have left a process suspended or down, or a link blocked.
         for machine in &self.machines {
             machine.signal(Signal::CONT);
         }
     }
 
-    fn strike(&mut self, kind: FaultKind, struck: usize, span: Duration) -> JoinHandle<FaultSpan> {
-        self.faults.push((kind, struck));
+    fn start_fault(&mut self, kind: FaultKind, index: usize, duration: Duration) -> JoinHandle<FaultSpan> {
+        self.faults.push((kind, index));
         let machines = self.machines.clone();
-        spawn_local(async move { inject(kind, &machines, struck, span).await })
+        spawn_local(async move { inject(kind, &machines, index, duration).await })
     }
 
-    /// Planned work: one thing of each kind, or series of them that overlap.
+    /// Does planned work: either one change of each kind, or a series of overlapping changes.
     async fn planned_work(&mut self) -> io::Result<()> {
         if self.random.gen() {
-            self.one_of_each().await
+            self.one_of_each_kind().await
         } else {
-            self.series().await
+            self.overlapping_series().await
         }
     }
 
-    /// A change of the configuration, a target that leaves with or without a drain, and a planned stop, on machines of different services.
-    async fn one_of_each(&mut self) -> io::Result<()> {
+    /// Changes the configuration, drains one target and restarts the process of a machine of another service. The target
+    /// is either registered as draining, or deregistered while its health check reports that it is draining.
+    async fn one_of_each_kind(&mut self) -> io::Result<()> {
         self.configure();
         let drained = self.random.gen_range(0..self.machines.len());
-        let stopped = self.of_another_service(drained);
+        let stopped = self.machine_of_another_service(drained);
         let draining = Rc::clone(&self.machines[drained]);
         let id = draining.target.id();
-        if self.leaving.gen() {
+        if self.drain_schedule.gen() {
             self.store.register(&draining.target, "draining");
         } else {
             draining.target.set_health(HealthStatus::Draining);
             self.store.deregister(&id);
         }
         let acked = Instant::now();
-        self.stop_and_start(stopped).await?;
-        sleep(DRAIN.saturating_sub(acked.elapsed())).await;
-        // One that crashed meanwhile is another, which is not draining.
+        self.restart_process(stopped).await?;
+        sleep(DRAIN_DURATION.saturating_sub(acked.elapsed())).await;
+        // A target that crashed in the meantime may have restarted with a new id, which is not registered as draining.
         if draining.target.id() == id {
             self.record.borrow_mut().drains.push(DrainSpan { machine: drained, acked, until: Instant::now() });
         }
         draining.target.set_health(HealthStatus::Healthy);
         self.store.register(&draining.target, "ready");
-        self.look_at_targets();
+        self.collect_requests();
         sleep(Duration::from_secs(1)).await;
         Ok(())
     }
 
-    /// Configurations in quick succession, signals to all processes, and two planned stops that overlap.
-    async fn series(&mut self) -> io::Result<()> {
+    /// Changes the configuration in quick succession, signals all processes, and performs two overlapping planned
+    /// stops.
+    async fn overlapping_series(&mut self) -> io::Result<()> {
         let first = self.random.gen_range(0..self.machines.len());
-        let second = self.of_another_service(first);
-        let stops = [(first, Duration::ZERO), (second, SECOND_STOP_AFTER)].map(|(number, after)| {
+        let second = self.machine_of_another_service(first);
+        let stops = [(first, Duration::ZERO), (second, SECOND_STOP_DELAY)].map(|(number, delay)| {
             let (machine, record) = (Rc::clone(&self.machines[number]), Rc::clone(&self.record));
             spawn_local(async move {
-                sleep(after).await;
-                stop_and_start(&machine, &record).await
+                sleep(delay).await;
+                restart_process(&machine, &record).await
             })
         });
-        for _ in 0..SERIES {
+        for _ in 0..SERIES_LENGTH {
             self.configure();
             for machine in &self.machines {
                 machine.signal(Signal::HUP);
@@ -290,27 +297,27 @@
         for stop in stops {
             stop.await.map_err(io::Error::other)??;
         }
-        self.look_at_targets();
+        self.collect_requests();
         sleep(Duration::from_secs(1)).await;
         Ok(())
     }
 
-    /// A machine whose target serves another service than that of machine `number`.
-    fn of_another_service(&mut self, number: usize) -> usize {
+    /// Draws a machine of another service than that of machine `number`.
+    fn machine_of_another_service(&mut self, number: usize) -> usize {
         (number + self.random.gen_range(1..SERVICES.len())) % self.machines.len()
     }
 
-    async fn stop_and_start(&mut self, number: usize) -> io::Result<()> {
-        stop_and_start(&self.machines[number], &self.record).await
+    async fn restart_process(&mut self, number: usize) -> io::Result<()> {
+        restart_process(&self.machines[number], &self.record).await
     }
 
-    /// Takes over what the targets have recorded.
-    fn look_at_targets(&self) {
+    /// Adds the requests that the targets have run to the record.
+    fn collect_requests(&self) {
         let mut record = self.record.borrow_mut();
         for machine in &self.machines {
             let number = machine.addrs.number;
             let runs: Vec<RunRecord> =
-                machine.target.take_started_requests().into_iter().map(|seen| run_record(number, seen)).collect();
+                machine.target.take_started_requests().into_iter().map(|request| run_record(number, request)).collect();
             record.crashes.extend(runs.iter().filter(|run| run.crashes_targets()).map(|run| run.at));
             record.runs.extend(runs);
             record.max_running = record.max_running.max(machine.target.max_running() as u32);
@@ -318,7 +325,7 @@
     }
 
     fn report(self) -> SoakReport {
-        self.look_at_targets();
+        self.collect_requests();
         let mut record = self.record.borrow().clone();
         for machine in &self.machines {
             let number = machine.addrs.number;
@@ -329,60 +336,60 @@
     }
 }
 
-/// Asks a process to stop, and starts another one after its end.
-async fn stop_and_start(machine: &SoakMachine, record: &RefCell<SoakRecord>) -> io::Result<()> {
+/// Asks a process to stop, and restarts it after it has exited.
+async fn restart_process(machine: &SoakMachine, record: &RefCell<SoakRecord>) -> io::Result<()> {
     let requested = Instant::now();
-    record.borrow_mut().stops.push(StopSpan { machine: machine.addrs.number, requested, grace: GRACE });
+    record.borrow_mut().stops.push(StopSpan { machine: machine.addrs.number, requested, grace: STOP_GRACE });
     machine.signal(Signal::TERM);
-    sleep(LED_AWAY).await;
+    sleep(READINESS_DELAY).await;
     machine.accepts_callers.set(false);
-    while machine.is_running() && requested.elapsed() < GRACE {
-        sleep(CHECK).await;
+    while machine.is_running() && requested.elapsed() < STOP_GRACE {
+        sleep(POLL_INTERVAL).await;
     }
     if machine.is_running() {
         machine.signal(Signal::KILL);
     }
     while machine.is_running() {
-        sleep(CHECK).await;
+        sleep(POLL_INTERVAL).await;
     }
     machine.start_process()?;
-    let begun = Instant::now();
-    while !is_ready(machine).await && begun.elapsed() < START {
-        sleep(CHECK).await;
+    let started = Instant::now();
+    while !is_ready(machine).await && started.elapsed() < START_TIMEOUT {
+        sleep(POLL_INTERVAL).await;
     }
     machine.accepts_callers.set(true);
     Ok(())
 }
 
-fn run_record(machine: usize, seen: ReceivedRequest) -> RunRecord {
-    let id = seen.id().to_owned();
-    let caller_service = seen.caller_service().to_owned();
-    let (tenant, has_key) = (seen.header("quillhatch-tenant").to_owned(), !seen.header("x-api-key").is_empty());
-    let body = String::from_utf8_lossy(&seen.body).into_owned();
+fn run_record(machine: usize, request: ReceivedRequest) -> RunRecord {
+    let id = request.id().to_owned();
+    let caller_service = request.caller_service().to_owned();
+    let (tenant, has_key) = (request.header("quillhatch-tenant").to_owned(), !request.header("x-api-key").is_empty());
+    let body = String::from_utf8_lossy(&request.body).into_owned();
     RunRecord {
         id,
         machine,
-        at: seen.started_at,
-        request: (seen.method, seen.path, body),
+        at: request.started_at,
+        request: (request.method, request.path, body),
         caller_service,
         tenant,
         has_key,
     }
 }
 
-/// Whether the process of a machine says that it takes callers.
+/// Whether the process of a machine reports that it is ready.
 async fn is_ready(machine: &SoakMachine) -> bool {
-    let own = machine.addrs.public.into();
-    let Some(mut caller) = Caller::connect_from(own, machine.addrs.ready()).await else { return false };
+    let source = machine.addrs.public.into();
+    let Some(mut caller) = Caller::connect_from(source, machine.addrs.ready()).await else { return false };
     caller.send("GET /ready HTTP/1.1\r\nHost: node\r\n\r\n").await;
     caller.answer_within(Duration::from_secs(1)).await.is_some_and(|answer| answer.status == 200)
 }
 
-/// A folder for settings and logs of one soak below `parent`.
+/// Creates a folder in `parent` for the settings and logs of one soak.
 ///
 /// # Errors
 ///
-/// Returns an error if it can't be made.
+/// Returns an error if the folder can't be created.
 pub fn make_folder(parent: &Path, seed: u64) -> io::Result<PathBuf> {
     let folder = parent.join(format!("quillhatch-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
--- a/crates/soak/src/tenancy.rs
+++ b/crates/soak/src/tenancy.rs
@@ -1,4 +1,4 @@
-//! The tenants of the soak, their keys, and what is promised of them.
+//! The tenants of the soak, their API keys, and the guarantees on them.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,35 +6,37 @@
 use quillhatch_platform_standins::settings::REVOCATION_S;
 use rand::Rng;
 
-use crate::checks::{violation, Guarantee, Violation, SLACK};
+use crate::checks::{violation, Guarantee, Violation, SCHEDULING_SLACK};
 use crate::record::{CallRecord, SoakRecord};
 
-/// Calls a second of the limited tenant, and its burst.
-const LIMIT: f64 = 8.0;
-/// The window over which calls of a tenant are counted.
+/// The rate limit of the limited tenant in calls per second, and its burst.
+const RATE_LIMIT: f64 = 8.0;
+/// The window in which the calls of a tenant are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(5);
-/// The share by which a limit may be passed, and the calls besides.
+/// The tolerance by which a rate limit may be exceeded, as a share of the limit, and as a number of calls added to it.
 const LIMIT_TOLERANCE: (f64, f64) = (0.25, 20.0);
-/// The shares of calls that carry the key of the rotating tenant, of the limited one, and one that nobody ever had.
-const SHARES: [f64; 3] = [0.15, 0.15, 0.02];
+/// The shares of calls with the key of the rotating tenant, with the key of the limited tenant, and with an unknown
+/// key.
+const KEY_SHARES: [f64; 3] = [0.15, 0.15, 0.02];
 
-/// The key that a call carries.
+/// The API key of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakKey {
-    /// Of a tenant whose key stays.
+    /// The key of a tenant whose key never changes.
     Steady,
-    /// Of a tenant whose key is replaced with each configuration: that of the configuration with this number.
+    /// The key of a tenant whose key is replaced with each configuration; the number is that of the configuration.
     Rotating(usize),
-    /// Of a tenant with a limit.
+    /// The key of a tenant with a rate limit.
     Limited,
-    /// Of nobody.
+    /// A key that belongs to no tenant.
     Unknown,
 }
 
 impl SoakKey {
-    /// Draws a key, while `configs` configurations were written; keys that were taken away too.
+    /// Draws a key after `configs` configurations have been written; it may be a key that the newest configuration
+    /// revoked.
     pub fn draw(random: &mut impl Rng, configs: usize) -> Self {
-        let [rotating, limited, unknown] = SHARES;
+        let [rotating, limited, unknown] = KEY_SHARES;
         let mut point: f64 = random.gen();
         for (share, key) in [(rotating, 0), (limited, 1), (unknown, 2)] {
             if point < share {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The name of the tenant that holds it, if one ever did.
+    /// The name of the tenant to which the key belongs or belonged.
     pub fn tenant(self) -> Option<&'static str> {
         match self {
             SoakKey::Steady => Some("steady"),
@@ -70,72 +72,76 @@
         }
     }
 
-    /// Whether a call with this key is to be served in calm.
+    /// Whether a call with this key must be served in fault-free periods.
     pub fn is_steady(self) -> bool {
         self == SoakKey::Steady
     }
 }
 
-/// The tenants of the configuration with this number, as JSON.
+/// The tenants of the configuration with the given number, as a JSON list.
 pub fn tenants(number: usize) -> String {
     let (steady, limited) = (SoakKey::Steady.text(), SoakKey::Limited.text());
     let rotating = SoakKey::Rotating(number).text();
     format!(
-        r#"[{{"name":"steady","api_keys":["{steady}"]}},{{"name":"rotating","api_keys":["{rotating}"]}},{{"name":"limited","api_keys":["{limited}"],"rate_per_s":{LIMIT},"burst":{LIMIT}}}]"#
+        r#"[{{"name":"steady","api_keys":["{steady}"]}},{{"name":"rotating","api_keys":["{rotating}"]}},{{"name":"limited","api_keys":["{limited}"],"rate_per_s":{RATE_LIMIT},"burst":{RATE_LIMIT}}}]"#
     )
 }
 
-/// The promises on keys and limits; they hold at any moment.
+/// Checks the guarantees on keys and rate limits, which hold at any time.
 pub fn check(record: &SoakRecord) -> Vec<Violation> {
     let mut found = Vec::new();
     let sent: HashMap<&str, &CallRecord> = record.calls.iter().map(|call| (call.id.as_str(), call)).collect();
     let mut limited = Vec::new();
     for run in &record.runs {
         if run.has_key {
-            found.push(violation(Guarantee::Keys, format!("{} brought the key to its target", run.id)));
+            found.push(violation(Guarantee::Keys, format!("{} carried an API key to its target", run.id)));
         }
         let Some(call) = sent.get(run.id.as_str()) else {
-            // A target's own call has no tenant.
+            // A call made by a target has no tenant.
             if !run.tenant.is_empty() {
-                found.push(violation(Guarantee::Keys, format!("{} ran as {:?} without a key", run.id, run.tenant)));
+                found.push(violation(
+                    Guarantee::Keys,
+                    format!("{} ran as tenant {:?} without a key", run.id, run.tenant),
+                ));
             }
             continue;
         };
         if call.key.tenant() != Some(&run.tenant) {
             found.push(violation(
                 Guarantee::Keys,
-                format!("{} ran as {:?}, sent with {:?}", run.id, run.tenant, call.key),
+                format!("{} ran as tenant {:?} but was sent with key {:?}", run.id, run.tenant, call.key),
             ));
         }
         match call.key {
-            SoakKey::Unknown => found.push(violation(Guarantee::Keys, format!("{} ran with a key of nobody", run.id))),
+            SoakKey::Unknown => found.push(violation(Guarantee::Keys, format!("{} ran with an unknown key", run.id))),
             SoakKey::Limited => limited.push((run.id.as_str(), run.at)),
             SoakKey::Rotating(number) if is_revoked(record, number, call.sent) => {
-                found.push(violation(Guarantee::Revoked, format!("{} ran with a key that was taken away", run.id)));
+                found.push(violation(Guarantee::Revoked, format!("{} ran with a revoked key", run.id)));
             }
             SoakKey::Rotating(_) | SoakKey::Steady => {}
         }
     }
-    found.extend(over_limit(record, limited));
+    found.extend(rate_limit_violation(record, limited));
     found
 }
 
-/// Whether the key of a configuration was taken away long before a call was sent.
+/// Whether the key of a configuration was revoked longer ago than the bound when a call was sent.
 fn is_revoked(record: &SoakRecord, number: usize, sent: Instant) -> bool {
     let replaced = record.configs.get(number + 1);
-    replaced.is_some_and(|next| sent > next.acked + Duration::from_secs(REVOCATION_S) + SLACK)
+    replaced.is_some_and(|next| sent > next.acked + Duration::from_secs(REVOCATION_S) + SCHEDULING_SLACK)
 }
 
-/// The window in which most calls of the limited tenant ran, if they are more than may; a call that ran twice counts once.
-fn over_limit(record: &SoakRecord, mut runs: Vec<(&str, Instant)>) -> Option<Violation> {
+/// Reports the window with the most calls of the limited tenant if they exceed its rate limit. A call that ran twice
+/// counts once.
+fn rate_limit_violation(record: &SoakRecord, mut runs: Vec<(&str, Instant)>) -> Option<Violation> {
     runs.sort_by_key(|(id, at)| (*id, *at));
     runs.dedup_by_key(|(id, _)| *id);
     let mut times: Vec<Instant> = runs.into_iter().map(|(_, at)| at).collect();
     times.sort();
     let (tolerance, slack) = LIMIT_TOLERANCE;
-    let allowed = (LIMIT * LIMIT_WINDOW.as_secs_f64() + LIMIT) * (1.0 + tolerance) + slack;
-    let (begin, most) = fullest_window(&times)?;
-    if most as f64 <= allowed {
+    let allowed = (RATE_LIMIT * LIMIT_WINDOW.as_secs_f64() + RATE_LIMIT) * (1.0 + tolerance) + slack;
+    let (begin, max) = fullest_window(&times)?;
+    if max as f64 <= allowed {
         return None;
     }
     let end = begin + LIMIT_WINDOW;
@@ -146,13 +152,13 @@
     Some(violation(
         Guarantee::Limits,
         format!(
-            "{most} calls in the window from {since_first_call:.1} s on, {allowed} allowed; {within} processes started in it, {} in the window before",
+            "{max} calls ran in the window that began at {since_first_call:.1} s, {allowed} are allowed; {within} processes started in it, {} in the window before",
             before - within
         ),
     ))
 }
 
-/// When the window begins that holds most of `times`, which are in order, and how many it holds.
+/// The start of the window that contains the most of the sorted `times`, and their number.
 fn fullest_window(times: &[Instant]) -> Option<(Instant, usize)> {
     let count = |first: &Instant| times.iter().filter(|at| *at >= first && **at < *first + LIMIT_WINDOW).count();
     times.iter().map(|first| (*first, count(first))).max_by_key(|(_, count)| *count)
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each promise is found broken on a record in which it is, and on nothing else.
+//! Each violation is reported for a record that contains it, and no other violation is reported.
 
 use std::time::{Duration, Instant};
 
@@ -10,34 +10,34 @@
 use quillhatch_soak::tenancy::SoakKey;
 use test_case::test_case;
 
-/// Machines by the service of their target.
+// The machine of each service.
 const ALPHA: usize = 0;
 const BETA: usize = 1;
 const GAMMA: usize = 2;
 
-/// A soak of some seconds in which all went well.
-struct Story {
+/// The record of a soak of a few seconds; a new one contains no violation.
+struct Scenario {
     record: SoakRecord,
     begin: Instant,
 }
 
-impl Story {
+impl Scenario {
     fn new() -> Self {
         let begin = Instant::now();
-        let mut story = Story { record: SoakRecord::default(), begin };
-        story.record.configs.push(ConfigWrite { moving: "beta", acked: begin });
+        let mut scenario = Scenario { record: SoakRecord::default(), begin };
+        scenario.record.configs.push(ConfigWrite { moving: "beta", acked: begin });
         for number in 0..40 {
             let at = 5_000 + number * 20;
-            story.call(&format!("read-{number}"), RouteKind::Read, at, ok());
-            story.run(&format!("read-{number}"), RouteKind::Read, BETA, at + 5);
+            scenario.call(&format!("read-{number}"), RouteKind::Read, at, ok());
+            scenario.run(&format!("read-{number}"), RouteKind::Read, BETA, at + 5);
         }
-        story.call("pay", RouteKind::Pay, 6_000, ok());
-        story.run("pay", RouteKind::Pay, GAMMA, 6_010);
-        story.call("chain", RouteKind::Chain, 6_000, ok());
-        story.run("chain", RouteKind::Chain, ALPHA, 6_010);
-        story.run("chain-chained", RouteKind::Read, BETA, 6_020);
-        story.record.runs.last_mut().expect("a run").caller_service = "alpha".to_owned();
-        story
+        scenario.call("pay", RouteKind::Pay, 6_000, ok());
+        scenario.run("pay", RouteKind::Pay, GAMMA, 6_010);
+        scenario.call("chain", RouteKind::Chain, 6_000, ok());
+        scenario.run("chain", RouteKind::Chain, ALPHA, 6_010);
+        scenario.run("chain-chained", RouteKind::Read, BETA, 6_020);
+        scenario.record.runs.last_mut().expect("a run").caller_service = "alpha".to_owned();
+        scenario
     }
 
     fn at(&self, ms: u64) -> Instant {
@@ -78,10 +78,10 @@
         self.record.fault_spans.push(FaultSpan { machine: None, from, until });
     }
 
-    /// Crashing requests run at these times.
-    fn harm(&mut self, times: &[u64]) {
+    /// Runs crashing requests at the given times, in milliseconds.
+    fn run_crashing_requests(&mut self, times: &[u64]) {
         for (number, at) in times.iter().enumerate() {
-            let id = format!("harmful-{number}");
+            let id = format!("crashing-{number}");
             self.call(&id, RouteKind::Crashing, *at, status(502));
             self.run(&id, RouteKind::Crashing, BETA, *at);
             let at = self.at(*at);
@@ -89,25 +89,25 @@
         }
     }
 
-    fn broken(&self) -> Vec<Guarantee> {
-        let mut broken: Vec<Guarantee> =
+    fn violated_guarantees(&self) -> Vec<Guarantee> {
+        let mut violated: Vec<Guarantee> =
             check_all(&self.record).into_iter().map(|violation| violation.guarantee).collect();
-        broken.sort();
-        broken.dedup();
-        broken
+        violated.sort();
+        violated.dedup();
+        violated
     }
 }
 
 #[test]
-fn harm_is_bounded_where_few_targets_end_late_or_nobody_knows_any_more() {
-    let mut story = Story::new();
-    story.harm(&[5_000, 5_500, 6_000, 6_100, 6_200, 10_000, 11_000, 12_000]);
-    assert_eq!(story.broken(), []);
-    let mut story = Story::new();
-    story.harm(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]);
-    let at = story.at(9_500);
-    story.record.starts.push(ProcessStart { machine: BETA, at });
-    assert_eq!(story.broken(), [], "the only gate of the service started anew");
+fn crashes_are_bounded_if_few_happen_late_or_all_processes_lost_their_state() {
+    let mut scenario = Scenario::new();
+    scenario.run_crashing_requests(&[5_000, 5_500, 6_000, 6_100, 6_200, 10_000, 11_000, 12_000]);
+    assert_eq!(scenario.violated_guarantees(), []);
+    let mut scenario = Scenario::new();
+    scenario.run_crashing_requests(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]);
+    let at = scenario.at(9_500);
+    scenario.record.starts.push(ProcessStart { machine: BETA, at });
+    assert_eq!(scenario.violated_guarantees(), [], "the only process of the service restarted and lost its state");
 }
 
 fn ok() -> CallEnd {
@@ -119,122 +119,122 @@
 }
 
 #[test]
-fn a_soak_in_which_all_went_well_breaks_nothing() {
-    assert_eq!(Story::new().broken(), []);
+fn a_soak_in_which_all_calls_succeed_violates_no_guarantee() {
+    assert_eq!(Scenario::new().violated_guarantees(), []);
 }
 
-#[test_case(Guarantee::OwnAnswer, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Answered { status: 200, is_own: false }))]
-#[test_case(Guarantee::AsSent, |story| story.run("nobody-sent", RouteKind::Read, BETA, 6_000))]
-#[test_case(Guarantee::AsSent, |story| story.record.runs[0].request.1 = "/read/y".to_owned())]
-#[test_case(Guarantee::AsSent, |story| story.record.runs[0].caller_service = "beta".to_owned())]
-#[test_case(Guarantee::Keys, |story| story.record.runs[0].has_key = true)]
-#[test_case(Guarantee::Keys, |story| story.record.runs[0].tenant = "rotating".to_owned())]
-#[test_case(Guarantee::Keys, |story| story.record.runs[0].tenant.clear())]
-#[test_case(Guarantee::Keys, |story| story.record.runs.last_mut().expect("a run").tenant = "steady".to_owned())]
-#[test_case(Guarantee::BoundedCrashes, |story| story.harm(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]))]
-#[test_case(Guarantee::Revoked, |story| {
-    let acked = story.at(0);
-    story.record.configs.push(ConfigWrite { moving: "beta", acked });
-    story.record.calls[30].key = SoakKey::Rotating(0);
-    story.record.calls[30].sent = story.at(5_600);
-    story.record.runs[30].tenant = "rotating".to_owned();
+#[test_case(Guarantee::OwnAnswer, |scenario| scenario.call("x", RouteKind::Read, 6_000, CallEnd::Answered { status: 200, is_own: false }))]
+#[test_case(Guarantee::AsSent, |scenario| scenario.run("nobody-sent", RouteKind::Read, BETA, 6_000))]
+#[test_case(Guarantee::AsSent, |scenario| scenario.record.runs[0].request.1 = "/read/y".to_owned())]
+#[test_case(Guarantee::AsSent, |scenario| scenario.record.runs[0].caller_service = "beta".to_owned())]
+#[test_case(Guarantee::Keys, |scenario| scenario.record.runs[0].has_key = true)]
+#[test_case(Guarantee::Keys, |scenario| scenario.record.runs[0].tenant = "rotating".to_owned())]
+#[test_case(Guarantee::Keys, |scenario| scenario.record.runs[0].tenant.clear())]
+#[test_case(Guarantee::Keys, |scenario| scenario.record.runs.last_mut().expect("a run").tenant = "steady".to_owned())]
+#[test_case(Guarantee::BoundedCrashes, |scenario| scenario.run_crashing_requests(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]))]
+#[test_case(Guarantee::Revoked, |scenario| {
+    let acked = scenario.at(0);
+    scenario.record.configs.push(ConfigWrite { moving: "beta", acked });
+    scenario.record.calls[30].key = SoakKey::Rotating(0);
+    scenario.record.calls[30].sent = scenario.at(5_600);
+    scenario.record.runs[30].tenant = "rotating".to_owned();
 })]
-#[test_case(Guarantee::Limits, |story| {
+#[test_case(Guarantee::Limits, |scenario| {
     for number in 0..100 {
         let id = format!("limited-{number}");
-        story.call(&id, RouteKind::Read, 6_000, ok());
-        story.run(&id, RouteKind::Read, BETA, 6_000 + number * 30);
-        story.record.calls.last_mut().expect("a call").key = SoakKey::Limited;
-        story.record.runs.last_mut().expect("a run").tenant = "limited".to_owned();
+        scenario.call(&id, RouteKind::Read, 6_000, ok());
+        scenario.run(&id, RouteKind::Read, BETA, 6_000 + number * 30);
+        scenario.record.calls.last_mut().expect("a call").key = SoakKey::Limited;
+        scenario.record.runs.last_mut().expect("a run").tenant = "limited".to_owned();
     }
 })]
-#[test_case(Guarantee::Once, |story| story.run("pay", RouteKind::Pay, GAMMA, 6_500))]
-#[test_case(Guarantee::Routed, |story| story.record.runs[0].machine = GAMMA)]
-#[test_case(Guarantee::Routed, |story| {
-    story.call("x", RouteKind::Moving, 6_000, status(500));
-    story.run("x", RouteKind::Moving, GAMMA, 6_010);
-    story.disturb(5_900, 6_100);
+#[test_case(Guarantee::Once, |scenario| scenario.run("pay", RouteKind::Pay, GAMMA, 6_500))]
+#[test_case(Guarantee::Routed, |scenario| scenario.record.runs[0].machine = GAMMA)]
+#[test_case(Guarantee::Routed, |scenario| {
+    scenario.call("x", RouteKind::Moving, 6_000, status(500));
+    scenario.run("x", RouteKind::Moving, GAMMA, 6_010);
+    scenario.disturb(5_900, 6_100);
 })]
-#[test_case(Guarantee::Slots, |story| story.record.max_running = SLOTS + 1)]
-#[test_case(Guarantee::Uncut, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Cut))]
-#[test_case(Guarantee::Uncut, |story| story.call("x", RouteKind::Read, 6_000, CallEnd::Silent))]
-fn a_broken_promise_is_found(guarantee: Guarantee, breaks: fn(&mut Story)) {
-    let mut story = Story::new();
-    breaks(&mut story);
-    assert_eq!(story.broken(), [guarantee]);
+#[test_case(Guarantee::Slots, |scenario| scenario.record.max_running = SLOTS + 1)]
+#[test_case(Guarantee::Uncut, |scenario| scenario.call("x", RouteKind::Read, 6_000, CallEnd::Cut))]
+#[test_case(Guarantee::Uncut, |scenario| scenario.call("x", RouteKind::Read, 6_000, CallEnd::Silent))]
+fn a_violated_guarantee_is_reported(guarantee: Guarantee, violate: fn(&mut Scenario)) {
+    let mut scenario = Scenario::new();
+    violate(&mut scenario);
+    assert_eq!(scenario.violated_guarantees(), [guarantee]);
 }
 
 #[test]
-fn a_refused_request_that_ran_is_found() {
-    let mut story = Story::new();
-    story.call("refused", RouteKind::Pay, 6_000, status(503));
-    story.run("refused", RouteKind::Pay, GAMMA, 6_700);
-    assert_eq!(story.broken(), [Guarantee::NotRun]);
+fn a_refused_request_that_ran_is_reported() {
+    let mut scenario = Scenario::new();
+    scenario.call("refused", RouteKind::Pay, 6_000, status(503));
+    scenario.run("refused", RouteKind::Pay, GAMMA, 6_700);
+    assert_eq!(scenario.violated_guarantees(), [Guarantee::NotRun]);
 }
 
 #[test]
-fn repeats_beyond_the_budget_are_found() {
-    let mut story = Story::new();
-    // 41 requests and the slack allow 63.2.
+fn retries_beyond_the_budget_are_reported() {
+    let mut scenario = Scenario::new();
+    // The 41 requests and the slack allow 63.2 retries.
     for number in 0..64 {
-        story.run(&format!("read-{}", number % 40), RouteKind::Read, BETA, 6_500);
+        scenario.run(&format!("read-{}", number % 40), RouteKind::Read, BETA, 6_500);
     }
-    assert_eq!(story.broken(), [Guarantee::RetryBudget]);
-    story.record.runs.pop();
-    assert_eq!(story.broken(), []);
+    assert_eq!(scenario.violated_guarantees(), [Guarantee::RetryBudget]);
+    scenario.record.runs.pop();
+    assert_eq!(scenario.violated_guarantees(), []);
 }
 
 #[test]
-fn calls_that_are_not_served_in_calm_are_found() {
-    let mut story = Story::new();
+fn unserved_calls_in_fault_free_periods_are_reported() {
+    let mut scenario = Scenario::new();
     for number in 0..4 {
-        story.call(&format!("x-{number}"), RouteKind::Read, 6_000, status(503));
+        scenario.call(&format!("x-{number}"), RouteKind::Read, 6_000, status(503));
     }
-    assert_eq!(story.broken(), [Guarantee::Served]);
-    story.disturb(5_900, 5_950);
-    assert_eq!(story.broken(), [], "faults excuse it for a while");
+    assert_eq!(scenario.violated_guarantees(), [Guarantee::Served]);
+    scenario.disturb(5_900, 5_950);
+    assert_eq!(scenario.violated_guarantees(), [], "calls may fail soon after a fault");
 }
 
 #[test]
-fn a_cut_while_faults_last_is_not_held_against_anybody() {
-    let mut story = Story::new();
-    story.call("x", RouteKind::Read, 6_000, CallEnd::Cut);
-    story.disturb(5_000, 5_100);
-    assert_eq!(story.broken(), []);
+fn a_lost_connection_during_a_fault_is_not_a_violation() {
+    let mut scenario = Scenario::new();
+    scenario.call("x", RouteKind::Read, 6_000, CallEnd::Cut);
+    scenario.disturb(5_000, 5_100);
+    assert_eq!(scenario.violated_guarantees(), []);
 }
 
 #[test]
-fn an_old_configuration_is_found_after_its_time() {
-    let mut story = Story::new();
-    let acked = story.at(6_000);
-    story.record.configs.push(ConfigWrite { moving: "gamma", acked });
-    story.call("soon", RouteKind::Moving, 8_000, ok());
-    story.run("soon", RouteKind::Moving, BETA, 8_010);
-    assert_eq!(story.broken(), []);
-    story.call("late", RouteKind::Moving, 8_600, ok());
-    story.run("late", RouteKind::Moving, BETA, 8_610);
-    assert_eq!(story.broken(), [Guarantee::InForce]);
+fn a_stale_configuration_is_reported_after_the_bound() {
+    let mut scenario = Scenario::new();
+    let acked = scenario.at(6_000);
+    scenario.record.configs.push(ConfigWrite { moving: "gamma", acked });
+    scenario.call("soon", RouteKind::Moving, 8_000, ok());
+    scenario.run("soon", RouteKind::Moving, BETA, 8_010);
+    assert_eq!(scenario.violated_guarantees(), []);
+    scenario.call("late", RouteKind::Moving, 8_600, ok());
+    scenario.run("late", RouteKind::Moving, BETA, 8_610);
+    assert_eq!(scenario.violated_guarantees(), [Guarantee::InForce]);
 }
 
 #[test]
-fn work_for_a_draining_target_is_found_after_its_time() {
-    let mut story = Story::new();
-    let (acked, until) = (story.at(4_000), story.at(20_000));
-    story.record.drains.push(DrainSpan { machine: BETA, acked, until });
-    assert_eq!(story.broken(), []);
-    story.call("late", RouteKind::Read, 6_600, ok());
-    story.run("late", RouteKind::Read, BETA, 6_610);
-    assert_eq!(story.broken(), [Guarantee::Drained]);
+fn requests_to_a_draining_target_are_reported_after_the_bound() {
+    let mut scenario = Scenario::new();
+    let (acked, until) = (scenario.at(4_000), scenario.at(20_000));
+    scenario.record.drains.push(DrainSpan { machine: BETA, acked, until });
+    assert_eq!(scenario.violated_guarantees(), []);
+    scenario.call("late", RouteKind::Read, 6_600, ok());
+    scenario.run("late", RouteKind::Read, BETA, 6_610);
+    assert_eq!(scenario.violated_guarantees(), [Guarantee::Drained]);
 }
 
 #[test]
-fn callers_that_come_to_a_process_which_was_asked_to_stop_are_not_counted() {
-    let mut story = Story::new();
+fn connections_refused_by_a_stopping_process_are_not_counted() {
+    let mut scenario = Scenario::new();
     for number in 0..10 {
-        story.call(&format!("x-{number}"), RouteKind::Read, 6_000, CallEnd::Unreached);
+        scenario.call(&format!("x-{number}"), RouteKind::Read, 6_000, CallEnd::Unreached);
     }
-    assert_eq!(story.broken(), [Guarantee::Served]);
-    let requested = story.at(5_900);
-    story.record.stops.push(StopSpan { machine: ALPHA, requested, grace: Duration::from_secs(6) });
-    assert_eq!(story.broken(), []);
+    assert_eq!(scenario.violated_guarantees(), [Guarantee::Served]);
+    let requested = scenario.at(5_900);
+    scenario.record.stops.push(StopSpan { machine: ALPHA, requested, grace: Duration::from_secs(6) });
+    assert_eq!(scenario.violated_guarantees(), []);
 }
