--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use hyper::Response;
+use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_mesh::configuration::Retryability;
-use quillhatch_mesh::cut::Cut;
 use quillhatch_mesh::routing::choose_service;
 use quillhatch_mesh::targets::{Target, TargetId};
 
@@ -15,8 +15,8 @@
 use super::Call;
 use crate::body::Body;
 use crate::counters::Counters;
+use crate::liveness;
 use crate::node::Node;
-use crate::presence;
 
 /// The minimum time until the deadline with which an attempt is started.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(4);
@@ -55,7 +55,7 @@
     let Some(service) = service else {
         return refuse(node, &call.id, "no-destination", NO_DESTINATION_RETRY_AFTER, call.arrived);
     };
-    node.count_call(&service, call.lineage.is_repeat);
+    node.count_call(&service, call.lineage.is_retry);
     let dispatch_until = call.arrived + call.route.latency_objective.mul_f64(super::attempt::DISPATCH_FRACTION);
     let mut call = call;
     let mut body = Some(body);
@@ -78,11 +78,11 @@
                 progress.tried.clear();
                 continue;
             }
-            node.cuts.borrow_mut().report(&call.route.name, Cut::after(0.0), now);
+            node.cuts.borrow_mut().record_report(&call.route.name, AdmissionLevel::from_priority_share(0.0), now);
             return give_up(&call, &progress, "no-target");
         };
         let runs_once = call.route.retryability == Retryability::AtMostOnce;
-        if runs_once && !presence::is_there_now(node, &target).await {
+        if runs_once && !liveness::is_live_now(node, &target).await {
             node.log_failure(|| {
                 failed_attempt_line(&call, &target, "node did not answer the liveness probe; not sent")
             });
@@ -97,7 +97,7 @@
             can_be_retried
                 && has_other_target(node, &service, &target, &progress.tried)
                 && should_abandon(node, &call)
-                && node.try_repeat(&service)
+                && node.try_retry(&service)
         };
         let ended = attempt(node, &call, &target, sent, may_abandon).await;
         progress.tried.push(target.id.clone());
@@ -115,14 +115,14 @@
             }
             Attempt::NotRun(why) => {
                 node.log_failure(|| failed_attempt_line(&call, &target, why));
-                node.balance.borrow_mut().refused(&target.id, node.now());
+                node.balance.borrow_mut().record_refusal(&target.id, node.now());
             }
             Attempt::TargetReplaced => {}
             Attempt::Rejected => {
                 node.log_failure(|| failed_attempt_line(&call, &target, "rejected"));
                 // The target refuses quickly, so it would attract calls, each of which costs a retry.
-                node.balance.borrow_mut().refused(&target.id, node.now());
-                if !node.try_repeat(&service) {
+                node.balance.borrow_mut().record_refusal(&target.id, node.now());
+                if !node.try_retry(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
                 note_retry(node, &mut call);
@@ -132,7 +132,7 @@
             Attempt::NoResponse(why) => {
                 node.log_failure(|| failed_attempt_line(&call, &target, &why));
                 progress.runs += 1;
-                if !progress.may_retry(&call) || !node.try_repeat(&service) {
+                if !progress.may_retry(&call) || !node.try_retry(&service) {
                     return give_up(&call, &progress, "broken");
                 }
                 note_retry(node, &mut call);
@@ -158,7 +158,7 @@
     let balance = node.balance.borrow();
     let now = node.now();
     let response_time = call.route.latency_objective.min(now.until(call.deadline));
-    let sender_place = balance.place(&node.settings.zone, &call.route.name, response_time);
+    let sender_place = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
     balance.choose(members, tried, sender_place, now, &mut *random)
 }
 
@@ -171,12 +171,12 @@
 
 /// Whether the services that calls of this route need have spare capacity.
 fn has_spare_capacity(node: &Node, call: &Call) -> bool {
-    node.cuts.borrow().cut(&call.route.name, node.now()).is_open()
+    node.cuts.borrow().level(&call.route.name, node.now()).admits_all()
 }
 
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
 fn note_retry(node: &Node, call: &mut Call) {
-    call.lineage.is_repeat = true;
+    call.lineage.is_retry = true;
     Counters::add(&node.counters.retries);
 }
 
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -8,11 +8,11 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-use quillhatch_mesh::callers::CalledBy;
-use quillhatch_mesh::cut::Cut;
+use quillhatch_mesh::admission_level::AdmissionLevel;
+use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::freshness::FreshnessProof;
 use quillhatch_mesh::gate::Load;
-use quillhatch_mesh::parents::Lineage;
+use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::replica::Position;
 
 /// The name of the header.
@@ -51,7 +51,7 @@
     /// Whether the call is a root call, which enters the call graph at the edge. Otherwise a target makes it.
     pub is_root: bool,
     /// What the call inherits from its root call.
-    pub lineage: Lineage,
+    pub lineage: InheritedContext,
     /// The maximum time that the call may wait in the gate's queue.
     pub max_wait: Duration,
     /// The edge's view of the store.
@@ -63,11 +63,11 @@
 impl HopContext {
     /// Encodes the value of the header.
     pub fn encode(&self) -> String {
-        let Lineage { priority, position, is_repeat, admitted_permille } = self.lineage;
-        let (is_root, is_repeat) = (u8::from(self.is_root), u8::from(is_repeat));
+        let InheritedContext { priority, position, is_retry, admitted_permille } = self.lineage;
+        let (is_root, is_retry) = (u8::from(self.is_root), u8::from(is_retry));
         let max_wait = self.max_wait.as_millis();
         let (store_view, edge_ip) = (self.store_view.encode(), self.edge_ip);
-        format!("{is_root};{priority};{position};{is_repeat};{admitted_permille};{max_wait};{store_view};{edge_ip}")
+        format!("{is_root};{priority};{position};{is_retry};{admitted_permille};{max_wait};{store_view};{edge_ip}")
     }
 
     /// Decodes the value of the header.
@@ -75,8 +75,8 @@
         let mut parts = text.split(';');
         let is_root = parts.next()? == "1";
         let (priority, position) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-        let (is_repeat, admitted_permille) = (parts.next()? == "1", parts.next()?.parse().ok()?);
-        let lineage = Lineage { priority, position, is_repeat, admitted_permille };
+        let (is_retry, admitted_permille) = (parts.next()? == "1", parts.next()?.parse().ok()?);
+        let lineage = InheritedContext { priority, position, is_retry, admitted_permille };
         let max_wait = Duration::from_millis(parts.next()?.parse().ok()?);
         let store_view = StoreView::decode(parts.next()?)?;
         let edge_ip = parts.next()?.parse().ok()?;
@@ -154,11 +154,11 @@
     /// The gate's load.
     pub load: Load,
     /// The cut of the call's route, lowered to the cuts of the routes that it calls. Edges apply it to root calls.
-    pub cut: Cut,
+    pub cut: AdmissionLevel,
     /// The share of the target's responses that are successful.
     pub health: f64,
     /// Whether targets or callers call the route.
-    pub called_by: CalledBy,
+    pub called_by: CallerKind,
     /// The gate's view of the store.
     pub store_view: StoreView,
     /// When the gate's configuration was last known to be the newest, if that is needed and known.
@@ -176,19 +176,19 @@
     pub service: String,
 }
 
-fn encode_called_by(called_by: CalledBy) -> u8 {
+fn encode_called_by(called_by: CallerKind) -> u8 {
     match called_by {
-        CalledBy::Unknown => 0,
-        CalledBy::Targets => 1,
-        CalledBy::Callers => 2,
+        CallerKind::Unknown => 0,
+        CallerKind::TargetsOnly => 1,
+        CallerKind::IncludesCallers => 2,
     }
 }
 
-fn decode_called_by(number: u64) -> CalledBy {
+fn decode_called_by(number: u64) -> CallerKind {
     match number {
-        1 => CalledBy::Targets,
-        2 => CalledBy::Callers,
-        _ => CalledBy::Unknown,
+        1 => CallerKind::TargetsOnly,
+        2 => CallerKind::IncludesCallers,
+        _ => CallerKind::Unknown,
     }
 }
 
@@ -205,7 +205,7 @@
     /// Encodes the value of the header.
     pub fn encode(&self) -> String {
         let Load { running, limit, waiting } = self.load;
-        let cut = (self.cut.share() * CUT_STEPS).round() as u32;
+        let cut = (self.cut.priority_share() * CUT_STEPS).round() as u32;
         let health = (self.health * HEALTH_STEPS).round() as u32;
         let called_by = encode_called_by(self.called_by);
         let code = self.outcome.code();
@@ -226,7 +226,7 @@
         let outcome = GateOutcome::from_code(parts.next()?)?;
         let mut number = || parts.next()?.parse::<u64>().ok();
         let load = Load { running: number()? as u32, limit: number()? as u32, waiting: number()? as u32 };
-        let cut = Cut::after(number()? as f64 / CUT_STEPS);
+        let cut = AdmissionLevel::from_priority_share(number()? as f64 / CUT_STEPS);
         let health = number()? as f64 / HEALTH_STEPS;
         let called_by = decode_called_by(number()?);
         let store_view = StoreView::decode(parts.next()?)?;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
-//! A sidecar process: one thread that takes calls of callers and of its own target, hands calls of other nodes to its
-//! target, and follows the platform's store. What it decides is in `quillhatch-mesh`.
+//! A sidecar process. On one thread it accepts calls from callers and from its local target, forwards calls of other
+//! nodes to that target, and replicates the platform's store. `quillhatch-mesh` contains the decision logic.
 
 pub mod body;
 pub mod caller_io;
@@ -14,17 +14,17 @@
 pub mod keyed_lock;
 pub mod limits;
 pub mod listener;
+pub mod liveness;
+pub mod local_target;
 pub mod logging;
 pub mod metrics;
 pub mod node;
 pub mod pipeline;
 pub mod pool;
-pub mod presence;
-pub mod present_target;
 pub mod quarantine;
-pub mod reach;
 pub mod relay;
 pub mod run;
 pub mod stop;
 pub mod store;
+pub mod store_view;
 pub mod tenancy;
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -22,7 +22,7 @@
 const UNREAD_CLOSE_TOLERANCE: Duration = Duration::from_millis(200);
 /// The minimum share of calls that must be served in fault-free periods.
 const MIN_SERVED_SHARE: f64 = 0.95;
-/// The number of retries that a service may receive in a window in addition to the ratio.
+/// The number of retries that a service may receive in a window in addition to [`RETRY_RATIO`].
 const RETRY_SLACK: f64 = 55.0;
 /// The maximum ratio of retries to requests of a service.
 const RETRY_RATIO: f64 = 0.2;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -16,7 +16,7 @@
 
 /// The period of the processor quota of a throttled process, as the platform documents it.
 const QUOTA_PERIOD: Duration = Duration::from_millis(100);
-/// The part of the period in which a throttled process runs: the least share of a core that the platform's machines
+/// The part of the period in which a throttled process runs: the smallest share of a core that the platform's machines
 /// have (0.4).
 const QUOTA_RUN_TIME: Duration = Duration::from_millis(40);
 
