--- a/crates/sidecar/src/store/client.rs
+++ b/crates/sidecar/src/store/client.rs
@@ -8,7 +8,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use quillhatch_platform::headers;
-use quillhatch_platform::store::{AnswerError, Page};
+use quillhatch_platform::store::{Page, PageError};
 use tokio::time::timeout;
 
 use crate::body::Body;
@@ -31,7 +31,7 @@
     Status(StatusCode),
     /// The response can't be parsed.
     #[display("{_0}")]
-    Answer(AnswerError),
+    Answer(PageError),
     /// The store was restored from a backup, or the response is from before the restore.
     #[display("the response is from another era of the store")]
     OtherEra,
@@ -62,7 +62,7 @@
     node: &Rc<Node>,
     path: &str,
     limit: Duration,
-    read: impl Fn(&[u8]) -> Result<Page, AnswerError>,
+    read: impl Fn(&[u8]) -> Result<Page, PageError>,
 ) -> Result<StoreAnswer, StoreError> {
     Counters::increment(&node.counters.store_requests);
     let address = node.settings.store;
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -11,7 +11,7 @@
 use support::caller::{call, request, Answer, Caller};
 use support::limits::{pay, read, two_machines, HOST};
 use support::store::StandInStore;
-use support::target::{ChainedCall, Habit};
+use support::target::{ChainedCall, TargetBehaviour};
 use support::{eventually, run, Machine};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
@@ -24,7 +24,7 @@
         assert_eq!((answer.status, answer.body.as_slice()), (200, b"the answer to one".as_slice()));
         assert_eq!(answer.header("quillhatch-server-stamp"), "stamp-one");
         assert_eq!(answer.header("quillhatch-hop"), "", "the hop header is not sent to callers");
-        let seen = alpha.target.ran().remove(0);
+        let seen = alpha.target.started_requests().remove(0);
         assert_eq!(
             (seen.method.as_str(), seen.path.as_str(), seen.body.as_slice()),
             ("POST", "/pay/", b"amount=7".as_slice())
@@ -47,7 +47,7 @@
             "\r\nQuillhatch-Caller-Service: forged\r\nQuillhatch-Expect-Instance: forged\r\nQuillhatch-Hop: 1;0;1\r\n\r\n",
         );
         assert_eq!(call(beta.outbound(), &forged).await.expect("a response").status, 200);
-        let seen = alpha.target.ran().remove(0);
+        let seen = alpha.target.started_requests().remove(0);
         assert_eq!(seen.header("quillhatch-caller-service"), "beta");
         assert_eq!(seen.header("quillhatch-expect-instance"), alpha.target.id());
     });
@@ -59,7 +59,7 @@
         let (_store, alpha, beta) = two_machines().await;
         let deep = request("GET", HOST, "/read/deep/x", "one", 5000, "");
         assert_eq!(call(beta.outbound(), &deep).await.expect("a response").status, 200);
-        assert_eq!((alpha.target.ran().len(), beta.target.ran().len()), (0, 1));
+        assert_eq!((alpha.target.started_requests().len(), beta.target.started_requests().len()), (0, 1));
         for (host, path) in [(HOST, "/none/"), ("other.example", "/read/")] {
             let unknown = request("GET", host, path, "two", 5000, "");
             assert_eq!(call(beta.outbound(), &unknown).await.expect("a response").status, 404);
@@ -67,20 +67,20 @@
     });
 }
 
-#[test_case(Habit::Foreign; "response to another request")]
-#[test_case(Habit::BreaksOff; "response that ends early")]
-#[test_case(Habit::Unsigned; "response without a server stamp")]
-#[test_case(Habit::Garbage; "bytes that are no HTTP response")]
-#[test_case(Habit::Lost; "no response")]
-fn an_invalid_response_is_a_502_and_is_not_retried(habit: Habit) {
+#[test_case(TargetBehaviour::WrongRequestId; "response to another request")]
+#[test_case(TargetBehaviour::TruncatedBody; "response that ends early")]
+#[test_case(TargetBehaviour::Unsigned; "response without a server stamp")]
+#[test_case(TargetBehaviour::Garbage; "bytes that are no HTTP response")]
+#[test_case(TargetBehaviour::NoAnswer; "no response")]
+fn an_invalid_response_is_a_502_and_is_not_retried(habit: TargetBehaviour) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(habit);
+        alpha.target.set_behaviour(habit);
         let answer = call(beta.outbound(), &pay("one")).await.expect("a response");
         assert_eq!(answer.status, 502);
         assert_eq!(answer.header("quillhatch-server-stamp"), "", "an error of the node itself has no server stamp");
-        assert_eq!(alpha.target.ran().len(), 1);
-        alpha.target.set_habit(Habit::Good);
+        assert_eq!(alpha.target.started_requests().len(), 1);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
         let next = call(beta.outbound(), &pay("two")).await.expect("a response");
         assert_eq!(next.body, b"the answer to two", "no bytes are left over from the previous connection");
     });
@@ -90,7 +90,7 @@
 fn a_surplus_response_reaches_no_caller() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Surplus);
+        alpha.target.set_behaviour(TargetBehaviour::SecondAnswer);
         let mut caller = Caller::connect(beta.outbound()).await;
         for number in 0..6 {
             let id = format!("call-{number}");
@@ -108,7 +108,7 @@
 fn a_response_without_a_length_arrives_complete() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Unframed);
+        alpha.target.set_behaviour(TargetBehaviour::NoContentLength);
         let answer = call(beta.outbound(), &read("one")).await.expect("a response");
         assert_eq!((answer.status, answer.body.as_slice()), (200, b"the answer to one".as_slice()));
     });
@@ -118,10 +118,10 @@
 fn an_error_response_of_a_target_is_returned_unchanged() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Failing);
+        alpha.target.set_behaviour(TargetBehaviour::ServerError);
         let answer = call(beta.outbound(), &read("one")).await.expect("a response");
         assert_eq!((answer.status, answer.header("quillhatch-server-stamp")), (500, "stamp-one"));
-        assert_eq!(alpha.target.ran().len(), 1, "a call that has run and failed is not retried here");
+        assert_eq!(alpha.target.started_requests().len(), 1, "a call that has run and failed is not retried here");
     });
 }
 
@@ -152,7 +152,7 @@
             }
         }
         assert!(refused > 0, "no call was refused");
-        assert_eq!(alpha.target.arrivals(), 40 - refused);
+        assert_eq!(alpha.target.received_count(), 40 - refused);
     });
 }
 
@@ -160,11 +160,11 @@
 fn a_shedding_target_results_in_a_503_with_retry_after() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Sheds);
+        alpha.target.set_behaviour(TargetBehaviour::RefusesRequests);
         let answer = call(beta.outbound(), &pay("one")).await.expect("a response");
         assert_eq!(answer.status, 503);
         assert!(RETRY_AFTER_S.contains(&retry_after_s(&answer)), "{}", retry_after_s(&answer));
-        assert!(alpha.target.ran().is_empty());
+        assert!(alpha.target.started_requests().is_empty());
     });
 }
 
@@ -172,7 +172,7 @@
 fn a_call_times_out_at_its_route_timeout() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(5)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
         let begun = Instant::now();
         let answer = call(beta.outbound(), &read("one")).await.expect("a response");
         assert_eq!(answer.status, 504);
@@ -184,7 +184,7 @@
 fn a_target_never_runs_more_calls_than_its_slots() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(100)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(100)));
         let calls = (0..12).map(|number| {
             let outbound = beta.outbound();
             tokio::task::spawn_local(async move { call(outbound, &read(&format!("call-{number}"))).await })
@@ -195,8 +195,8 @@
             let answer = call.await.expect("the caller ends").expect("a response");
             refused += usize::from(answer.status == 503);
         }
-        assert!(alpha.target.most_running() <= 4, "{}", alpha.target.most_running());
-        assert_eq!(alpha.target.ran().len() + refused, 12, "a call that does not run is refused");
+        assert!(alpha.target.max_running() <= 4, "{}", alpha.target.max_running());
+        assert_eq!(alpha.target.started_requests().len() + refused, 12, "a call that does not run is refused");
     });
 }
 
@@ -210,7 +210,7 @@
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &text).await.expect("a response").status, status);
-        assert_eq!(alpha.target.arrivals(), 0);
+        assert_eq!(alpha.target.received_count(), 0);
     });
 }
 
@@ -238,7 +238,7 @@
         eventually("the frozen one is listed", || beta.node().targets.borrow().len() == 3).await;
         // The load balancer prefers a target without measurements to one that has become slower, whatever noise there
         // was before.
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(20)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(20)));
         let mut slowest = Duration::ZERO;
         for number in 0..60 {
             let begun = Instant::now();
@@ -270,7 +270,7 @@
             .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n");
         let chunks = format!("{:x}\r\n{half}\r\n{:x}\r\n{rest}\r\n0\r\n\r\n", half.len(), rest.len());
         let answer = call(beta.outbound(), &(chunked + &chunks)).await.expect("a response");
-        let ran = alpha.target.ran();
+        let ran = alpha.target.started_requests();
         assert!(ran[0].body == body.as_bytes(), "{} of {length} bytes", ran[0].body.len());
         if length < 64 * 1024 {
             assert_eq!(answer.status, 200);
@@ -288,7 +288,7 @@
                 r#"{{"name":"{name}","kind":"safe","aim_s":1,"priority":1,"match":{{"prefix":"/{name}/"}},"action":{{"splits":[{{"service":"{service}","weight":1}}],"timeout_s":2,"max_attempts":2}}}}"#
             )
         };
-        store.configure(&format!(
+        store.write_configuration(&format!(
             r#"{{"version":"r3","listeners":[{{"host":"{HOST}","rules":[{},{}]}}],"clusters":[{{"name":"alpha","health_path":"/health"}},{{"name":"beta","health_path":"/health"}}]}}"#,
             rule("chain", "alpha"),
             rule("read", "beta")
@@ -297,7 +297,7 @@
         let alphas = [Machine::start(&store, "alpha", 8).await, Machine::start(&store, "alpha", 8).await];
         for alpha in &alphas {
             let call = ChainedCall { outbound: alpha.outbound(), host: HOST.to_owned(), path: "/read/x".to_owned() };
-            alpha.target.chain(call);
+            alpha.target.set_chained_call(call);
             eventually("all are listed", || alpha.node().targets.borrow().len() == 3).await;
         }
         eventually("all are listed", || beta.node().targets.borrow().len() == 3).await;
@@ -312,11 +312,15 @@
             alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
-        alphas.iter().for_each(|alpha| alpha.target.set_habit(Habit::Lost));
+        alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoAnswer));
         assert_eq!(call(beta.outbound(), &chain("twice")).await.expect("a response").status, 502);
         assert_eq!(counted(), 1, "the call nested in the second attempt");
-        let below =
-            beta.target.ran().iter().filter(|seen| seen.header("quillhatch-request-id") == "twice-chained").count();
+        let below = beta
+            .target
+            .started_requests()
+            .iter()
+            .filter(|seen| seen.header("quillhatch-request-id") == "twice-chained")
+            .count();
         assert_eq!(below, 2);
     });
 }
@@ -334,7 +338,7 @@
             r#"{{"name":"{name}","kind":"safe","aim_s":1,"match":{{"prefix":"/{name}/"}},"action":{{"service":"{service}","timeout_s":2,"max_attempts":2}}}}"#
         )
     };
-    store.configure(&format!(
+    store.write_configuration(&format!(
         r#"{{"version":"r3","listeners":[{{"host":"{HOST}","rules":[{},{}]}}],"clusters":[{{"name":"alpha","health_path":"/health"}},{{"name":"beta","health_path":"/health"}}]}}"#,
         rule("chain", "alpha"),
         rule("read", "beta")
@@ -342,7 +346,7 @@
     let betas = [Machine::start(&store, "beta", 8).await, Machine::start(&store, "beta", 8).await];
     let alpha = Machine::start(&store, "alpha", 8).await;
     let outbound = alpha.outbound();
-    alpha.target.chain(ChainedCall { outbound, host: HOST.to_owned(), path: "/read/x".to_owned() });
+    alpha.target.set_chained_call(ChainedCall { outbound, host: HOST.to_owned(), path: "/read/x".to_owned() });
     eventually("all are listed", || betas[0].node().targets.borrow().len() == 3).await;
     for number in 0..40 {
         let answer = call(betas[0].outbound(), &chain(&format!("good-{number}"))).await.expect("a response");
@@ -359,10 +363,10 @@
         let (_store, _alpha, betas) = chained_machines().await;
         // The target that is chosen now is made slow: which of the two is faster depends on the machine that runs the
         // test.
-        betas.iter().for_each(|beta| drop(beta.target.take_ran()));
+        betas.iter().for_each(|beta| drop(beta.target.take_started_requests()));
         assert_eq!(call(betas[0].outbound(), &chain("last")).await.expect("a response").status, 200);
-        let slow = betas.iter().find(|beta| !beta.target.ran().is_empty()).expect("one has run it");
-        slow.target.set_habit(Habit::Slow(Duration::from_secs(4)));
+        let slow = betas.iter().find(|beta| !beta.target.started_requests().is_empty()).expect("one has run it");
+        slow.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(4)));
         let begun = Instant::now();
         for number in 0..20 {
             let answer = call(betas[0].outbound(), &chain(&format!("slow-{number}"))).await.expect("a response");
@@ -377,7 +381,7 @@
 fn a_stopping_node_abandons_no_slow_attempt() {
     run(async {
         let (_store, alpha, betas) = chained_machines().await;
-        betas.iter().for_each(|beta| beta.target.set_habit(Habit::Slow(Duration::from_millis(900))));
+        betas.iter().for_each(|beta| beta.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(900))));
         let stops = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
             alpha.node().stage.set(Stage::Stopping);
@@ -394,17 +398,17 @@
 fn a_target_that_responds_before_reading_the_body_receives_no_foreign_bytes(length: usize) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Early);
+        alpha.target.set_behaviour(TargetBehaviour::EarlyAnswer);
         for number in 0..3 {
             let body = "b".repeat(length - number);
             let text = request("POST", HOST, "/pay/", &format!("early-{number}"), 5000, &body);
             let answer = call(beta.outbound(), &text).await.expect("a response");
             assert_eq!((answer.status, answer.body), (200, format!("the answer to early-{number}").into_bytes()));
         }
-        alpha.target.set_habit(Habit::Good);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
         assert_eq!(call(beta.outbound(), &pay("after")).await.expect("a response").status, 200);
-        let read = alpha.target.read_late();
+        let read = alpha.target.late_bodies();
         assert!(read.iter().all(|body| body.iter().all(|byte| *byte == b'b')), "foreign bytes in a body");
-        assert_eq!(alpha.target.arrivals(), 4);
+        assert_eq!(alpha.target.received_count(), 4);
     });
 }
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -14,7 +14,7 @@
 
 use support::caller::{call, request, Answer};
 use support::store::StandInStore;
-use support::target::{ChainedCall, CrashRule, Habit};
+use support::target::{ChainedCall, CrashRule, TargetBehaviour};
 use support::{eventually, run, start_sidecar, Machine, OUTBOUND};
 use tokio::time::{sleep, Instant};
 
@@ -55,12 +55,12 @@
     /// Starts all machines. Crashed targets restart, with `keeps_id` under their previous identities.
     async fn start_with(keeps_id: bool) -> Self {
         let store = StandInStore::start().await;
-        store.configure(&document());
+        store.write_configuration(&document());
         let beta = Machine::start(&store, "beta", 8).await;
         let mut alphas = Vec::new();
         for _ in 0..TARGETS {
             let alpha = Machine::start(&store, "alpha", 8).await;
-            alpha.target.crash_on(CrashRule {
+            alpha.target.set_crash_rule(CrashRule {
                 path: CRASHING_PATH.to_owned(),
                 after: CRASHES_AFTER,
                 down_for: DOWN_FOR,
@@ -87,7 +87,7 @@
     /// Renews the registrations of all targets.
     fn heartbeat(&self) {
         for alpha in &self.alphas {
-            self.store.list(&alpha.target, "ready");
+            self.store.register(&alpha.target, "ready");
         }
     }
 
@@ -171,7 +171,7 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Slow(Duration::from_millis(30)));
+            alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(30)));
         }
         let beside = async {
             let (mut first, mut second) = (Vec::new(), Vec::new());
@@ -194,7 +194,7 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Slow(Duration::from_millis(30)));
+            alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(30)));
         }
         let kills = async {
             for round in 0..6 {
@@ -227,7 +227,7 @@
         let outbound = SocketAddr::from((address, OUTBOUND));
         for number in 0..20 {
             fleet.heartbeat();
-            fleet.store.list(&alpha.target, "ready");
+            fleet.store.register(&alpha.target, "ready");
             call(outbound, &request("GET", HOST, CRASHING_PATH, &format!("again-{number}"), 3000, "")).await;
             sleep(Duration::from_millis(30)).await;
         }
@@ -240,7 +240,7 @@
     run(async {
         let fleet = Fleet::start().await;
         let beta = &fleet.beta;
-        beta.target.chain(ChainedCall {
+        beta.target.set_chained_call(ChainedCall {
             outbound: beta.outbound(),
             host: HOST.to_owned(),
             path: CRASHING_PATH.to_owned(),
@@ -266,13 +266,13 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Lost);
+            alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
         }
         fleet.send_copies("/read/lost", "lost", Duration::from_secs(2)).await;
         sleep(Duration::from_millis(500)).await;
         assert!(fleet.alphas.iter().all(|alpha| alpha.node().quarantine.borrow().is_empty()));
         for alpha in &fleet.alphas {
-            alpha.target.set_habit(Habit::Good);
+            alpha.target.set_behaviour(TargetBehaviour::Normal);
         }
         assert_served_everywhere(&fleet, "/read/lost").await;
     });
--- a/crates/sidecar/tests/draining_targets.rs
+++ b/crates/sidecar/tests/draining_targets.rs
@@ -7,8 +7,8 @@
 use quillhatch_sidecar::store_view::own_store_view;
 use support::caller::call;
 use support::shop::{document, read};
-use support::store::{Mode, StandInStore};
-use support::target::{Habit, Health};
+use support::store::{StandInStore, StoreMode};
+use support::target::{HealthStatus, TargetBehaviour};
 use support::{eventually, run, Machine, BOUNDS};
 use tokio::time::{sleep, Instant};
 
@@ -29,13 +29,13 @@
 impl Fleet {
     async fn start(count: usize) -> Self {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut addresses = Vec::new();
         let mut machines = Vec::new();
         for _ in 0..count {
-            let address = store.another_address().await;
+            let address = store.add_listener().await;
             let machine = Machine::start(&address, "alpha", 8).await;
-            machine.target.set_habit(Habit::Slow(WORK_TIME));
+            machine.target.set_behaviour(TargetBehaviour::Slow(WORK_TIME));
             machines.push(machine);
             addresses.push(address);
         }
@@ -47,7 +47,7 @@
     /// Simulates an outage of the store. For one node that had queried the store during the outage, it ends only after
     /// the other nodes have reconnected and that node has learned of it from them. Returns the index of that node.
     async fn run_outage(&self) -> usize {
-        self.addresses.iter().for_each(|address| address.set_mode(Mode::Silent));
+        self.addresses.iter().for_each(|address| address.set_mode(StoreMode::Unresponsive));
         let has_failed = |machine: &Machine| {
             let node = machine.node();
             !node.feed.role.borrow().is_head && node.store_access_lost.get()
@@ -56,14 +56,14 @@
         let last = self.machines.iter().position(has_failed).expect("one has");
         for (number, address) in self.addresses.iter().enumerate() {
             if number != last {
-                address.set_mode(Mode::Normal);
+                address.set_mode(StoreMode::Normal);
             }
         }
         let follows = |machine: &Machine| machine.node().feed.store_loss.get().since().is_none();
         eventually("all have access to the store", || self.machines.iter().all(follows)).await;
         sleep(STORE_REQUEST_TIME).await;
         eventually("all still have access", || self.machines.iter().all(follows)).await;
-        self.addresses[last].set_mode(Mode::Normal);
+        self.addresses[last].set_mode(StoreMode::Normal);
         last
     }
 
@@ -96,13 +96,13 @@
         let number = follower_index(&fleet);
         let draining = &fleet.machines[number];
         fleet.keep_calling("before", Duration::from_secs(1)).await;
-        draining.target.set_health(Health::Leaving);
-        fleet.store.unlist(&draining.target.id());
-        fleet.addresses[number].set_mode(Mode::Silent);
+        draining.target.set_health(HealthStatus::Draining);
+        fleet.store.deregister(&draining.target.id());
+        fleet.addresses[number].set_mode(StoreMode::Unresponsive);
         fleet.keep_calling("draining", BOUNDS.drain).await;
-        draining.target.take_ran();
+        draining.target.take_started_requests();
         fleet.keep_calling("drained", Duration::from_secs(3)).await;
-        assert_eq!(draining.target.take_ran().len(), 0, "calls after the drain bound");
+        assert_eq!(draining.target.take_started_requests().len(), 0, "calls after the drain bound");
     });
 }
 
@@ -112,16 +112,19 @@
         let fleet = Fleet::start(8).await;
         let number = follower_index(&fleet);
         let draining = &fleet.machines[number];
-        fleet.addresses[number].set_mode(Mode::Silent);
-        fleet.store.unlist(&draining.target.id());
+        fleet.addresses[number].set_mode(StoreMode::Unresponsive);
+        fleet.store.deregister(&draining.target.id());
         fleet.keep_calling("partitioned", Duration::from_secs(4)).await;
-        assert!(!draining.target.take_ran().is_empty(), "its registration has expired, and it still serves");
-        fleet.addresses[number].set_mode(Mode::Normal);
-        draining.target.set_health(Health::Leaving);
+        assert!(
+            !draining.target.take_started_requests().is_empty(),
+            "its registration has expired, and it still serves"
+        );
+        fleet.addresses[number].set_mode(StoreMode::Normal);
+        draining.target.set_health(HealthStatus::Draining);
         fleet.keep_calling("draining", BOUNDS.drain).await;
-        draining.target.take_ran();
+        draining.target.take_started_requests();
         fleet.keep_calling("drained", Duration::from_secs(3)).await;
-        assert_eq!(draining.target.take_ran().len(), 0, "calls after the drain bound");
+        assert_eq!(draining.target.take_started_requests().len(), 0, "calls after the drain bound");
     });
 }
 
@@ -131,13 +134,13 @@
         let fleet = Fleet::start(8).await;
         let number = follower_index(&fleet);
         let full = &fleet.machines[number];
-        full.target.set_health(Health::Full);
-        fleet.addresses[number].set_mode(Mode::Silent);
-        fleet.store.unlist(&full.target.id());
+        full.target.set_health(HealthStatus::AtCapacity);
+        fleet.addresses[number].set_mode(StoreMode::Unresponsive);
+        fleet.store.deregister(&full.target.id());
         fleet.keep_calling("partitioned", Duration::from_secs(4)).await;
-        full.target.take_ran();
+        full.target.take_started_requests();
         fleet.keep_calling("still partitioned", Duration::from_secs(1)).await;
-        assert!(!full.target.take_ran().is_empty(), "its registration has expired, and it still serves");
+        assert!(!full.target.take_started_requests().is_empty(), "its registration has expired, and it still serves");
     });
 }
 
@@ -150,11 +153,11 @@
         let draining = &fleet.machines[number];
         let reports_loss = own_store_view(draining.node()).store_unreachable;
 
-        fleet.store.unlist(&draining.target.id());
+        fleet.store.deregister(&draining.target.id());
         fleet.keep_calling("draining", BOUNDS.drain).await;
-        draining.target.take_ran();
+        draining.target.take_started_requests();
         fleet.keep_calling("drained", Duration::from_secs(2)).await;
-        let late_calls = draining.target.take_ran().len();
+        let late_calls = draining.target.take_started_requests().len();
         assert_eq!(
             (late_calls, reports_loss),
             (0, false),
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -7,7 +7,7 @@
 
 use support::caller::call;
 use support::shop::{document, read, two_machines};
-use support::store::{Mode, StandInStore};
+use support::store::{StandInStore, StoreMode};
 use support::{eventually, run, start_sidecar, FullListener, Machine, BOUNDS};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
@@ -29,12 +29,12 @@
 
 async fn store_calls_in_three_seconds(count: usize) -> usize {
     let store = StandInStore::start().await;
-    store.configure(&document(5, "alpha"));
+    store.write_configuration(&document(5, "alpha"));
     let machines = start_machines(&store, count).await;
     sleep(Duration::from_millis(1500)).await;
     let before = store.calls();
     for version in 10..25 {
-        store.configure(&document(version, "alpha"));
+        store.write_configuration(&document(version, "alpha"));
         sleep(Duration::from_millis(200)).await;
     }
     let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 24);
@@ -55,11 +55,11 @@
 fn a_node_that_starts_keeps_the_age_of_data_from_other_nodes() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = start_machines(&store, 2).await;
-        let silent_store = store.another_address().await;
-        silent_store.set_mode(Mode::Silent);
-        store.set_mode(Mode::Silent);
+        let silent_store = store.add_listener().await;
+        silent_store.set_mode(StoreMode::Unresponsive);
+        store.set_mode(StoreMode::Unresponsive);
         let lost = Instant::now();
         sleep(Duration::from_millis(1500)).await;
         let Machine { target, sidecar, address } = machines.remove(0);
@@ -79,10 +79,10 @@
 fn a_node_that_starts_reads_one_page_of_the_store_and_gets_the_rest_from_other_nodes() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let machines = start_machines(&store, 6).await;
         // Each page of a listing contains two items.
-        store.set_page(2);
+        store.set_page_size(2);
         sleep(Duration::from_millis(500)).await;
         let before = store.calls_to("/kv-range");
         let mut late_machines: Vec<Machine> = Vec::new();
@@ -108,7 +108,7 @@
 fn a_change_reaches_all_nodes_when_a_reader_fails(is_killed: bool) {
     run(async move {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = start_machines(&store, 8).await;
         sleep(Duration::from_millis(700)).await;
         let reader = machines.iter().position(is_reader).expect("a reader");
@@ -117,7 +117,7 @@
         let Machine { target, sidecar, .. } = lost;
         drop(sidecar);
         let hanging = if is_killed { None } else { Some(FullListener::start(inbound).await) };
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         let started = Instant::now();
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 6);
         eventually("all have it", all_have).await;
@@ -130,11 +130,11 @@
 fn a_change_reaches_all_nodes_when_the_store_refuses_all_readers() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let mut machines = Vec::new();
         let mut addresses = Vec::new();
         for _ in 0..8 {
-            let address = store.another_address().await;
+            let address = store.add_listener().await;
             machines.push(Machine::start(&address, "alpha", 8).await);
             addresses.push(address);
         }
@@ -143,10 +143,10 @@
         sleep(Duration::from_millis(700)).await;
         for (machine, address) in machines.iter().zip(&addresses) {
             if is_reader(machine) {
-                address.set_mode(Mode::Status(503));
+                address.set_mode(StoreMode::Status(503));
             }
         }
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         let started = Instant::now();
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 6);
         eventually("all have it", all_have).await;
@@ -158,33 +158,33 @@
 fn a_restore_of_the_store_from_a_backup_reverts_nothing() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
         let draining = Machine::start(&store, "alpha", 8).await;
         let beta = Machine::start(&store, "beta", 8).await;
         eventually("all are listed", || beta.node().targets.borrow().len() == 3).await;
         sleep(Duration::from_millis(1500)).await;
-        store.configure(&document(6, "alpha"));
-        store.list(&draining.target, "draining");
+        store.write_configuration(&document(6, "alpha"));
+        store.register(&draining.target, "draining");
         let is_draining =
             |id: &str| beta.node().targets.borrow().get(id).is_none_or(|target| target.registration.draining);
         eventually("the drain is known", || is_draining(&draining.target.id())).await;
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
 
-        let lost = store.restore(Duration::from_millis(1200));
+        let lost = store.restore_backup(Duration::from_millis(1200));
         assert_eq!(lost.len(), 2, "the backup lacks both changes");
         eventually("the new era is known", || beta.node().position().era == 2).await;
-        let arrivals = draining.target.arrivals();
+        let arrivals = draining.target.received_count();
         for number in 0..20 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        assert_eq!(draining.target.arrivals(), arrivals, "a draining target receives no calls");
+        assert_eq!(draining.target.received_count(), arrivals, "a draining target receives no calls");
         assert_eq!(beta.node().configuration.borrow().version(), 6);
 
         // Revisions are reused after the restore, and writes with them are still received.
-        lost.iter().for_each(|write| store.write_again(write));
-        store.configure(&document(7, "alpha"));
+        lost.iter().for_each(|write| store.rewrite(write));
+        store.write_configuration(&document(7, "alpha"));
         let machines = [&alpha, &draining, &beta];
         let all_have = || machines.iter().all(|machine| machine.node().configuration.borrow().version() == 7);
         eventually("version 7", all_have).await;
@@ -198,10 +198,10 @@
         sleep(Duration::from_millis(1000)).await;
         let late = Machine::start(&store, "alpha", 8).await;
         eventually("it is listed", || beta.node().targets.borrow().len() == 3).await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         eventually("the other one is removed", || beta.node().targets.borrow().len() == 2).await;
         sleep(Duration::from_millis(100)).await;
-        let lost = store.restore(Duration::from_millis(900));
+        let lost = store.restore_backup(Duration::from_millis(900));
         eventually("the new era is known", || beta.node().position().era == 2).await;
         let started = Instant::now();
         for number in 0.. {
@@ -212,8 +212,8 @@
             assert_eq!(answer.status, 200, "after {:?}", started.elapsed());
             sleep(Duration::from_millis(30)).await;
         }
-        assert!(!late.target.ran().is_empty());
-        lost.iter().for_each(|write| store.write_again(write));
+        assert!(!late.target.started_requests().is_empty());
+        lost.iter().for_each(|write| store.rewrite(write));
         sleep(Duration::from_secs(3)).await;
         assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
     });
@@ -224,12 +224,12 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
-        store.list(&alpha.target, "draining");
+        store.register(&alpha.target, "draining");
         let id = alpha.target.id();
         let is_draining = || beta.node().targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
         eventually("the drain is known", is_draining).await;
-        alpha.target.restart_under_its_id();
-        store.list(&alpha.target, "ready");
+        alpha.target.restart_with_same_id();
+        store.register(&alpha.target, "ready");
         eventually("the restart is known", || !is_draining()).await;
         eventually("its gate is open", || !alpha.node().gate.borrow().is_closed()).await;
         assert_eq!(call(beta.outbound(), &read("after")).await.expect("an answer").status, 200);
@@ -239,7 +239,7 @@
             alpha.target.address
         );
         store.write(&format!("servers/{id}"), Some(&entry));
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("the next change is known", || beta.node().configuration.borrow().version() == 6).await;
         assert!(!is_draining());
         assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
@@ -262,7 +262,7 @@
         for (number, entry) in forged.iter().enumerate() {
             store.write(&format!("servers/forged-{number}"), Some(entry));
         }
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(beta.node().targets.borrow().len(), 2);
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
@@ -276,7 +276,7 @@
 fn an_entry_with_an_unknown_service_is_not_queried() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         // No machine responds at the entries' address.
         let unused = support::unused_address();
         for number in 0..20 {
@@ -300,19 +300,19 @@
 fn a_node_that_started_after_a_registration_expired_gets_the_target_from_its_node() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let others = start_machines(&store, 4).await;
-        let store_of_alpha = store.another_address().await;
+        let store_of_alpha = store.add_listener().await;
         let alpha = Machine::start(&store_of_alpha, "alpha", 8).await;
         eventually("it is listed", || others[0].node().targets.borrow().len() == 5).await;
-        store_of_alpha.set_mode(Mode::Silent);
+        store_of_alpha.set_mode(StoreMode::Unresponsive);
         alpha.node().must_probe_store.set(true);
         alpha.node().feed.role_changed.notify_waiters();
         eventually("it has detected the partition", || {
             quillhatch_sidecar::store_view::own_store_view(alpha.node()).store_unreachable
         })
         .await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         sleep(Duration::from_millis(100)).await;
         let late = Machine::start(&store, "alpha", 8).await;
         let id = alpha.target.id();
--- a/crates/sidecar/tests/stops.rs
+++ b/crates/sidecar/tests/stops.rs
@@ -6,7 +6,7 @@
 
 use support::caller::{call, request, Caller};
 use support::shop::{read, two_machines, HOST};
-use support::target::Habit;
+use support::target::TargetBehaviour;
 use support::{eventually, run};
 use tokio::time::sleep;
 
@@ -14,7 +14,7 @@
 fn a_stop_answers_all_requests_read_and_drains_callers() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(400)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(400)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&read("one")).await;
         sleep(Duration::from_millis(20)).await;
@@ -42,7 +42,7 @@
     // bench.
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(300)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
         let mut caller = Caller::connect(beta.outbound()).await;
         // A request with a body, so that the bytes after it are passed to hyper as they arrive.
         caller.send(&request("POST", HOST, "/read/x", "one", 5000, "body")).await;
@@ -62,7 +62,7 @@
     // `days/roll-term`).
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(300)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
         let outbound = beta.outbound();
         let stopping = tokio::task::spawn_local(beta.sidecar.stop());
         let mut callers = Vec::new();
@@ -79,8 +79,12 @@
             sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(stopping.await.expect("it stops"), 0, "calls unfinished at the end of the process");
-        let ran: Vec<String> =
-            alpha.target.ran().iter().map(|seen| seen.header("quillhatch-request-id").to_owned()).collect();
+        let ran: Vec<String> = alpha
+            .target
+            .started_requests()
+            .iter()
+            .map(|seen| seen.header("quillhatch-request-id").to_owned())
+            .collect();
         let (mut served, mut refused) = (0, 0);
         for caller in callers {
             let Some((id, status)) = caller.await.expect("the caller ends") else { continue };
@@ -98,10 +102,10 @@
         // More than the buffers of a connection can hold.
         const LENGTH: usize = 12_000_000;
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_habit(Habit::Long(LENGTH));
+        alpha.target.set_behaviour(TargetBehaviour::LongBody(LENGTH));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&[read("one"), read("two"), read("three")].concat()).await;
-        eventually("all run", || alpha.target.ran().len() == 3).await;
+        eventually("all run", || alpha.target.started_requests().len() == 3).await;
         let stopping = tokio::task::spawn_local(beta.sidecar.stop());
         // Until after the time in which the node drains its callers, when idle connections are closed.
         sleep(Duration::from_millis(3000)).await;
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -9,8 +9,8 @@
 
 use support::caller::{call, request, Caller};
 use support::shop;
-use support::store::{Mode, StandInStore};
-use support::target::Habit;
+use support::store::{StandInStore, StoreMode};
+use support::target::TargetBehaviour;
 use support::tenancy::{self, with_strict_revocation, FREE_KEY, REVOCATION};
 use support::{eventually, run, Machine};
 use tokio::time::{sleep, Instant};
@@ -19,11 +19,11 @@
 fn a_key_revoked_during_a_suspension_is_not_accepted() {
     run(async {
         let store = StandInStore::start().await;
-        let store_of_beta = store.another_address().await;
+        let store_of_beta = store.add_listener().await;
         let (_alpha, beta) = tenancy::two_machines(with_strict_revocation, &store, &store_of_beta).await;
         assert_eq!(tenancy::read(&beta, "before", FREE_KEY).await.status, 200);
-        store_of_beta.set_mode(Mode::Silent);
-        store.configure(&tenancy::document(6, &["another-key"]));
+        store_of_beta.set_mode(StoreMode::Unresponsive);
+        store.write_configuration(&tenancy::document(6, &["another-key"]));
         beta.node().clock.suspend_for(REVOCATION);
         let answer = tenancy::read(&beta, "after", FREE_KEY).await;
         assert_eq!(answer.status, 503, "the configuration is too old to accept keys");
@@ -36,10 +36,10 @@
     run(async {
         let (store, alpha, beta) = shop::two_machines().await;
         // The store never answers the current watch.
-        store.set_mode(Mode::Deaf);
-        store.list(&alpha.target, "draining");
+        store.set_mode(StoreMode::WatchHangs);
+        store.register(&alpha.target, "draining");
         sleep(Duration::from_millis(100)).await;
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
         beta.node().clock.suspend_for(Duration::from_secs(5));
         call(beta.outbound(), &shop::read("wakes")).await;
         let started = Instant::now();
@@ -54,7 +54,7 @@
 fn a_call_whose_deadline_passed_during_a_suspension_is_answered_at_once() {
     run(async {
         let (_store, alpha, beta) = shop::two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(5)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&shop::read("waits")).await;
         sleep(Duration::from_millis(100)).await;
@@ -103,7 +103,7 @@
 fn a_stop_keeps_the_grace_period_across_a_suspension() {
     run(async {
         let (_store, alpha, beta) = shop::two_machines().await;
-        alpha.target.set_habit(Habit::Slow(Duration::from_secs(20)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(20)));
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&request("GET", shop::HOST, "/read/x", "long", 20_000, "")).await;
         let clock = beta.node().clock.clone();
