--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -20,7 +20,7 @@
 use quillhatch_mesh::replica::{Change, Position, RevisedChange, Update, UpdateError, UpdateScope};
 use quillhatch_mesh::store_reader::NextRead;
 use quillhatch_mesh::targets::Target;
-use quillhatch_platform::store::{listing_path, read_page, watch_path, Freshness};
+use quillhatch_platform::store::{listing_path, read_page, watch_path, ReadConsistency};
 use quillhatch_types::Timestamp;
 use rand::Rng;
 use tokio::time::sleep;
@@ -68,13 +68,13 @@
 async fn read_in_turn(node: &Rc<Node>, turn: ReadReason) -> Result<(), StoreError> {
     if turn == ReadReason::Initial {
         node.solo_reads.set(node.solo_reads.get().increment(node.now()));
-        return read_all(node, Freshness::MayLag).await;
+        return read_all(node, ReadConsistency::Stale).await;
     }
     let next = node.store_reader.borrow().next(node.position());
     match next {
         NextRead::Watch { .. } => {}
-        NextRead::List => read_all(node, Freshness::Current).await?,
-        NextRead::StaleList => read_all(node, Freshness::MayLag).await?,
+        NextRead::List => read_all(node, ReadConsistency::Current).await?,
+        NextRead::StaleList => read_all(node, ReadConsistency::Stale).await?,
     }
     watch(node, turn).await
 }
@@ -120,7 +120,7 @@
 
 /// Lists the configuration and all targets. With [`Freshness::MayLag`] the first page can be enough: it shows other
 /// nodes that can supply the rest.
-async fn read_all(node: &Rc<Node>, freshness: Freshness) -> Result<(), StoreError> {
+async fn read_all(node: &Rc<Node>, freshness: ReadConsistency) -> Result<(), StoreError> {
     let sent = node.now();
     let mut changes: Vec<RevisedChange> = Vec::new();
     let mut position: Option<Position> = None;
@@ -138,7 +138,7 @@
         if !page.more {
             break;
         }
-        if freshness == Freshness::MayLag && after.is_empty() && peers_supply_rest(node, &changes).await {
+        if freshness == ReadConsistency::Stale && after.is_empty() && peers_supply_rest(node, &changes).await {
             return Ok(());
         }
         after.clone_from(&page.last_key);
@@ -154,12 +154,12 @@
         node.log_failure(|| format!("\"event\":\"store-outrun\",\"revision\":{}", position.revision));
     }
     match freshness {
-        Freshness::Current => {
+        ReadConsistency::Current => {
             record_success(node, sent);
             record_freshness(node, sent);
             node.targets_known.set(true);
         }
-        Freshness::MayLag => {
+        ReadConsistency::Stale => {
             tokio::task::spawn_local(accept_callers_after_catch_up(Rc::clone(node)));
         }
     }
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -8,8 +8,8 @@
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_sidecar::store_view::{own_store_view, record_peer_view};
 use support::caller::{call, request};
-use support::store::{Mode, StandInStore};
-use support::target::{CrashRule, Habit, Health};
+use support::store::{StandInStore, StoreMode};
+use support::target::{CrashRule, HealthStatus, TargetBehaviour};
 use support::{eventually, run, start_sidecar, Machine};
 use tokio::time::sleep;
 
@@ -62,7 +62,7 @@
     log::set_max_level(log::LevelFilter::Info);
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5));
+        store.write_configuration(&document(5));
         let alpha = Machine::start(&store, "alpha", 2).await;
         let beta = Machine::start(&store, "beta", 2).await;
         eventually("both are listed", || beta.node().targets.borrow().len() == 2).await;
@@ -70,7 +70,7 @@
         let read = |id: &str| request("GET", HOST, "/read/", id, 5000, "");
 
         // A call whose target closes the connection without a response.
-        alpha.target.set_habit(Habit::Lost);
+        alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
         call(beta.outbound(), &pay("lost-call")).await;
         let gate_line = first_line("gate", "lost-call");
         assert_eq!(gate_line["outcome"], "broken");
@@ -83,7 +83,7 @@
         );
 
         // A call that is refused because the gate is full, and one that is refused at entry.
-        alpha.target.set_habit(Habit::Slow(Duration::from_millis(700)));
+        alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(700)));
         let calls: Vec<_> = (0..12)
             .map(|number| {
                 tokio::task::spawn_local({
@@ -121,7 +121,7 @@
         // A call without a route, and one that the target answers with an error.
         call(beta.outbound(), &request("GET", HOST, "/none/", "astray", 5000, "")).await;
         assert_eq!(first_line("no-route", "astray")["version"], 5);
-        alpha.target.set_habit(Habit::Failing);
+        alpha.target.set_behaviour(TargetBehaviour::ServerError);
         sleep(Duration::from_secs(5)).await;
         call(beta.outbound(), &pay("failing")).await;
         assert_eq!(first_line("answered", "failing")["status"], 500);
@@ -133,7 +133,7 @@
             down_for: Duration::from_millis(200),
             keeps_id: false,
         };
-        alpha.target.crash_on(rule);
+        alpha.target.set_crash_rule(rule);
         let crashed_id = alpha.target.id();
         call(beta.outbound(), &request("POST", HOST, "/pay/crash", "crashing", 5000, "x")).await;
         eventually("the crash is logged", || !lines_of("target-ended", &crashed_id).is_empty()).await;
@@ -142,36 +142,36 @@
         let signature = line["signatures"][0].as_str().expect("a signature").to_owned();
         assert!(first_line("gate", "crashing")["why"].as_str().is_some_and(|why| why.contains(&signature)));
         eventually("the target is back", || alpha.target.id() != crashed_id).await;
-        store.unlist(&crashed_id);
-        store.list(&alpha.target, "ready");
+        store.deregister(&crashed_id);
+        store.register(&alpha.target, "ready");
 
         // Changes of a node's view of the platform: the configuration, targets and the store.
-        store.configure(&document(6));
+        store.write_configuration(&document(6));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(first_line("configuration", "\"version\":6")["taken"], true);
-        alpha.target.restart_under_its_id();
-        store.list(&alpha.target, "ready");
+        alpha.target.restart_with_same_id();
+        store.register(&alpha.target, "ready");
         eventually("the restart is logged", || !lines_of("target-restarted", &alpha.target.id()).is_empty()).await;
         store.write("servers/odd", Some("{}"));
         eventually("the invalid entry is logged", || !lines_of("target-unusable", "odd").is_empty()).await;
         sleep(Duration::from_millis(50)).await;
-        store.restore(Duration::ZERO);
+        store.restore_backup(Duration::ZERO);
         eventually("the new era is logged", || !lines_of("store-era", "\"era\":2").is_empty()).await;
         let position = quillhatch_mesh::replica::Position { era: 9, revision: 1_000_000 };
         let later = quillhatch_sidecar::hop::StoreView { position, store_unreachable: false };
         record_peer_view(beta.node(), alpha.address.into(), later);
         eventually("another node is queried", || !lines_of("caught-up", "\"heard\":\"9.1000000\"").is_empty()).await;
-        store.configure("{");
+        store.write_configuration("{");
         eventually("the invalid configuration is logged", || !lines_of("configuration-unusable", "").is_empty()).await;
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         let (address, local) = (alpha.address, alpha.target.address);
         alpha.sidecar.stop().await;
         for event in ["stopping", "gate-closed", "stopped"] {
             first_line(event, &address.to_string());
         }
-        alpha.target.set_habit(Habit::Good);
-        let restarted_store = store.another_address().await;
-        restarted_store.set_mode(Mode::Silent);
+        alpha.target.set_behaviour(TargetBehaviour::Normal);
+        let restarted_store = store.add_listener().await;
+        restarted_store.set_mode(StoreMode::Unresponsive);
         let restarted = start_sidecar(address, "alpha", local, restarted_store.address);
         sleep(Duration::from_millis(300)).await;
         call(beta.outbound(), &read("after-restart")).await;
@@ -187,8 +187,8 @@
         first_line("peer-store-access", &address.to_string());
         let reached = || lines_of("store-reached", "").len();
         let before = reached();
-        store.set_mode(Mode::Normal);
-        restarted_store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
+        restarted_store.set_mode(StoreMode::Normal);
         eventually("the recovery of its own access is logged", || {
             !lines_of("store-access", "\"lost\":false").is_empty()
         })
@@ -200,15 +200,15 @@
         // A target whose registration ends while its machine reports that it can't read the store.
         let id = alpha.target.id();
         eventually("it is listed", || beta.node().targets.borrow().get(&id).is_some()).await;
-        alpha.target.set_health(Health::Leaving);
-        restarted_store.set_mode(Mode::Silent);
-        store.unlist(&id);
+        alpha.target.set_health(HealthStatus::Draining);
+        restarted_store.set_mode(StoreMode::Unresponsive);
+        store.deregister(&id);
         eventually("its draining is logged", || !lines_of("target-leaving", &address.to_string()).is_empty()).await;
-        store.list(&alpha.target, "ready");
+        store.register(&alpha.target, "ready");
         eventually("it is listed", || beta.node().targets.borrow().get(&id).is_some()).await;
         let beta_lost = quillhatch_sidecar::hop::StoreView { store_unreachable: true, ..own_store_view(beta.node()) };
         record_peer_view(beta.node(), address.into(), beta_lost);
-        store.unlist(&id);
+        store.deregister(&id);
         let is_retained = || lines_of("target-gone", &id).iter().any(|line| line["why"] == "its machine is cut off");
         eventually("the reason for retaining it is logged", is_retained).await;
         eventually("its removal is logged", || !lines_of("target-dropped", &id).is_empty()).await;
--- a/crates/sidecar/tests/store.rs
+++ b/crates/sidecar/tests/store.rs
@@ -8,15 +8,15 @@
 use quillhatch_mesh::settings::SidecarSettings;
 use support::caller::call;
 use support::shop::{document, read, two_machines};
-use support::store::{Mode, StandInStore};
+use support::store::{StandInStore, StoreMode};
 use support::{eventually, run, start_sidecar, Machine, OUTBOUND};
 use test_case::test_case;
 use tokio::time::{sleep, Instant};
 
-#[test_case(Mode::Status(429))]
-#[test_case(Mode::Status(503))]
-#[test_case(Mode::Silent)]
-fn an_outage_of_the_store_does_not_affect_calls_and_reads_resume_after_it(mode: Mode) {
+#[test_case(StoreMode::Status(429))]
+#[test_case(StoreMode::Status(503))]
+#[test_case(StoreMode::Unresponsive)]
+fn an_outage_of_the_store_does_not_affect_calls_and_reads_resume_after_it(mode: StoreMode) {
     run(async move {
         let (store, _alpha, beta) = two_machines().await;
         let before = store.calls();
@@ -25,8 +25,8 @@
         assert!(beta.node().is_ready());
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
         assert!(store.calls() - before < 20, "two nodes make {} calls in 1.2 s", store.calls() - before);
-        store.set_mode(Mode::Normal);
-        store.configure(&document(6, "beta"));
+        store.set_mode(StoreMode::Normal);
+        store.write_configuration(&document(6, "beta"));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
     });
 }
@@ -35,11 +35,11 @@
 fn a_store_without_the_requested_history_is_listed_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Forgetful);
+        store.set_mode(StoreMode::WatchGone);
         sleep(Duration::from_millis(100)).await;
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         eventually("the removal is received", || beta.node().targets.borrow().len() == 1).await;
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
     });
 }
 
@@ -47,8 +47,8 @@
 fn all_pages_of_a_list_are_read() {
     run(async {
         let store = StandInStore::start().await;
-        store.set_page(1);
-        store.configure(&document(5, "alpha"));
+        store.set_page_size(1);
+        store.write_configuration(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
         let beta = Machine::start(&store, "beta", 8).await;
         let gamma = Machine::start(&store, "alpha", 8).await;
@@ -62,10 +62,10 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         // Beta's watch hangs on a connection without responses; alpha's is answered.
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         sleep(Duration::from_millis(100)).await;
-        store.set_mode(Mode::Normal);
-        store.configure(&document(6, "alpha"));
+        store.set_mode(StoreMode::Normal);
+        store.write_configuration(&document(6, "alpha"));
         let started = Instant::now();
         eventually("alpha has it", || alpha.node().configuration.borrow().version() == 6).await;
         call(beta.outbound(), &read("one")).await.expect("an answer");
@@ -78,24 +78,24 @@
 fn a_node_whose_watch_hangs_receives_a_drain_from_its_peers() {
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         // Without shared reads the nodes don't query each other periodically; only their calls carry positions.
         let mechanisms = Mechanisms::without("shared-reads").expect("a mechanism");
         let without_shared_reads = |settings| SidecarSettings { mechanisms, ..settings };
         let alpha = Machine::start_with(&store, "alpha", 8, without_shared_reads).await;
-        let store_of_beta = store.another_address().await;
+        let store_of_beta = store.add_listener().await;
         let beta = Machine::start_with(&store_of_beta, "beta", 8, without_shared_reads).await;
         eventually("both are listed at alpha", || alpha.node().targets.borrow().len() == 2).await;
-        store_of_beta.set_mode(Mode::Deaf);
+        store_of_beta.set_mode(StoreMode::WatchHangs);
         sleep(Duration::from_millis(100)).await;
-        store.list(&beta.target, "draining");
+        store.register(&beta.target, "draining");
         let started = Instant::now();
         eventually("alpha has received the drain", || {
             alpha.node().targets.borrow().get(&beta.target.id()).unwrap().registration.draining
         })
         .await;
         // The watch's connection still gets no response; a new one does.
-        store_of_beta.set_mode(Mode::Normal);
+        store_of_beta.set_mode(StoreMode::Normal);
         assert!(!beta.node().gate.borrow().is_closed());
         call(beta.outbound(), &read("one")).await.expect("an answer");
         eventually("beta's gate is closed", || beta.node().gate.borrow().is_closed()).await;
@@ -132,7 +132,7 @@
         let before = store.calls();
         let started = Instant::now();
         for version in 10..40 {
-            store.configure(&document(version, "alpha"));
+            store.write_configuration(&document(version, "alpha"));
             sleep(Duration::from_millis(100)).await;
         }
         eventually("the last is in force", || beta.node().configuration.borrow().version() == 39).await;
@@ -147,7 +147,7 @@
 fn a_node_that_starts_while_the_store_does_not_respond_gets_the_data_of_nodes_that_call_it() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Silent);
+        store.set_mode(StoreMode::Unresponsive);
         let (address, local) = (alpha.address, alpha.target.address);
         alpha.sidecar.stop().await;
         let restarted = start_sidecar(address, "alpha", local, store.address);
@@ -187,19 +187,19 @@
     // serving.
     run(async {
         let store = StandInStore::start().await;
-        store.configure(&document(5, "alpha"));
+        store.write_configuration(&document(5, "alpha"));
         let beta = Machine::start(&store, "beta", 8).await;
-        let store_of_alpha = store.another_address().await;
+        let store_of_alpha = store.add_listener().await;
         let alpha = Machine::start(&store_of_alpha, "alpha", 8).await;
         eventually("both are listed at beta", || beta.node().targets.borrow().len() == 2).await;
-        store_of_alpha.set_mode(Mode::Silent);
+        store_of_alpha.set_mode(StoreMode::Unresponsive);
         eventually("alpha has detected the partition", || {
             let view = quillhatch_sidecar::store_view::own_store_view(alpha.node());
             view.store_unreachable
         })
         .await;
         assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         let started = Instant::now();
         for number in 0.. {
             if started.elapsed() > Duration::from_secs(6) {
@@ -210,12 +210,12 @@
             sleep(Duration::from_millis(50)).await;
         }
         // The partition ends, and the target has registered again.
-        store.list(&alpha.target, "ready");
-        store_of_alpha.set_mode(Mode::Normal);
+        store.register(&alpha.target, "ready");
+        store_of_alpha.set_mode(StoreMode::Normal);
         sleep(Duration::from_millis(4500)).await;
         assert_eq!(call(beta.outbound(), &read("healed")).await.expect("an answer").status, 200);
         // A target whose registration ends while its machine can read the store is removed.
-        store.unlist(&alpha.target.id());
+        store.deregister(&alpha.target.id());
         eventually("it is removed", || beta.node().targets.borrow().len() == 1).await;
     });
 }
@@ -225,17 +225,17 @@
     // Found on the users' test bench: after an outage the store listed one of twelve targets.
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         sleep(Duration::from_millis(400)).await;
-        store.unlist(&alpha.target.id());
-        store.unlist(&beta.target.id());
-        store.set_mode(Mode::Normal);
+        store.deregister(&alpha.target.id());
+        store.deregister(&beta.target.id());
+        store.set_mode(StoreMode::Normal);
         eventually("the store is read", || beta.node().feed.store_loss.get().since().is_none()).await;
         for number in 0..5 {
             let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        store.list(&alpha.target, "ready");
+        store.register(&alpha.target, "ready");
         sleep(Duration::from_millis(4500)).await;
         let targets = || beta.node().targets.borrow().len();
         eventually("the one that was not listed again is removed", || targets() == 1).await;
@@ -249,12 +249,12 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1500)).await;
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("the first change is received", || beta.node().configuration.borrow().version() == 6).await;
         // Beta receives the following changes as one batch.
-        store.list(&alpha.target, "ready");
-        store.unlist(&alpha.target.id());
-        store.configure(&document(7, "alpha"));
+        store.register(&alpha.target, "ready");
+        store.deregister(&alpha.target.id());
+        store.write_configuration(&document(7, "alpha"));
         eventually("the others are received", || beta.node().configuration.borrow().version() == 7).await;
         assert!(beta.node().targets.borrow().get(&alpha.target.id()).is_none());
     });
@@ -264,10 +264,10 @@
 fn a_node_that_starts_reads_a_lagging_replica_of_the_store_and_then_the_missing_changes() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.freeze_copy();
+        store.freeze_stale_copy();
         let gamma = Machine::start(&store, "alpha", 8).await;
-        store.unlist(&alpha.target.id());
-        store.configure(&document(6, "alpha"));
+        store.deregister(&alpha.target.id());
+        store.write_configuration(&document(6, "alpha"));
         eventually("beta has received the changes", || beta.node().configuration.borrow().version() == 6).await;
         let before = store.calls_to("/kv-range?prefix=&stale=1");
         let delta = Machine::start(&store, "beta", 8).await;
@@ -286,9 +286,9 @@
 fn a_node_that_read_a_replica_older_than_the_history_lists_the_store_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.freeze_copy();
-        store.configure(&document(6, "alpha"));
-        store.set_mode(Mode::Forgetful);
+        store.freeze_stale_copy();
+        store.write_configuration(&document(6, "alpha"));
+        store.set_mode(StoreMode::WatchGone);
         let gamma = Machine::start(&store, "alpha", 8).await;
         eventually("it has listed the current data", || gamma.node().configuration.borrow().version() == 6).await;
         drop((alpha, beta));
@@ -299,9 +299,9 @@
 fn a_store_whose_changes_cannot_be_parsed_is_listed_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Garbled);
+        store.set_mode(StoreMode::WatchGarbage);
         sleep(Duration::from_millis(100)).await;
-        store.configure(&document(6, "alpha"));
+        store.write_configuration(&document(6, "alpha"));
         eventually("beta has it", || beta.node().configuration.borrow().version() == 6).await;
         drop(alpha);
     });
@@ -311,11 +311,11 @@
 fn after_an_outage_only_the_changes_are_read() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         sleep(Duration::from_millis(1500)).await;
         let lists = store.calls_to("/kv-range");
-        store.configure(&document(6, "beta"));
-        store.set_mode(Mode::Normal);
+        store.write_configuration(&document(6, "beta"));
+        store.set_mode(StoreMode::Normal);
         eventually("alpha has it", || alpha.node().configuration.borrow().version() == 6).await;
         eventually("beta has it", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(store.calls_to("/kv-range"), lists);
@@ -326,12 +326,12 @@
 fn a_long_outage_causes_few_calls_and_nodes_recover_soon_after_it() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         let before = store.calls();
         sleep(Duration::from_secs(8)).await;
         let calls = store.calls() - before;
         assert!(calls <= 2 * 14, "{calls} calls by two nodes in 8 s");
-        store.set_mode(Mode::Normal);
+        store.set_mode(StoreMode::Normal);
         let outage_end = Instant::now();
         let has_recovered = |machine: &Machine| machine.node().feed.store_loss.get().since().is_none();
         eventually("both read the store again", || has_recovered(&alpha) && has_recovered(&beta)).await;
@@ -345,10 +345,10 @@
         let (store, alpha, beta) = two_machines().await;
         let others = [Machine::start(&store, "beta", 8).await, Machine::start(&store, "beta", 8).await];
         eventually("all are listed", || beta.node().targets.borrow().len() == 4).await;
-        store.set_mode(Mode::Status(503));
+        store.set_mode(StoreMode::Status(503));
         sleep(Duration::from_millis(1500)).await;
-        store.unlist(&alpha.target.id());
-        store.set_mode(Mode::Normal);
+        store.deregister(&alpha.target.id());
+        store.set_mode(StoreMode::Normal);
         eventually("the store is read", || beta.node().feed.store_loss.get().since().is_none()).await;
         let read_at = Instant::now();
         assert_eq!(call(beta.outbound(), &read("retained")).await.expect("an answer").status, 200);
