--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -100,10 +100,10 @@
         node.log_failure(|| format!("\"event\":\"malformed\",\"id\":{id:?},\"status\":{}", status.as_u16()));
         return local_response(node, &id, status, "malformed", arrived);
     }
-    let remaining_time =
+    let time_left =
         header_text(&parts.headers, headers::DEADLINE_MS).and_then(|text| text.parse().ok()).map(Duration::from_millis);
-    let timeout = remaining_time.map_or(route.timeout, |remaining_time| remaining_time.min(route.timeout));
-    let evidence = CallerEvidence { peer, remaining_time, headers: &parts.headers };
+    let timeout = time_left.map_or(route.timeout, |time_left| time_left.min(route.timeout));
+    let evidence = CallerEvidence { peer, time_left, headers: &parts.headers };
     let sender = match identify_sender(node, &configuration, &route, evidence, arrived) {
         Ok(sender) => sender,
         Err(denial) => return deny(node, denial, &route, &id, arrived),
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -28,7 +28,7 @@
     /// The address that it comes from.
     pub(super) peer: SocketAddr,
     /// The time until its deadline, if it names one.
-    pub(super) remaining_time: Option<Duration>,
+    pub(super) time_left: Option<Duration>,
     /// Its headers.
     pub(super) headers: &'a HeaderMap,
 }
@@ -58,9 +58,7 @@
     let key = key.map(|key| if has_more { b"".as_slice() } else { key.as_bytes() });
     let may_be_target = key.is_none()
         && evidence.is_local(node)
-        && evidence
-            .remaining_time
-            .is_some_and(|remaining_time| node.parents.borrow().may_originate(&route.name, remaining_time, now));
+        && evidence.time_left.is_some_and(|time_left| node.parents.borrow().may_originate(&route.name, time_left, now));
     authenticate(
         configuration,
         route,
@@ -125,17 +123,15 @@
     sender: &Sender,
     now: Timestamp,
 ) -> CallOrigin {
-    let Some(remaining_time) = evidence.remaining_time.filter(|_| evidence.is_local(node)) else {
-        return CallOrigin::Caller;
-    };
+    let Some(time_left) = evidence.time_left.filter(|_| evidence.is_local(node)) else { return CallOrigin::Caller };
     let origin = {
         let graph = node.call_graph.borrow();
         let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
         let mut parents = node.parents.borrow_mut();
         match sender {
             Sender::Tenant(_) => CallOrigin::Caller,
-            Sender::Target => parents.target_call_origin(&route.name, remaining_time, now, rate),
-            Sender::Anyone => parents.origin(&route.name, remaining_time, now, rate),
+            Sender::Target => parents.target_call_origin(&route.name, time_left, now, rate),
+            Sender::Anyone => parents.origin(&route.name, time_left, now, rate),
         }
     };
     match &origin {
