--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -158,8 +158,8 @@
     let balance = node.balance.borrow();
     let now = node.now();
     let response_time = call.route.latency_objective.min(now.until(call.deadline));
-    let sender_place = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
-    balance.choose(members, tried, sender_place, now, &mut *random)
+    let zone_preference = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
+    balance.choose(members, tried, zone_preference, now, &mut *random)
 }
 
 /// Whether the service has another target that is not draining and was not tried yet.
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -220,11 +220,11 @@
         let (store, alpha, beta) = two_machines().await;
         // A machine that accepts connections and never responds simulates a frozen one.
         let frozen = support::unused_address();
-        let silent = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
-        let taken = tokio::task::spawn_local(async move {
-            let mut kept = Vec::new();
-            while let Ok((stream, _)) = silent.accept().await {
-                kept.push(stream);
+        let listener = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
+        let acceptor = tokio::task::spawn_local(async move {
+            let mut streams = Vec::new();
+            while let Ok((stream, _)) = listener.accept().await {
+                streams.push(stream);
             }
         });
         // Retries need a budget, which is a share of the calls made.
@@ -252,7 +252,7 @@
             let answer = call(beta.outbound(), &pay(&format!("pay-{number}"))).await.expect("a response");
             assert_eq!(answer.status, 200, "an at-most-once call is not sent to an unresponsive node");
         }
-        taken.abort();
+        acceptor.abort();
         drop(alpha);
     });
 }
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -1,11 +1,11 @@
 //! Requests that crash the targets that run them.
 //!
 //! Guards against this failure: copies of one request, with different ids and through different machines, ended all
-//! targets of a service within half a second, and again after each restart, five times in a row. Its callers got
-//! failures for 16 s, although the targets had spare capacity and all other services were healthy. No node recorded
-//! what a request had done to a target: each treated every copy as a new request, and its retries sent it to a second
-//! target. The calls that kept ending targets were first attempts, seconds after the previous crash, through machines
-//! that had not seen the request before.
+//! targets of a service within half a second, and again after each restart, five times in a row, and the same later.
+//! Its callers got failures for 16 s, although the targets had spare capacity and all other services were healthy. No
+//! node recorded what a request had done to a target: each treated every copy as a new request, and its retries sent it
+//! to a second target. The calls that kept ending targets were first attempts, seconds after the previous crash,
+//! through machines that had not seen the request before.
 
 mod support;
 
