--- a/crates/mesh/src/replica.rs
+++ b/crates/mesh/src/replica.rs
@@ -331,6 +331,6 @@
             }
         }
         changes.sort_by_cached_key(|revised| (revised.revision, revised.change.target().cloned()));
-        Some(Update { scope: scope, position: self.position, changes })
+        Some(Update { scope, position: self.position, changes })
     }
 }
--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -19,7 +19,7 @@
 const MAX_BACKOFF_FRACTION: f64 = 0.5;
 /// The minimum duration of an outage of the store in which registrations may have expired. A shorter one is just one or
 /// two failed calls; a longer one may have begun some time before it was noticed.
-const MIN_OUTAGE: Duration = Duration::from_millis(500);
+const MIN_OUTAGE_FOR_EXPIRY: Duration = Duration::from_millis(500);
 /// How long targets whose registrations expired in an outage may take to be registered again after its end; the
 /// platform promises about two seconds.
 pub const REREGISTRATION_TIMEOUT: Duration = Duration::from_secs(2);
@@ -101,5 +101,5 @@
 
 /// Whether registrations may have expired in an outage of this duration.
 pub fn may_have_expired(outage: Duration) -> bool {
-    outage >= MIN_OUTAGE
+    outage >= MIN_OUTAGE_FOR_EXPIRY
 }
