--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -95,7 +95,7 @@
 
 /// How long targets that an older copy of the store lacks, since they were registered after it was made, may take to be
 /// registered again after the store was restored from that copy.
-pub fn reregistration_timeout(bounds: &Bounds) -> Duration {
+pub fn reregistration_timeout_after_restore(bounds: &Bounds) -> Duration {
     REREGISTRATION_TIMEOUT.max(bounds.heartbeat + REREGISTRATION_TOLERANCE)
 }
 
--- a/crates/mesh/tests/decisions/store_reader.rs
+++ b/crates/mesh/tests/decisions/store_reader.rs
@@ -5,7 +5,7 @@
 use quillhatch_mesh::feed::watch_timeout;
 use quillhatch_mesh::replica::Position;
 use quillhatch_mesh::settings::Bounds;
-use quillhatch_mesh::store_reader::{may_have_expired, reregistration_timeout, NextRead, StoreReader};
+use quillhatch_mesh::store_reader::{may_have_expired, reregistration_timeout_after_restore, NextRead, StoreReader};
 
 /// Longer bounds than those of the other tests, so that they do not shorten the timeout of a watch.
 const BOUNDS: Bounds = Bounds {
@@ -80,7 +80,7 @@
 
 #[test]
 fn targets_that_a_restored_copy_lacks_have_a_heartbeat_to_register_again() {
-    assert!(reregistration_timeout(&BOUNDS) > BOUNDS.heartbeat);
+    assert!(reregistration_timeout_after_restore(&BOUNDS) > BOUNDS.heartbeat);
     let slow_heartbeat = Bounds { heartbeat: Duration::from_secs(5), ..BOUNDS };
-    assert!(reregistration_timeout(&slow_heartbeat) > slow_heartbeat.heartbeat);
+    assert!(reregistration_timeout_after_restore(&slow_heartbeat) > slow_heartbeat.heartbeat);
 }
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -6,7 +6,7 @@
 
 use quillhatch_mesh::mechanisms::Mechanism;
 use quillhatch_mesh::replica::{Change, Update, UpdateError, UpdateScope};
-use quillhatch_mesh::store_reader::{may_have_expired, reregistration_timeout, REREGISTRATION_TIMEOUT};
+use quillhatch_mesh::store_reader::{may_have_expired, reregistration_timeout_after_restore, REREGISTRATION_TIMEOUT};
 use quillhatch_mesh::targets::{GracePeriod, TargetId};
 use quillhatch_types::Timestamp;
 use tokio::time::sleep;
@@ -32,7 +32,7 @@
         return Ok(());
     }
     if result.is_new_era {
-        let until = now + reregistration_timeout(&node.settings.bounds);
+        let until = now + reregistration_timeout_after_restore(&node.settings.bounds);
         node.reregistration_deadline.set(node.reregistration_deadline.get().max(until));
         node.rewrite_deadline.set(until);
         node.log(&format!("\"event\":\"store-era\",\"era\":{},\"before\":{}", position.era, former.era));
