--- a/crates/mesh/src/replica.rs
+++ b/crates/mesh/src/replica.rs
@@ -185,7 +185,7 @@
         let is_new_era = self.position.is_known() && update.position.era > self.position.era;
         let revision = update.position.revision;
         if is_new_era || !self.position.is_known() {
-            // Which entries were removed before is not known.
+            // Earlier removals are only known as far as the update contains them.
             self.discarded_revision = revision;
         }
         if is_new_era {
