--- a/crates/soak/src/crashes.rs
+++ b/crates/soak/src/crashes.rs
@@ -50,7 +50,7 @@
     let is_holder = |machine: usize| Some(MachineAddrs::service_of(machine)) == service;
     let holders: BTreeSet<usize> =
         record.runs.iter().map(|run| run.machine).filter(|machine| is_holder(*machine)).collect();
-    let starts: Vec<_> = record.starts.iter().filter(|start| is_holder(start.machine)).collect();
+    let starts: Vec<_> = record.restarts.iter().filter(|start| is_holder(start.machine)).collect();
     let mut losses: Vec<Instant> = Vec::new();
     for start in &starts {
         let recent = starts.iter().filter(|other| other.at <= start.at && start.at - other.at < STATE_TRANSFER_TIME);
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -25,7 +25,7 @@
 /// The delay after which the operator and the targets repeat the writes that the backup lacks.
 const REWRITE_DELAY: Duration = Duration::from_millis(600);
 
-/// A kind of fault.
+/// A kind of fault. The soak prints the displayed names.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FaultKind {
     /// The link to the machine is delayed in both directions.
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -5,7 +5,7 @@
 use crate::layout::{RouteKind, CRASH_DOWNTIME};
 use crate::tenancy::SoakKey;
 
-/// How a call ended for its caller.
+/// How a call ended for its caller. The soak prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// The caller received a complete response.
@@ -20,7 +20,7 @@
     Cut,
     /// The call timed out.
     Silent,
-    /// The connection was refused.
+    /// The connection was refused or could not be opened in time.
     Unreached,
 }
 
@@ -113,7 +113,7 @@
 
 /// A restart of a machine's process.
 #[derive(Clone, Copy, Debug)]
-pub struct ProcessStart {
+pub struct ProcessRestart {
     /// The machine.
     pub machine: usize,
     /// When the process was restarted.
@@ -138,7 +138,7 @@
     /// When targets started to run requests that crash them.
     pub crashes: Vec<Instant>,
     /// Restarts of processes.
-    pub starts: Vec<ProcessStart>,
+    pub restarts: Vec<ProcessRestart>,
     /// The maximum number of requests that a target ran concurrently.
     pub max_running: u32,
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -21,7 +21,7 @@
 use crate::layout::{document, MachineAddrs, SoakNet, SERVICES};
 use crate::links::LinkProcess;
 use crate::machine::SoakMachine;
-use crate::record::{ConfigWrite, DrainSpan, FaultSpan, ProcessStart, RunRecord, SoakRecord, StopSpan};
+use crate::record::{ConfigWrite, DrainSpan, FaultSpan, ProcessRestart, RunRecord, SoakRecord, StopSpan};
 use crate::traffic::SoakCaller;
 
 /// The total number of callers; with more machines than this, each machine has one.
@@ -32,7 +32,7 @@
 /// The time within which the processes must become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// The duration of a round of faults.
-const FAULT_ROUND: Duration = Duration::from_secs(8);
+const FAULT_ROUND_DURATION: Duration = Duration::from_secs(8);
 /// The pause between a round of faults and planned work.
 const SETTLE_PAUSE: Duration = Duration::from_millis(3500);
 /// The range of pauses between two faults, in milliseconds.
@@ -205,7 +205,7 @@
 
     /// Runs a round of faults, which ends when the last of them has been reverted.
     async fn fault_round(&mut self) {
-        let end = Instant::now() + FAULT_ROUND;
+        let end = Instant::now() + FAULT_ROUND_DURATION;
         let mut faults = Vec::new();
         while Instant::now() < end {
             let kind = FaultKind::draw(&mut self.random);
@@ -329,7 +329,7 @@
         let mut record = self.record.borrow().clone();
         for machine in &self.machines {
             let number = machine.addrs.number;
-            record.starts.extend(machine.restarts().into_iter().map(|at| ProcessStart { machine: number, at }));
+            record.restarts.extend(machine.restarts().into_iter().map(|at| ProcessRestart { machine: number, at }));
         }
         let violations = checks::check_all(&record);
         SoakReport { record, faults: self.faults, violations }
--- a/crates/soak/src/tenancy.rs
+++ b/crates/soak/src/tenancy.rs
@@ -147,7 +147,7 @@
     let end = begin + LIMIT_WINDOW;
     let first_call = record.calls.iter().map(|call| call.sent).min().unwrap_or(begin);
     let since_first_call = begin.saturating_duration_since(first_call).as_secs_f64();
-    let started = |from: Instant| record.starts.iter().filter(|start| start.at >= from && start.at <= end).count();
+    let started = |from: Instant| record.restarts.iter().filter(|start| start.at >= from && start.at <= end).count();
     let (before, within) = (started(begin - LIMIT_WINDOW), started(begin));
     Some(violation(
         Guarantee::Limits,
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -5,7 +5,7 @@
 use quillhatch_soak::checks::{check_all, Guarantee};
 use quillhatch_soak::layout::{RouteKind, SLOTS};
 use quillhatch_soak::record::{
-    CallEnd, CallRecord, ConfigWrite, DrainSpan, FaultSpan, ProcessStart, RunRecord, SoakRecord, StopSpan,
+    CallEnd, CallRecord, ConfigWrite, DrainSpan, FaultSpan, ProcessRestart, RunRecord, SoakRecord, StopSpan,
 };
 use quillhatch_soak::tenancy::SoakKey;
 use test_case::test_case;
@@ -73,7 +73,7 @@
         });
     }
 
-    fn disturb(&mut self, from_ms: u64, until_ms: u64) {
+    fn add_fault(&mut self, from_ms: u64, until_ms: u64) {
         let (from, until) = (self.at(from_ms), self.at(until_ms));
         self.record.fault_spans.push(FaultSpan { machine: None, from, until });
     }
@@ -106,7 +106,7 @@
     let mut scenario = Scenario::new();
     scenario.run_crashing_requests(&[5_000, 5_500, 6_000, 10_000, 11_000, 12_000, 13_000]);
     let at = scenario.at(9_500);
-    scenario.record.starts.push(ProcessStart { machine: BETA, at });
+    scenario.record.restarts.push(ProcessRestart { machine: BETA, at });
     assert_eq!(scenario.violated_guarantees(), [], "the only process of the service restarted and lost its state");
 }
 
@@ -153,7 +153,7 @@
 #[test_case(Guarantee::Routed, |scenario| {
     scenario.call("x", RouteKind::Moving, 6_000, status(500));
     scenario.run("x", RouteKind::Moving, GAMMA, 6_010);
-    scenario.disturb(5_900, 6_100);
+    scenario.add_fault(5_900, 6_100);
 })]
 #[test_case(Guarantee::Slots, |scenario| scenario.record.max_running = SLOTS + 1)]
 #[test_case(Guarantee::Uncut, |scenario| scenario.call("x", RouteKind::Read, 6_000, CallEnd::Cut))]
@@ -191,7 +191,7 @@
         scenario.call(&format!("x-{number}"), RouteKind::Read, 6_000, status(503));
     }
     assert_eq!(scenario.violated_guarantees(), [Guarantee::Served]);
-    scenario.disturb(5_900, 5_950);
+    scenario.add_fault(5_900, 5_950);
     assert_eq!(scenario.violated_guarantees(), [], "calls may fail soon after a fault");
 }
 
@@ -199,7 +199,7 @@
 fn a_lost_connection_during_a_fault_is_not_a_violation() {
     let mut scenario = Scenario::new();
     scenario.call("x", RouteKind::Read, 6_000, CallEnd::Cut);
-    scenario.disturb(5_000, 5_100);
+    scenario.add_fault(5_000, 5_100);
     assert_eq!(scenario.violated_guarantees(), []);
 }
 
