--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -1,9 +1,9 @@
 //! A lease on the freshness of the configuration in force: how long it may be assumed to be the newest one.
 //!
-//! A node knows that its configuration was the newest at some moment: either it sent a read of the store then that
-//! returned nothing newer, or another node that knows the moment reported it. API keys are accepted until a fraction of
-//! the bound on revocation after that moment. The moment is when the read was **sent**, on the steady clock, since a
-//! response may take long to arrive.
+//! A node knows that its configuration was the newest at a certain time: it sent a read of the store at that time that
+//! returned nothing newer, or another node reported such a time. API keys are accepted until a fraction of the bound on
+//! revocation has passed since then. What counts is when the read was **sent**, on the steady clock, since a response
+//! may take long to arrive.
 //!
 //! Reports of other nodes are taken from responses only. The call was sent at a known time of this node's clock, and it
 //! arrived at the other node after that. The response states how long before the call's arrival the other node's proof
@@ -30,15 +30,15 @@
 
 /// A time of the steady clock in microseconds; negative if it is before the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Moment(i64);
+struct SignedTimestamp(i64);
 
-impl Moment {
+impl SignedTimestamp {
     fn of(time: Timestamp) -> Self {
-        Moment(i64::try_from(time.0).unwrap_or(i64::MAX))
+        SignedTimestamp(i64::try_from(time.0).unwrap_or(i64::MAX))
     }
 
     fn age(self, now: Timestamp) -> Duration {
-        Duration::from_micros(u64::try_from(Moment::of(now).0.saturating_sub(self.0)).unwrap_or(0))
+        Duration::from_micros(u64::try_from(SignedTimestamp::of(now).0.saturating_sub(self.0)).unwrap_or(0))
     }
 }
 
@@ -57,7 +57,7 @@
 pub struct FreshnessLease {
     duration: Option<Duration>,
     renewal_age: Duration,
-    proved_at: Option<Moment>,
+    proved_at: Option<SignedTimestamp>,
 }
 
 impl FreshnessLease {
@@ -77,7 +77,7 @@
 
     /// Records that a read of the store, sent at `sent`, returned nothing newer than the configuration in force.
     pub fn record_read(&mut self, sent: Timestamp) {
-        self.prove(Moment::of(sent));
+        self.prove(SignedTimestamp::of(sent));
     }
 
     /// Records the proof in another node's response to a call that was sent at `sent`. It counts only if this node's
@@ -87,13 +87,13 @@
             return;
         }
         let age = proof.age_at_arrival_ms.saturating_mul(1000);
-        self.prove(Moment(Moment::of(sent).0.saturating_sub(age)));
+        self.prove(SignedTimestamp(SignedTimestamp::of(sent).0.saturating_sub(age)));
     }
 
     /// The proof to send in the response to a call that arrived at `arrived`.
     pub fn proof(&self, version: u64, arrived: Timestamp) -> Option<FreshnessProof> {
         let proved_at = self.proved_at?;
-        let age = Moment::of(arrived).0.saturating_sub(proved_at.0);
+        let age = SignedTimestamp::of(arrived).0.saturating_sub(proved_at.0);
         Some(FreshnessProof { version, age_at_arrival_ms: age.div_euclid(1000) + 1 })
     }
 
@@ -115,7 +115,7 @@
         Some(self.renewal_age.saturating_sub(age))
     }
 
-    fn prove(&mut self, moment: Moment) {
-        self.proved_at = self.proved_at.max(Some(moment));
+    fn prove(&mut self, time: SignedTimestamp) {
+        self.proved_at = self.proved_at.max(Some(time));
     }
 }
