--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -149,9 +149,9 @@
     let now = node.now();
     node.balance.borrow_mut().record_load(&target.id, report.load, report.health, now);
     if matches!(report.outcome, GateOutcome::Answered | GateOutcome::Full) {
-        node.cuts.borrow_mut().record_report(&call.route.name, report.cut, now);
+        node.admission_levels.borrow_mut().record_report(&call.route.name, report.cut, now);
     }
-    node.parents.borrow_mut().record_caller_kind(&call.route.name, report.called_by);
+    node.parent_tracker.borrow_mut().record_caller_kind(&call.route.name, report.called_by);
     store_view::record_peer_view(node, target.registration.address.ip(), report.store_view);
     if let Some(proof) = report.proof {
         node.tenancy.record_peer_proof(proof, &node.configuration.borrow(), started);
@@ -237,7 +237,7 @@
     node.has(Mechanism::SlowAttemptRetry)
         && !node.is_stopping()
         && call.is_nested
-        && node.cuts.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_CUT
+        && node.admission_levels.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_CUT
         && now.until(call.deadline) >= mean * MIN_MEAN_TIMES_LEFT
 }
 
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -51,7 +51,7 @@
     priority: u8,
     now: Timestamp,
 ) -> f64 {
-    node.cuts.borrow().level(&route.name, now).admitted_share(priority, configuration.priority_count())
+    node.admission_levels.borrow().level(&route.name, now).admitted_share(priority, configuration.priority_count())
 }
 
 /// Whether a root call is refused at this admitted share. While the share does not change, every node and every retry
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -181,7 +181,7 @@
     }
     node.log_failure(|| {
         let name = &route.name;
-        let age = node.cuts.borrow().age(name, arrived).unwrap_or_default().as_millis();
+        let age = node.admission_levels.borrow().age(name, arrived).unwrap_or_default().as_millis();
         let (position, version) = (lineage.position, configuration.version);
         format!(
             "\"event\":\"refused\",\"id\":{id:?},\"route\":\"{name}\",\"share\":{share:.3},\"share_age_ms\":{age},\"position\":{position},\"version\":{version}"
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -78,7 +78,11 @@
                 progress.tried.clear();
                 continue;
             }
-            node.cuts.borrow_mut().record_report(&call.route.name, AdmissionLevel::from_priority_share(0.0), now);
+            node.admission_levels.borrow_mut().record_report(
+                &call.route.name,
+                AdmissionLevel::from_priority_share(0.0),
+                now,
+            );
             return give_up(&call, &progress, "no-target");
         };
         let runs_once = call.route.retryability == Retryability::AtMostOnce;
@@ -171,7 +175,7 @@
 
 /// Whether the services that calls of this route need have spare capacity.
 fn has_spare_capacity(node: &Node, call: &Call) -> bool {
-    node.cuts.borrow().level(&call.route.name, node.now()).admits_all()
+    node.admission_levels.borrow().level(&call.route.name, node.now()).admits_all()
 }
 
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -60,7 +60,7 @@
         && evidence.is_local(node)
         && evidence
             .given_time
-            .is_some_and(|given_time| node.parents.borrow().may_originate(&route.name, given_time, now));
+            .is_some_and(|given_time| node.parent_tracker.borrow().may_originate(&route.name, given_time, now));
     authenticate(
         configuration,
         route,
@@ -80,7 +80,8 @@
         )
     });
     // A call without a key on a route that targets call may be a nested call whose parent has just ended.
-    let may_be_of_ended_parent = denial == Denial::NoKey && node.parents.borrow().is_called_only_by_targets(name);
+    let may_be_of_ended_parent =
+        denial == Denial::NoKey && node.parent_tracker.borrow().is_called_only_by_targets(name);
     if denial == Denial::StaleConfiguration || may_be_of_ended_parent {
         return refuse(node, id, why, STALE_RETRY_AFTER, now);
     }
@@ -129,7 +130,7 @@
     let origin = {
         let graph = node.call_graph.borrow();
         let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
-        let mut parents = node.parents.borrow_mut();
+        let mut parents = node.parent_tracker.borrow_mut();
         match sender {
             Sender::Tenant(_) => CallOrigin::Caller,
             Sender::Target => parents.target_call_origin(&route.name, given_time, now, rate),
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -148,10 +148,9 @@
 fn attach_report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
-    let cut = call
-        .route
-        .as_ref()
-        .map_or(AdmissionLevel::FULL, |route| node.own_cut(route).lower_of(node.called_cut(route, now)));
+    let cut = call.route.as_ref().map_or(AdmissionLevel::FULL, |route| {
+        node.own_admission_level(route).lower_of(node.callee_admission_level(route, now))
+    });
     let present = match outcome {
         GateOutcome::Closed | GateOutcome::Rejected => {
             local_target::available_target(node).filter(|present| present.id != call.expected)
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -37,7 +37,7 @@
     pub(super) fn start_run(&mut self, deadline: Timestamp, lineage: InheritedContext, signature: RequestSignature) {
         self.run = Some(self.node.run_tracker.borrow_mut().begin(signature, self.node.now()));
         if let Some(route) = self.route.clone() {
-            self.running = Some(self.node.parents.borrow_mut().call_started(deadline, route, lineage));
+            self.running = Some(self.node.parent_tracker.borrow_mut().call_started(deadline, route, lineage));
         }
     }
 
@@ -71,7 +71,7 @@
             if let Some(route) = &self.route {
                 self.node.capacity.borrow_mut().record_slot_time(route, held_for, self.node.now());
             }
-            self.node.parents.borrow_mut().call_ended(running);
+            self.node.parent_tracker.borrow_mut().call_ended(running);
         }
         if let Some(route) = &self.route {
             self.node.call_graph.borrow_mut().call_ended(route, self.node.now());
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -85,12 +85,12 @@
     pub targets_known: Cell<bool>,
     /// Load and latency of other targets, for load balancing.
     pub balance: RefCell<LoadBalancer>,
-    /// The admission cuts of routes, as other nodes reported them.
-    pub cuts: RefCell<RouteAdmissionLevels>,
+    /// The admission levels of routes, as other nodes reported them.
+    pub admission_levels: RefCell<RouteAdmissionLevels>,
     /// Which routes are called by the calls of each route.
     pub call_graph: RefCell<CallGraph>,
     /// The calls that run at the local target, as parents of the calls that it makes.
-    pub parents: RefCell<ParentTracker>,
+    pub parent_tracker: RefCell<ParentTracker>,
     /// The origins of the calls of each route.
     pub caller_shares: RefCell<RouteCallerCounts>,
     /// The gate of the local target.
@@ -209,9 +209,9 @@
             retained_target: RetainedTargetState::default(),
             targets_known: Cell::new(false),
             balance: RefCell::new(LoadBalancer::new(settings.mechanisms)),
-            cuts: RefCell::default(),
+            admission_levels: RefCell::default(),
             call_graph: RefCell::new(CallGraph::new(now)),
-            parents: RefCell::default(),
+            parent_tracker: RefCell::default(),
             caller_shares: RefCell::default(),
             gate: RefCell::new(Gate::new(FALLBACK_SLOTS)),
             capacity: RefCell::new(CapacityMeter::new(settings.mechanisms, now)),
@@ -297,17 +297,17 @@
         let priorities = self.current_configuration().map_or(1, |configuration| configuration.priority_count());
         let load = self.gate.borrow().load();
         let now = self.now();
-        self.capacity.borrow_mut().shortage(load, priorities, |route| self.called_cut(route, now), now)
+        self.capacity.borrow_mut().shortage(load, priorities, |route| self.callee_admission_level(route, now), now)
     }
 
-    /// The cut for calls of a route where they enter, because the local target is out of capacity.
-    pub fn own_cut(&self, route: &str) -> AdmissionLevel {
+    /// The admission level that the local target allows for a route; lower than full if it is out of capacity.
+    pub fn own_admission_level(&self, route: &str) -> AdmissionLevel {
         self.shortage().map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route))
     }
 
-    /// The lowest cut among the routes that calls of `route` call.
-    pub fn called_cut(&self, route: &str, now: Timestamp) -> AdmissionLevel {
-        self.cuts.borrow().lowest(self.call_graph.borrow().callees(route), now)
+    /// The lowest admission level among the routes that calls of `route` call.
+    pub fn callee_admission_level(&self, route: &str, now: Timestamp) -> AdmissionLevel {
+        self.admission_levels.borrow().lowest(self.call_graph.borrow().callees(route), now)
     }
 
     /// Whether the node is ready to serve callers.
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -140,7 +140,7 @@
         let mut refused = 0;
         for number in 0..40 {
             let node = beta.node();
-            node.cuts.borrow_mut().record_report(
+            node.admission_levels.borrow_mut().record_report(
                 &Arc::from("read"),
                 AdmissionLevel::from_priority_share(0.0),
                 node.now(),
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -100,7 +100,7 @@
         assert!(lines_of("given-up", "load-").iter().any(|line| line["may_have_run"] == false));
         for route in ["read"] {
             for _ in 0..200 {
-                beta.node().cuts.borrow_mut().record_report(
+                beta.node().admission_levels.borrow_mut().record_report(
                     &route.into(),
                     AdmissionLevel::from_priority_share(0.0),
                     beta.node().now(),
