--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -35,9 +35,9 @@
 /// wait in a gate's queue, or for a target that can be reached.
 pub(super) const DISPATCH_FRACTION: f64 = 0.22;
 
-/// The minimum cut of a route at which its service has spare capacity. A call that takes long is then slow because of
-/// its target, and one more attempt does not add to an overload.
-const SPARE_CAPACITY_MIN_CUT: f64 = 0.95;
+/// The minimum admission level of a route, as a share of the priorities, at which its service has spare capacity. A
+/// call that takes long is then slow because of its target, and one more attempt does not add to an overload.
+const SPARE_CAPACITY_MIN_LEVEL: f64 = 0.95;
 /// How many mean response times of the route must remain until the deadline for a slow attempt to be abandoned for
 /// another target.
 const MIN_MEAN_TIMES_LEFT: u32 = 2;
@@ -75,7 +75,7 @@
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.node.balance.borrow_mut().attempt_ended(self.target);
+        self.node.load_balancer.borrow_mut().attempt_ended(self.target);
     }
 }
 
@@ -94,22 +94,22 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
-    let max_wait = if !node.has(Mechanism::QueueTimeout) {
+    let max_wait = if !node.is_enabled(Mechanism::QueueTimeout) {
         remaining
     } else if call.is_nested {
         remaining.mul_f64(NESTED_QUEUE_FRACTION)
     } else {
         started.until(call.arrived + call.route.latency_objective.mul_f64(DISPATCH_FRACTION)).min(remaining)
     };
-    let forwarded = HopContext {
+    let context = HopContext {
         is_root: !call.is_nested,
-        lineage: call.lineage.clone(),
+        inherited: call.inherited.clone(),
         max_wait,
         store_view: store_view::own_store_view(node),
         edge_ip: node.settings.local_target.ip(),
     };
     let added = [
-        (HOP_HEADER, forwarded.encode()),
+        (HOP_HEADER, context.encode()),
         (headers::DEADLINE_MS, remaining.as_millis().to_string()),
         (headers::EXPECT_INSTANCE, target.id.to_string()),
     ];
@@ -118,7 +118,7 @@
         request.headers_mut().insert(name, value);
     }
     let address = SocketAddr::new(target.registration.address.ip(), node.settings.inbound.port());
-    node.balance.borrow_mut().attempt_started(&target.id);
+    node.load_balancer.borrow_mut().attempt_started(&target.id);
     let in_flight = InFlight { node, target: &target.id };
     let sent = SentFlag::default();
     let exchange = node.peers.exchange_tracking_sent(address, request, &sent);
@@ -129,12 +129,12 @@
         }
         Exchanged::DeadlineExceeded => {
             let now = node.now();
-            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
+            node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             return Attempt::DeadlineExceeded;
         }
         Exchanged::Abandoned => {
             let now = node.now();
-            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
+            node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             return Attempt::Abandoned;
         }
         Exchanged::Unresponsive => return Attempt::NoResponse("node did not answer the liveness probe".to_owned()),
@@ -147,27 +147,27 @@
     let report = response.headers().get(HOP_HEADER).and_then(|value| value.to_str().ok()).and_then(HopReport::decode);
     let Some(report) = report else { return Attempt::NoResponse("no valid quillhatch-hop header".to_owned()) };
     let now = node.now();
-    node.balance.borrow_mut().record_load(&target.id, report.load, report.health, now);
+    node.load_balancer.borrow_mut().record_load(&target.id, report.load, report.health, now);
     if matches!(report.outcome, GateOutcome::Answered | GateOutcome::Full) {
-        node.admission_levels.borrow_mut().record_report(&call.route.name, report.cut, now);
+        node.admission_levels.borrow_mut().record_report(&call.route.name, report.admission_level, now);
     }
-    node.parent_tracker.borrow_mut().record_caller_kind(&call.route.name, report.called_by);
+    node.parent_tracker.borrow_mut().record_caller_kind(&call.route.name, report.caller_kind);
     store_view::record_peer_view(node, target.registration.address.ip(), report.store_view);
     if let Some(proof) = report.proof {
         node.tenancy.record_peer_proof(proof, &node.configuration.borrow(), started);
     }
-    let is_replaced = report.local_target.as_ref().is_some_and(|present| {
+    let is_replaced = report.current_target.as_ref().is_some_and(|replacement| {
         let mut targets = node.targets.borrow_mut();
-        targets.replace_at_address(&target.id, Arc::from(present.id.as_str()), &present.service, now);
-        targets.get(&present.id).is_some()
+        targets.replace_at_address(&target.id, Arc::from(replacement.id.as_str()), &replacement.service, now);
+        targets.get(&replacement.id).is_some()
     });
     match report.outcome {
         GateOutcome::Answered => {
             let took = now.since(started);
             if response.status().is_success() {
-                node.balance.borrow_mut().record_response_time(&target.id, &call.route.name, took, now);
+                node.load_balancer.borrow_mut().record_response_time(&target.id, &call.route.name, took, now);
             } else if response.status() == StatusCode::GATEWAY_TIMEOUT {
-                node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, took, now);
+                node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, took, now);
             }
             drop(in_flight);
             relay(response, lease).await
@@ -198,7 +198,7 @@
             Attempt::NoResponse("gate got no valid response from the target".to_owned())
         }
         GateOutcome::DeadlineExceeded => {
-            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
+            node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             discard_response(response, lease).await;
             Attempt::DeadlineExceeded
         }
@@ -233,11 +233,11 @@
 /// refuse the call, and the caller would then get this node's error instead of a target's response.
 pub(super) fn should_abandon(node: &Node, call: &Call) -> bool {
     let now = node.now();
-    let Some(mean) = node.balance.borrow().mean_response_time(&call.route.name) else { return false };
-    node.has(Mechanism::SlowAttemptRetry)
+    let Some(mean) = node.load_balancer.borrow().mean_response_time(&call.route.name) else { return false };
+    node.is_enabled(Mechanism::SlowAttemptRetry)
         && !node.is_stopping()
         && call.is_nested
-        && node.admission_levels.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_CUT
+        && node.admission_levels.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_LEVEL
         && now.until(call.deadline) >= mean * MIN_MEAN_TIMES_LEFT
 }
 
@@ -253,7 +253,7 @@
 ) -> Exchanged {
     let mut exchange = pin!(exchange);
     let give_up_at = call.deadline + DEADLINE_ALLOWANCE;
-    let probe_delay = node.balance.borrow().liveness_probe_delay(&call.route.name);
+    let probe_delay = node.load_balancer.borrow().liveness_probe_delay(&call.route.name);
     if probe_delay < node.now().until(give_up_at) && call.route.retryability == Retryability::Retryable {
         let probe_at = node.now() + probe_delay;
         if let Ok(result) = node.clock.timeout_at(probe_at, &mut exchange).await {
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -55,7 +55,7 @@
     let Some(service) = service else {
         return refuse(node, &call.id, "no-destination", NO_DESTINATION_RETRY_AFTER, call.arrived);
     };
-    node.count_call(&service, call.lineage.is_retry);
+    node.count_call(&service, call.inherited.is_retry);
     let dispatch_until = call.arrived + call.route.latency_objective.mul_f64(super::attempt::DISPATCH_FRACTION);
     let mut call = call;
     let mut body = Some(body);
@@ -119,13 +119,13 @@
             }
             Attempt::NotRun(why) => {
                 node.log_failure(|| failed_attempt_line(&call, &target, why));
-                node.balance.borrow_mut().record_refusal(&target.id, node.now());
+                node.load_balancer.borrow_mut().record_refusal(&target.id, node.now());
             }
             Attempt::TargetReplaced => {}
             Attempt::Rejected => {
                 node.log_failure(|| failed_attempt_line(&call, &target, "rejected"));
                 // The target refuses quickly, so it would attract calls, each of which costs a retry.
-                node.balance.borrow_mut().record_refusal(&target.id, node.now());
+                node.load_balancer.borrow_mut().record_refusal(&target.id, node.now());
                 if !node.try_retry(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
@@ -159,7 +159,7 @@
     let targets = node.targets.borrow();
     let members = targets.of_service(service);
     let mut random = node.random.borrow_mut();
-    let balance = node.balance.borrow();
+    let balance = node.load_balancer.borrow();
     let now = node.now();
     let response_time = call.route.latency_objective.min(now.until(call.deadline));
     let sender_place = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
@@ -180,7 +180,7 @@
 
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
 fn note_retry(node: &Node, call: &mut Call) {
-    call.lineage.is_retry = true;
+    call.inherited.is_retry = true;
     Counters::increment(&node.counters.retries);
 }
 
--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -80,7 +80,7 @@
 /// Recomputes the node's role in the feed tree from `targets`.
 pub fn update_role<'a>(node: &Node, targets: impl Iterator<Item = &'a Arc<Target>>) {
     let own = node.settings.local_target.ip();
-    let role = match node.has(Mechanism::SharedReads) {
+    let role = match node.is_enabled(Mechanism::SharedReads) {
         true => FeedTree::new(targets).role_of(own, &node.settings.zone),
         false => FeedRole { is_reader: true, ..FeedRole::default() },
     };
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -111,7 +111,7 @@
     let Some(configuration) = node.current_configuration() else { return false };
     let tenants = &configuration.tenants;
     let is_bounded = node.settings.bounds.revocation.is_some() && !tenants.is_empty();
-    node.has(Mechanism::SharedLimits) && (is_bounded || tenants.has_limits())
+    node.is_enabled(Mechanism::SharedLimits) && (is_bounded || tenants.has_limits())
 }
 
 async fn report(node: &Rc<Node>, socket: &UdpSocket, pending: &mut PendingReports, choice: &mut CoordinatorChoice) {
--- a/crates/sidecar/src/store/turn.rs
+++ b/crates/sidecar/src/store/turn.rs
@@ -38,7 +38,7 @@
 }
 
 fn next_turn(node: &Node) -> ReadSchedule {
-    if !node.has(Mechanism::SharedReads) {
+    if !node.is_enabled(Mechanism::SharedReads) {
         return ReadSchedule::Now(ReadReason::Reader);
     }
     let now = node.now();
