--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -148,7 +148,8 @@
     }
 }
 
-/// Records how recently another node's data was read from the store, and returns whether this node may follow it.
+/// Records how recently another node's data was read from the store, and returns whether this node may use it as a
+/// source.
 fn record_source_status(node: &Rc<Node>, status: SourceStatus, is_upstream: bool) -> SourceVerdict {
     if let Some(read) = status.store_read_at {
         node.feed.record_store_read(read);
--- a/crates/sidecar/src/feed/query.rs
+++ b/crates/sidecar/src/feed/query.rs
@@ -77,9 +77,10 @@
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
         node.tenancy.record_replica_proof(proof, &node.configuration.borrow(), sent);
     }
-    let lost = Duration::from_millis(answer.lost_ms);
+    let lost_for = Duration::from_millis(answer.lost_ms);
     let now = node.now();
-    let lost_since = (answer.lost_ms > 0).then(|| Timestamp::ZERO + now.since(Timestamp::ZERO).saturating_sub(lost));
+    let lost_since =
+        (answer.lost_ms > 0).then(|| Timestamp::ZERO + now.since(Timestamp::ZERO).saturating_sub(lost_for));
     Ok(SourceStatus { store_read_at: store_read_at(sent, answer.read_ms), lost_since })
 }
 
@@ -92,16 +93,16 @@
 }
 
 /// Adds targets that run without a registration to the list of targets. Malformed ones are skipped.
-fn retain_unregistered(node: &Rc<Node>, kept: &[wire::KeptTarget]) {
-    if kept.is_empty() {
+fn retain_unregistered(node: &Rc<Node>, retained: &[wire::KeptTarget]) {
+    if retained.is_empty() {
         return;
     }
     let now = node.now();
-    for wire::KeptTarget { target, left_ms } in kept {
+    for wire::KeptTarget { target, left_ms } in retained {
         let Some(target) = target else { continue };
         let Ok(registration) = decode_target(target) else { continue };
-        let (id, left) = (Arc::from(target.id.as_str()), Duration::from_millis(u64::from(*left_ms)));
-        node.targets.borrow_mut().retain_unregistered(id, registration, left, now);
+        let (id, remaining) = (Arc::from(target.id.as_str()), Duration::from_millis(u64::from(*left_ms)));
+        node.targets.borrow_mut().retain_unregistered(id, registration, remaining, now);
     }
     node.grace_changed.notify_one();
     on_targets_changed(node);
@@ -113,13 +114,13 @@
         Requested::Changes { hold } => hold,
         Requested::Unregistered => Duration::ZERO,
     };
-    let question = wire::ReplicaQuestion {
+    let message = wire::ReplicaQuestion {
         position: position.is_known().then(|| encode_position(position)),
         hold_ms: hold.as_millis() as u32,
         wants_kept: requested == Requested::Unregistered,
     };
     let request =
-        Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Buffered(encode(&question).into()));
+        Request::post(FEED_PATH).header("host", peer.to_string()).body(Body::Buffered(encode(&message).into()));
     let request = request.expect("the path and the host are valid in a request");
     let address = SocketAddr::new(peer, node.settings.inbound.port());
     let exchange = async {
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -86,7 +86,7 @@
             // then go to another coordinator.
             let Ok((length, from)) = received else { continue };
             // Callers on the same machines can't send from this port.
-            if Some(from.port()) == node.settings.limits.map(|own| own.port()) {
+            if Some(from.port()) == node.settings.limits.map(|address| address.port()) {
                 handle_datagram(&node, &socket, &buf[..length], from, &mut pending, &mut choice).await;
             }
         }
@@ -155,9 +155,9 @@
 }
 
 async fn send(node: &Node, socket: &UdpSocket, message: &wire::LimitMessage, to: IpAddr) {
-    let Some(own) = node.settings.limits else { return };
+    let Some(own_address) = node.settings.limits else { return };
     // A lost message needs no retransmission: the next one replaces it.
-    datagrams::send(node, socket, &encode(message), SocketAddr::new(to, own.port())).await;
+    datagrams::send(node, socket, &encode(message), SocketAddr::new(to, own_address.port())).await;
 }
 
 async fn handle_datagram(
--- a/crates/sidecar/src/liveness.rs
+++ b/crates/sidecar/src/liveness.rs
@@ -23,9 +23,8 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long the result of a failed probe is reused.
 const FAILURE_CACHE_TIME: Duration = Duration::from_millis(300);
-
-/// A node from which something was received within this time is live without a probe.
-const RECENT_CONTACT: Duration = Duration::from_millis(60);
+/// The maximum age of the last contact with a node for which the node counts as live without a probe.
+const MAX_CONTACT_AGE: Duration = Duration::from_millis(60);
 
 /// The result of the last probe of a node.
 #[derive(Clone, Copy, Debug)]
@@ -61,14 +60,15 @@
     is_live
 }
 
-/// Whether something was received from the node beside `target` within `RECENT_CONTACT`, or it responds to a probe now.
+/// Whether something was received from the node beside `target` within `MAX_CONTACT_AGE`, or it responds to a probe
+/// now.
 ///
 /// A call that may run only once can't be retried elsewhere after it was sent to a node that doesn't respond, so this
 /// check precedes it.
 pub async fn is_live_now(node: &Rc<Node>, target: &Target) -> bool {
     let last_contact = node.load_balancer.borrow().last_contact(&target.id);
     let now = node.now();
-    now.since(last_contact) < RECENT_CONTACT || is_live(node, target, now).await
+    now.since(last_contact) < MAX_CONTACT_AGE || is_live(node, target, now).await
 }
 
 async fn probe(node: &Rc<Node>, peer: IpAddr) -> bool {
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -253,7 +253,7 @@
         })
     }
 
-    /// The time since the process started, suspensions of the machine included.
+    /// The current time of the node's clock, which continues during suspensions of the machine.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
--- a/crates/sidecar/src/quarantine/messages.rs
+++ b/crates/sidecar/src/quarantine/messages.rs
@@ -18,7 +18,7 @@
 fn encode_record(record: &SuspectRecord) -> wire::SuspectRecord {
     wire::SuspectRecord {
         key: record.key.0,
-        ends: record.crashes.iter().map(|end| end.0).collect(),
+        ends: record.crashes.iter().map(|crash| crash.0).collect(),
         age_ms: record.age.as_millis() as u64,
     }
 }
@@ -27,7 +27,7 @@
 pub(super) fn decode_record(record: &wire::SuspectRecord) -> SuspectRecord {
     SuspectRecord {
         key: SignatureKey(record.key),
-        crashes: record.ends.iter().map(|end| CrashId(*end)).collect(),
+        crashes: record.ends.iter().map(|crash| CrashId(*crash)).collect(),
         age: Duration::from_millis(record.age_ms),
     }
 }
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -43,7 +43,7 @@
 
 /// Exchanges evidence with the other gates of the service until the process ends.
 pub async fn exchange(node: Rc<Node>, socket: UdpSocket) {
-    let Some(port) = node.settings.quarantine.map(|own| own.port()) else { return };
+    let Some(port) = node.settings.quarantine.map(|address| address.port()) else { return };
     let mut channel = Channel { node, socket, port, rebroadcasts: VecDeque::new(), next_round: Timestamp::ZERO };
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
--- a/crates/sidecar/src/store/client.rs
+++ b/crates/sidecar/src/store/client.rs
@@ -31,7 +31,7 @@
     Status(StatusCode),
     /// The response can't be parsed.
     #[display("{_0}")]
-    Answer(PageError),
+    Page(PageError),
     /// The store was restored from a backup, or the response is from before the restore.
     #[display("the response is from another era of the store")]
     OtherEra,
@@ -44,13 +44,13 @@
         match self {
             StoreError::Exchange(_) | StoreError::TimedOut => true,
             StoreError::Status(status) => status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS,
-            StoreError::Answer(_) | StoreError::OtherEra => false,
+            StoreError::Page(_) | StoreError::OtherEra => false,
         }
     }
 }
 
 /// A response of the store.
-pub(super) struct StoreAnswer {
+pub(super) struct StoreResponse {
     /// The era of the store in which it was sent; zero if the response names none.
     pub era: u64,
     /// Its content.
@@ -63,7 +63,7 @@
     path: &str,
     limit: Duration,
     read: impl Fn(&[u8]) -> Result<Page, PageError>,
-) -> Result<StoreAnswer, StoreError> {
+) -> Result<StoreResponse, StoreError> {
     Counters::increment(&node.counters.store_requests);
     let address = node.settings.store;
     let request = Request::get(path).header(HOST, address.to_string()).body(Body::empty());
@@ -80,8 +80,8 @@
         if status != StatusCode::OK {
             return Err(StoreError::Status(status));
         }
-        let page = read(&bytes).map_err(StoreError::Answer)?;
-        Ok(StoreAnswer { era, page })
+        let page = read(&bytes).map_err(StoreError::Page)?;
+        Ok(StoreResponse { era, page })
     };
     timeout(limit, exchange).await.unwrap_or(Err(StoreError::TimedOut))
 }
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -30,7 +30,7 @@
 use crate::node::Node;
 pub use access::watch_access;
 pub use apply::{apply_update, drop_expired_targets, on_path_regained, on_targets_changed};
-use client::{get, StoreAnswer, StoreError};
+use client::{get, StoreError, StoreResponse};
 use turn::{is_due, wait_for_turn};
 
 /// The timeout of one page of a listing.
@@ -47,9 +47,9 @@
 /// Reads the store, whenever it is this node's turn, until the process ends.
 pub async fn follow(node: Rc<Node>) {
     loop {
-        let turn = wait_for_turn(&node).await;
+        let reason = wait_for_turn(&node).await;
         let sent = node.now();
-        let Err(error) = read_in_turn(&node, turn).await else { continue };
+        let Err(error) = read_in_turn(&node, reason).await else { continue };
         record_failure(&node, &error, sent);
         if !error.is_outage() {
             node.store_reader.borrow_mut().history_lost();
@@ -65,8 +65,8 @@
 }
 
 /// Reads the store until this node's turn ends or a call fails.
-async fn read_in_turn(node: &Rc<Node>, turn: ReadReason) -> Result<(), StoreError> {
-    if turn == ReadReason::Initial {
+async fn read_in_turn(node: &Rc<Node>, reason: ReadReason) -> Result<(), StoreError> {
+    if reason == ReadReason::Initial {
         node.solo_reads.set(node.solo_reads.get().increment(node.now()));
         return read_all(node, ReadConsistency::Stale).await;
     }
@@ -76,7 +76,7 @@
         NextRead::List => read_all(node, ReadConsistency::Current).await?,
         NextRead::StaleList => read_all(node, ReadConsistency::Stale).await?,
     }
-    watch(node, turn).await
+    watch(node, reason).await
 }
 
 /// Records that a call to the store, sent at `sent`, has failed.
@@ -118,16 +118,16 @@
     on_path_regained(node, lost_since, outage_since);
 }
 
-/// Lists the configuration and all targets. With [`Freshness::MayLag`] the first page can be enough: it shows other
-/// nodes that can supply the rest.
-async fn read_all(node: &Rc<Node>, freshness: ReadConsistency) -> Result<(), StoreError> {
+/// Lists the configuration and all targets. With [`ReadConsistency::Stale`] the first page can be enough: it shows
+/// other nodes that can supply the rest.
+async fn read_all(node: &Rc<Node>, consistency: ReadConsistency) -> Result<(), StoreError> {
     let sent = node.now();
     let mut changes: Vec<RevisedChange> = Vec::new();
     let mut position: Option<Position> = None;
     let mut after = String::new();
     loop {
-        let answer = get(node, &listing_path(&after, freshness), LIST_TIMEOUT, read_page).await?;
-        let StoreAnswer { era, page } = answer;
+        let response = get(node, &listing_path(&after, consistency), LIST_TIMEOUT, read_page).await?;
+        let StoreResponse { era, page } = response;
         // The pages are not a snapshot: a change after the lowest of their revisions may be missing from one of them.
         let page_position = Position { era, revision: page.revision };
         if position.is_some_and(|position| position.era != era) {
@@ -138,7 +138,7 @@
         if !page.more {
             break;
         }
-        if freshness == ReadConsistency::Stale && after.is_empty() && peers_supply_rest(node, &changes).await {
+        if consistency == ReadConsistency::Stale && after.is_empty() && peers_supply_rest(node, &changes).await {
             return Ok(());
         }
         after.clone_from(&page.last_key);
@@ -153,7 +153,7 @@
         // Another node has sent a later update meanwhile.
         node.log_failure(|| format!("\"event\":\"store-outrun\",\"revision\":{}", position.revision));
     }
-    match freshness {
+    match consistency {
         ReadConsistency::Current => {
             record_success(node, sent);
             record_freshness(node, sent);
@@ -202,15 +202,15 @@
 }
 
 /// Watches the store for changes as long as it is this node's turn.
-async fn watch(node: &Rc<Node>, turn: ReadReason) -> Result<(), StoreError> {
-    let mut is_probing = turn == ReadReason::Once || node.feed.store_loss.get().since().is_some();
+async fn watch(node: &Rc<Node>, reason: ReadReason) -> Result<(), StoreError> {
+    let mut is_probing = reason == ReadReason::Once || node.feed.store_loss.get().since().is_some();
     loop {
         let position = node.position();
         let wait = if is_probing { PROBING_WATCH_WAIT } else { watch_timeout(&node.settings.bounds) };
         let path = watch_path(position.revision, wait);
         let sent = node.now();
-        let answer = tokio::select! {
-            answer = get(node, &path, wait + WATCH_TIMEOUT_MARGIN, read_page) => answer?,
+        let response = tokio::select! {
+            response = get(node, &path, wait + WATCH_TIMEOUT_MARGIN, read_page) => response?,
             () = node.clock.resumed() => {
                 node.log(&format!("\"event\":\"watch-renewed\",\"revision\":{},\"why\":\"woken\"", position.revision));
                 is_probing = true;
@@ -218,7 +218,7 @@
             }
         };
         is_probing = false;
-        let StoreAnswer { era, page } = answer;
+        let StoreResponse { era, page } = response;
         if era != position.era {
             return Err(StoreError::OtherEra);
         }
--- a/crates/sidecar/src/store/turn.rs
+++ b/crates/sidecar/src/store/turn.rs
@@ -13,13 +13,13 @@
 /// How long a node that has just started waits for the full view from other nodes before it reads all pages itself.
 const MAX_PEER_WAIT: Duration = Duration::from_millis(1200);
 
-/// Waits until it is this node's turn.
+/// Waits until it is this node's turn, and returns why.
 pub(super) async fn wait_for_turn(node: &Rc<Node>) -> ReadReason {
     loop {
         let role_changed = node.feed.role_changed.notified();
         let view_changed = node.feed.view_changed.notified();
-        let wait = match next_turn(node) {
-            ReadSchedule::Now(turn) => return turn,
+        let wait = match read_schedule(node) {
+            ReadSchedule::Now(reason) => return reason,
             ReadSchedule::After(wait) => wait,
             ReadSchedule::OnChange => Duration::MAX,
         };
@@ -34,10 +34,10 @@
 
 /// Whether it is this node's turn now.
 pub(super) fn is_due(node: &Node) -> bool {
-    matches!(next_turn(node), ReadSchedule::Now(_))
+    matches!(read_schedule(node), ReadSchedule::Now(_))
 }
 
-fn next_turn(node: &Node) -> ReadSchedule {
+fn read_schedule(node: &Node) -> ReadSchedule {
     if !node.is_enabled(Mechanism::SharedReads) {
         return ReadSchedule::Now(ReadReason::Reader);
     }
@@ -60,7 +60,7 @@
 /// Waits for the full view from other nodes, and returns whether it has arrived.
 pub(super) async fn wait_for_peers(node: &Rc<Node>) -> bool {
     let limit = node.random.borrow_mut().gen_range(MAX_PEER_WAIT / 2..MAX_PEER_WAIT);
-    let known = async {
+    let view_known = async {
         loop {
             let view_changed = node.feed.view_changed.notified();
             if node.position().is_known() {
@@ -70,6 +70,6 @@
         }
     };
     // Whether the wait timed out shows in the position.
-    let _ = timeout(limit, known).await;
+    let _ = timeout(limit, view_known).await;
     node.position().is_known()
 }
