--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -75,7 +75,7 @@
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.node.balance.borrow_mut().attempt_ended(self.target);
+        self.node.load_balancer.borrow_mut().attempt_ended(self.target);
     }
 }
 
@@ -94,7 +94,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
-    let max_wait = if !node.has(Mechanism::QueueTimeout) {
+    let max_wait = if !node.is_enabled(Mechanism::QueueTimeout) {
         remaining
     } else if call.is_nested {
         remaining.mul_f64(NESTED_QUEUE_FRACTION)
@@ -118,7 +118,7 @@
         request.headers_mut().insert(name, value);
     }
     let address = SocketAddr::new(target.registration.address.ip(), node.settings.inbound.port());
-    node.balance.borrow_mut().attempt_started(&target.id);
+    node.load_balancer.borrow_mut().attempt_started(&target.id);
     let in_flight = InFlight { node, target: &target.id };
     let sent = SentFlag::default();
     let exchange = node.peers.exchange_tracking_sent(address, request, &sent);
@@ -129,12 +129,12 @@
         }
         Exchanged::DeadlineExceeded => {
             let now = node.now();
-            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
+            node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             return Attempt::DeadlineExceeded;
         }
         Exchanged::Abandoned => {
             let now = node.now();
-            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
+            node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             return Attempt::Abandoned;
         }
         Exchanged::Unresponsive => return Attempt::NoResponse("node did not answer the liveness probe".to_owned()),
@@ -147,11 +147,11 @@
     let report = response.headers().get(HOP_HEADER).and_then(|value| value.to_str().ok()).and_then(HopReport::decode);
     let Some(report) = report else { return Attempt::NoResponse("no valid quillhatch-hop header".to_owned()) };
     let now = node.now();
-    node.balance.borrow_mut().record_load(&target.id, report.load, report.health, now);
+    node.load_balancer.borrow_mut().record_load(&target.id, report.load, report.health, now);
     if matches!(report.outcome, GateOutcome::Answered | GateOutcome::Full) {
-        node.cuts.borrow_mut().record_report(&call.route.name, report.admission_level, now);
+        node.admission_levels.borrow_mut().record_report(&call.route.name, report.admission_level, now);
     }
-    node.parents.borrow_mut().record_caller_kind(&call.route.name, report.caller_kind);
+    node.parent_tracker.borrow_mut().record_caller_kind(&call.route.name, report.caller_kind);
     store_view::record_peer_view(node, target.registration.address.ip(), report.store_view);
     if let Some(proof) = report.proof {
         node.tenancy.record_peer_proof(proof, &node.configuration.borrow(), started);
@@ -165,9 +165,9 @@
         GateOutcome::Answered => {
             let took = now.since(started);
             if response.status().is_success() {
-                node.balance.borrow_mut().record_response_time(&target.id, &call.route.name, took, now);
+                node.load_balancer.borrow_mut().record_response_time(&target.id, &call.route.name, took, now);
             } else if response.status() == StatusCode::GATEWAY_TIMEOUT {
-                node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, took, now);
+                node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, took, now);
             }
             drop(in_flight);
             relay(response, lease).await
@@ -198,7 +198,7 @@
             Attempt::NoResponse("gate got no valid response from the target".to_owned())
         }
         GateOutcome::DeadlineExceeded => {
-            node.balance.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
+            node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             discard_response(response, lease).await;
             Attempt::DeadlineExceeded
         }
@@ -233,11 +233,11 @@
 /// refuse the call, and the caller would then get this node's error instead of a target's response.
 pub(super) fn should_abandon(node: &Node, call: &Call) -> bool {
     let now = node.now();
-    let Some(mean) = node.balance.borrow().mean_response_time(&call.route.name) else { return false };
-    node.has(Mechanism::SlowAttemptRetry)
+    let Some(mean) = node.load_balancer.borrow().mean_response_time(&call.route.name) else { return false };
+    node.is_enabled(Mechanism::SlowAttemptRetry)
         && !node.is_stopping()
         && call.is_nested
-        && node.cuts.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_LEVEL
+        && node.admission_levels.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_LEVEL
         && now.until(call.deadline) >= mean * MIN_MEAN_TIMES_LEFT
 }
 
@@ -253,7 +253,7 @@
 ) -> Exchanged {
     let mut exchange = pin!(exchange);
     let give_up_at = call.deadline + DEADLINE_ALLOWANCE;
-    let probe_delay = node.balance.borrow().liveness_probe_delay(&call.route.name);
+    let probe_delay = node.load_balancer.borrow().liveness_probe_delay(&call.route.name);
     if probe_delay < node.now().until(give_up_at) && call.route.retryability == Retryability::Retryable {
         let probe_at = node.now() + probe_delay;
         if let Ok(result) = node.clock.timeout_at(probe_at, &mut exchange).await {
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -37,7 +37,7 @@
     pub(super) fn start_run(&mut self, deadline: Timestamp, inherited: InheritedContext, signature: RequestSignature) {
         self.run = Some(self.node.run_tracker.borrow_mut().begin(signature, self.node.now()));
         if let Some(route) = self.route.clone() {
-            self.running = Some(self.node.parents.borrow_mut().call_started(deadline, route, inherited));
+            self.running = Some(self.node.parent_tracker.borrow_mut().call_started(deadline, route, inherited));
         }
     }
 
@@ -71,7 +71,7 @@
             if let Some(route) = &self.route {
                 self.node.capacity.borrow_mut().record_slot_time(route, held_for, self.node.now());
             }
-            self.node.parents.borrow_mut().call_ended(running);
+            self.node.parent_tracker.borrow_mut().call_ended(running);
         }
         if let Some(route) = &self.route {
             self.node.call_graph.borrow_mut().call_ended(route, self.node.now());
@@ -173,9 +173,9 @@
     }
     // Positions order the queue only during a shortage. While the target can serve all calls that arrive, calls of the
     // same priority are served in order of arrival.
-    let orders_by_root = node.has(Mechanism::SharedRootOrder) && node.shortage().is_some();
+    let orders_by_root = node.is_enabled(Mechanism::SharedRootOrder) && node.shortage().is_some();
     let position = if orders_by_root { position } else { 0 };
-    let priority = if node.has(Mechanism::GatePriority) { priority } else { 0 };
+    let priority = if node.is_enabled(Mechanism::GatePriority) { priority } else { 0 };
     let rank = Rank { priority, is_root: context.is_root, position };
     let (arrival, displaced) = node.gate.borrow_mut().admit(rank, context.max_wait, now);
     if let Some(ticket) = displaced {
