--- a/crates/sidecar/src/clock.rs
+++ b/crates/sidecar/src/clock.rs
@@ -15,7 +15,7 @@
 use rustix::time::{clock_gettime, ClockId};
 use tokio::sync::Notify;
 
-/// The minimum suspension that is detected. Shorter ones can't be told from late timers.
+/// The minimum suspension that is detected. Shorter ones can't be distinguished from late timers.
 const MIN_SUSPENSION: Duration = Duration::from_millis(150);
 
 /// The clock's time at the start of the process. It is far enough from zero to represent earlier events that other
