--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -8,7 +8,7 @@
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_sidecar::node::Node;
 use quillhatch_sidecar::node::Stage;
-use support::caller::{call, request, Answer, Caller};
+use support::caller::{call, request, Caller, Response};
 use support::limits::{pay, read, two_machines, HOST};
 use support::store::StandInStore;
 use support::target::{ChainedCall, TargetBehaviour};
@@ -71,7 +71,7 @@
 #[test_case(TargetBehaviour::TruncatedBody; "response that ends early")]
 #[test_case(TargetBehaviour::Unsigned; "response without a server stamp")]
 #[test_case(TargetBehaviour::Garbage; "bytes that are no HTTP response")]
-#[test_case(TargetBehaviour::NoAnswer; "no response")]
+#[test_case(TargetBehaviour::NoResponse; "no response")]
 fn an_invalid_response_is_a_502_and_is_not_retried(habit: TargetBehaviour) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
@@ -90,12 +90,12 @@
 fn a_surplus_response_reaches_no_caller() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_behaviour(TargetBehaviour::SecondAnswer);
+        alpha.target.set_behaviour(TargetBehaviour::SecondResponse);
         let mut caller = Caller::connect(beta.outbound()).await;
         for number in 0..6 {
             let id = format!("call-{number}");
             caller.send(&read(&id)).await;
-            let answer = caller.answer().await.expect("a response");
+            let answer = caller.next_response().await.expect("a response");
             if answer.status == 200 {
                 assert_eq!(answer.body, format!("the answer to {id}").as_bytes());
             }
@@ -126,7 +126,7 @@
 }
 
 /// The value of `Retry-After` in a response, in seconds.
-fn retry_after_s(answer: &Answer) -> f64 {
+fn retry_after_s(answer: &Response) -> f64 {
     answer.header("retry-after").parse().expect("a time")
 }
 
@@ -312,7 +312,7 @@
             alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
-        alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoAnswer));
+        alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoResponse));
         assert_eq!(call(beta.outbound(), &chain("twice")).await.expect("a response").status, 502);
         assert_eq!(counted(), 1, "the call nested in the second attempt");
         let below = beta
@@ -398,7 +398,7 @@
 fn a_target_that_responds_before_reading_the_body_receives_no_foreign_bytes(length: usize) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_behaviour(TargetBehaviour::EarlyAnswer);
+        alpha.target.set_behaviour(TargetBehaviour::EarlyResponse);
         for number in 0..3 {
             let body = "b".repeat(length - number);
             let text = request("POST", HOST, "/pay/", &format!("early-{number}"), 5000, &body);
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -40,7 +40,7 @@
         sleep(Duration::from_millis(20)).await;
         caller.send(&(read("two") + &read("three"))).await;
         for id in ["one", "two", "three"] {
-            let answer = caller.answer().await.expect("a response");
+            let answer = caller.next_response().await.expect("a response");
             assert_eq!(answer.body, format!("the answer to {id}").as_bytes());
         }
         assert!(
@@ -86,9 +86,9 @@
         let (_store, alpha, beta) = two_machines().await;
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send("GET /read/x HTTP/1.1\r\nHost: ").await;
-        let answer = caller.answer().await.expect("a response");
+        let answer = caller.next_response().await.expect("a response");
         assert_eq!((answer.status, answer.header("connection")), (408, "close"));
-        assert_eq!(caller.answer().await, None);
+        assert_eq!(caller.next_response().await, None);
         assert_eq!(alpha.target.received_count(), 0);
     });
 }
@@ -99,10 +99,10 @@
         let (_store, _alpha, beta) = two_machines().await;
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send(&read("one")).await;
-        caller.answer().await.expect("a response");
+        caller.next_response().await.expect("a response");
         sleep(Duration::from_secs(5)).await;
         caller.send(&read("two")).await;
-        assert_eq!(caller.answer().await.expect("a response").status, 200);
+        assert_eq!(caller.next_response().await.expect("a response").status, 200);
     });
 }
 
@@ -121,7 +121,7 @@
             callers.push(caller);
         }
         for caller in &mut callers {
-            caller.answer().await.expect("a response");
+            caller.next_response().await.expect("a response");
         }
         alpha.target.set_behaviour(TargetBehaviour::Normal);
         assert!(alpha.sidecar.open_connections() > before + 3);
@@ -153,7 +153,7 @@
         for number in 0..3 {
             let mut caller = Caller::connect(to).await;
             caller.send(&read(&format!("call-{number}"))).await;
-            let answer = caller.answer().await.expect("a response");
+            let answer = caller.next_response().await.expect("a response");
             let closes = answer.header("connection") == "close";
             assert_eq!((answer.status, closes), (200, number == 2));
             callers.push(caller);
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use support::caller::{call, request, Answer};
+use support::caller::{call, request, Response};
 use support::store::StandInStore;
 use support::target::{ChainedCall, CrashRule, TargetBehaviour};
 use support::{eventually, run, start_sidecar, Machine, OUTBOUND};
@@ -92,7 +92,7 @@
     }
 
     /// Sends copies of one request through all machines in turn for some time.
-    async fn send_copies(&self, path: &str, name: &str, time: Duration) -> Vec<Answer> {
+    async fn send_copies(&self, path: &str, name: &str, time: Duration) -> Vec<Response> {
         let begun = Instant::now();
         let mut answers = Vec::new();
         let machines: Vec<&Machine> = self.all().collect();
@@ -266,7 +266,7 @@
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
-            alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
+            alpha.target.set_behaviour(TargetBehaviour::NoResponse);
         }
         fleet.send_copies("/read/lost", "lost", Duration::from_secs(2)).await;
         sleep(Duration::from_millis(500)).await;
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -70,7 +70,7 @@
         let read = |id: &str| request("GET", HOST, "/read/", id, 5000, "");
 
         // A call whose target closes the connection without a response.
-        alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
+        alpha.target.set_behaviour(TargetBehaviour::NoResponse);
         call(beta.outbound(), &pay("lost-call")).await;
         let gate_line = first_line("gate", "lost-call");
         assert_eq!(gate_line["outcome"], "broken");
--- a/crates/sidecar/tests/stops.rs
+++ b/crates/sidecar/tests/stops.rs
@@ -25,11 +25,11 @@
         sleep(Duration::from_millis(50)).await;
         let probe = call(ready, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").await.expect("a response");
         assert_eq!(probe.status, 503);
-        let first = caller.answer().await.expect("the first response");
+        let first = caller.next_response().await.expect("the first response");
         assert_eq!((first.status, first.header("connection")), (200, ""), "another pipelined call is pending");
-        let second = caller.answer().await.expect("the second response");
+        let second = caller.next_response().await.expect("the second response");
         assert_eq!((second.status, second.header("connection")), (200, "close"));
-        assert_eq!(caller.answer().await, None);
+        assert_eq!(caller.next_response().await, None);
         let late = call(outbound, &read("three")).await.expect("a call in transit is still answered");
         assert_eq!((late.status, late.header("connection")), (200, "close"));
         stopping.await.expect("it stops");
@@ -50,7 +50,7 @@
         let stopping = tokio::task::spawn_local(beta.sidecar.stop());
         sleep(Duration::from_millis(50)).await;
         caller.send(&read("two")).await;
-        let first = caller.answer().await.expect("the response to the first request");
+        let first = caller.next_response().await.expect("the response to the first request");
         assert_eq!(first.body, b"the answer to one");
         stopping.await.expect("it stops");
     });
@@ -74,7 +74,7 @@
             callers.push(tokio::task::spawn_local(async move {
                 let mut caller = Caller::try_connect(outbound).await?;
                 caller.send(&read(&id)).await;
-                Some((id, caller.answer().await.map(|answer| answer.status)))
+                Some((id, caller.next_response().await.map(|answer| answer.status)))
             }));
             sleep(Duration::from_millis(20)).await;
         }
@@ -110,7 +110,7 @@
         // Until after the time in which the node drains its callers, when idle connections are closed.
         sleep(Duration::from_millis(3000)).await;
         for id in ["one", "two", "three"] {
-            let answer = caller.answer().await.unwrap_or_else(|| panic!("the response to {id} is lost"));
+            let answer = caller.next_response().await.unwrap_or_else(|| panic!("the response to {id} is lost"));
             assert_eq!((answer.status, answer.body.len()), (200, LENGTH), "{id}");
         }
         stopping.await.expect("it stops");
--- a/crates/sidecar/tests/support/tenancy.rs
+++ b/crates/sidecar/tests/support/tenancy.rs
@@ -4,7 +4,7 @@
 
 use quillhatch_mesh::settings::{Bounds, SidecarSettings};
 
-use super::caller::{call, request, Answer};
+use super::caller::{call, request, Response};
 use super::store::StandInStore;
 use super::{eventually, Machine, BOUNDS};
 
@@ -47,7 +47,7 @@
 }
 
 /// Sends a read with an API key through `machine`.
-pub async fn read(machine: &Machine, id: &str, key: &str) -> Answer {
+pub async fn read(machine: &Machine, id: &str, key: &str) -> Response {
     call(machine.outbound(), &get("read", id, &with_key(key))).await.expect("an answer")
 }
 
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -62,7 +62,7 @@
         let started = Instant::now();
         // Any call makes the node detect the suspension.
         call(beta.outbound(), &request("GET", shop::HOST, "/none/", "wakes", 1000, "")).await;
-        let answer = caller.answer_within(Duration::from_secs(2)).await.expect("an answer");
+        let answer = caller.next_response_within(Duration::from_secs(2)).await.expect("an answer");
         assert!((500..600).contains(&answer.status), "{}", answer.status);
         assert!(started.elapsed() < Duration::from_millis(300), "{:?}", started.elapsed());
     });
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -61,7 +61,7 @@
         let source = IpAddr::V4(beta.address);
         let mut caller = Caller::connect_from(source, beta.outbound()).await.expect("a connection");
         caller.send(&get("read", "one", "")).await;
-        assert_eq!(caller.answer().await.expect("an answer").status, 401);
+        assert_eq!(caller.next_response().await.expect("an answer").status, 401);
         assert_eq!(alpha.target.received_count(), 0);
     });
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -49,7 +49,7 @@
     TargetRestart,
     /// The target closes connections without a response.
     #[display("TargetLoses")]
-    TargetNoAnswer,
+    TargetNoResponse,
     /// The target responds with bytes that are not an HTTP response.
     TargetGarbage,
     /// The target truncates its responses.
@@ -57,7 +57,7 @@
     TargetTruncatedBody,
     /// The target sends a second response to each request.
     #[display("TargetSurplus")]
-    TargetSecondAnswer,
+    TargetSecondResponse,
     /// The target refuses all requests.
     #[display("TargetSheds")]
     TargetRefuses,
@@ -102,10 +102,10 @@
         FaultKind::Throttle,
         FaultKind::Kill,
         FaultKind::TargetRestart,
-        FaultKind::TargetNoAnswer,
+        FaultKind::TargetNoResponse,
         FaultKind::TargetGarbage,
         FaultKind::TargetTruncatedBody,
-        FaultKind::TargetSecondAnswer,
+        FaultKind::TargetSecondResponse,
         FaultKind::TargetRefuses,
         FaultKind::StoreUnresponsive,
         FaultKind::StoreUnavailable,
@@ -220,12 +220,12 @@
 
 fn apply(kind: FaultKind, machine: &SoakMachine) {
     let normal = LinkState::default();
-    let blackhole = LinkState { holds_requests: true, holds_answers: true, ..normal };
+    let blackhole = LinkState { holds_requests: true, holds_responses: true, ..normal };
     match kind {
         FaultKind::LinkDelay => machine.link.set(LinkState { delay: Duration::from_millis(80), ..normal }),
         FaultKind::LinkReset => machine.link.reset(),
         FaultKind::HoldRequests => machine.link.set(LinkState { holds_requests: true, ..normal }),
-        FaultKind::HoldAnswers => machine.link.set(LinkState { holds_answers: true, ..normal }),
+        FaultKind::HoldAnswers => machine.link.set(LinkState { holds_responses: true, ..normal }),
         FaultKind::LinkBlackhole => machine.link.set(blackhole),
         FaultKind::Freeze => machine.signal(Signal::STOP),
         FaultKind::Kill | FaultKind::KillAll => machine.signal(Signal::KILL),
@@ -233,10 +233,10 @@
             machine.target.restart();
             machine.store.register(&machine.target, "ready");
         }
-        FaultKind::TargetNoAnswer => machine.target.set_behaviour(TargetBehaviour::NoAnswer),
+        FaultKind::TargetNoResponse => machine.target.set_behaviour(TargetBehaviour::NoResponse),
         FaultKind::TargetGarbage => machine.target.set_behaviour(TargetBehaviour::Garbage),
         FaultKind::TargetTruncatedBody => machine.target.set_behaviour(TargetBehaviour::TruncatedBody),
-        FaultKind::TargetSecondAnswer => machine.target.set_behaviour(TargetBehaviour::SecondAnswer),
+        FaultKind::TargetSecondResponse => machine.target.set_behaviour(TargetBehaviour::SecondResponse),
         FaultKind::TargetRefuses => machine.target.set_behaviour(TargetBehaviour::RefusesRequests),
         FaultKind::TargetRestartSameId => machine.target.restart_with_same_id(),
         FaultKind::StoreInvalidEntries => write_invalid_entries(machine),
@@ -267,10 +267,10 @@
                 machine.store.write(&invalid_entry_key(number), None);
             }
         }
-        FaultKind::TargetNoAnswer
+        FaultKind::TargetNoResponse
         | FaultKind::TargetGarbage
         | FaultKind::TargetTruncatedBody
-        | FaultKind::TargetSecondAnswer
+        | FaultKind::TargetSecondResponse
         | FaultKind::TargetRefuses => machine.reset_target_behaviour(),
         FaultKind::StoreUnresponsive
         | FaultKind::StoreUnavailable
--- a/crates/soak/src/links.rs
+++ b/crates/soak/src/links.rs
@@ -43,7 +43,7 @@
         "set {number} {} {} {}",
         state.delay.as_millis(),
         u8::from(state.holds_requests),
-        u8::from(state.holds_answers)
+        u8::from(state.holds_responses)
     )]
     Set {
         /// The number of the link.
@@ -81,11 +81,11 @@
         ["open", _, listen, node] => {
             Some(LinkCommand::Open { number, listen: listen.parse().ok()?, node: node.parse().ok()? })
         }
-        ["set", _, delay, holds_requests, holds_answers] => {
+        ["set", _, delay, holds_requests, holds_responses] => {
             let state = LinkState {
                 delay: Duration::from_millis(delay.parse().ok()?),
                 holds_requests: holds_requests == "1",
-                holds_answers: holds_answers == "1",
+                holds_responses: holds_responses == "1",
             };
             Some(LinkCommand::Set { number, state })
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -25,7 +25,7 @@
     /// Whether bytes sent to the node are held back.
     pub holds_requests: bool,
     /// Whether bytes sent by the node are held back.
-    pub holds_answers: bool,
+    pub holds_responses: bool,
 }
 
 /// The link to one machine.
@@ -77,9 +77,9 @@
             let (near_read, near_write) = near.split();
             let (far_read, far_write) = far.split();
             let requests = self.copy(near_read, far_write, |state| state.holds_requests);
-            let answers = self.copy(far_read, near_write, |state| state.holds_answers);
+            let responses = self.copy(far_read, near_write, |state| state.holds_responses);
             tokio::select! {
-                _ = async { tokio::join!(requests, answers) } => false,
+                _ = async { tokio::join!(requests, responses) } => false,
                 () = self.reset.notified() => true,
             }
         };
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -382,7 +382,7 @@
     let source = machine.addrs.public.into();
     let Some(mut caller) = Caller::connect_from(source, machine.addrs.ready()).await else { return false };
     caller.send("GET /ready HTTP/1.1\r\nHost: node\r\n\r\n").await;
-    caller.answer_within(Duration::from_secs(1)).await.is_some_and(|answer| answer.status == 200)
+    caller.next_response_within(Duration::from_secs(1)).await.is_some_and(|response| response.status == 200)
 }
 
 /// Creates a folder in `parent` for the settings and logs of one soak.
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -88,14 +88,14 @@
         let headers = format!("\r\nX-Api-Key: {}\r\nQuillhatch-Tenant: forged\r\n\r\n", key.text());
         caller.send(&text.replacen("\r\n\r\n", &headers, 1)).await;
         let sent = Instant::now();
-        let Some(answer) = caller.answer_within(DEADLINE + RESPONSE_ALLOWANCE).await else {
+        let Some(response) = caller.next_response_within(DEADLINE + RESPONSE_ALLOWANCE).await else {
             let end = if sent.elapsed() >= DEADLINE + RESPONSE_ALLOWANCE { CallEnd::Silent } else { CallEnd::Cut };
             self.record_call(kind, key, id, sent, end);
             return None;
         };
-        let end = CallEnd::Answered { status: answer.status, is_own: answer.is_own(&id) };
+        let end = CallEnd::Answered { status: response.status, is_own: response.is_own(&id) };
         self.record_call(kind, key, id, sent, end);
-        let closes = answer.header("connection").eq_ignore_ascii_case("close");
+        let closes = response.header("connection").eq_ignore_ascii_case("close");
         (!closes && self.random.gen_bool(REUSE_PROBABILITY)).then_some(caller)
     }
 
--- a/crates/soak/tests/links.rs
+++ b/crates/soak/tests/links.rs
@@ -9,7 +9,7 @@
 use quillhatch_soak::proxy::LinkState;
 use test_case::test_case;
 
-const HOLDING: LinkState = LinkState { delay: Duration::from_millis(80), holds_requests: true, holds_answers: false };
+const HOLDING: LinkState = LinkState { delay: Duration::from_millis(80), holds_requests: true, holds_responses: false };
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(127, 0, 0, 3), port))
