--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Changes the configuration, drains one target and restarts the process of a machine of another service. The target
-    /// is either registered as draining, or deregistered while its health check reports that it is draining.
+    /// Changes the configuration, drains one target and restarts the process of a machine of another service. The
+    /// target is either registered as draining, or deregistered while its health check reports that it is draining.
     async fn one_of_each_kind(&mut self) -> io::Result<()> {
         self.configure();
         let drained = self.random.gen_range(0..self.machines.len());
