--- a/crates/mesh/benches/quarantine.rs
+++ b/crates/mesh/benches/quarantine.rs
@@ -19,7 +19,7 @@
         query: "page=14&sort=new",
         body,
         tenant: "office",
-        caller: "alpha",
+        caller_service: "alpha",
     }
 }
 
--- a/crates/mesh/src/balance.rs
+++ b/crates/mesh/src/balance.rs
@@ -8,7 +8,7 @@
 use quillhatch_types::Timestamp;
 use rand::Rng;
 
-use crate::gate::Load;
+use crate::gate::GateLoad;
 use crate::mechanisms::{Mechanism, Mechanisms};
 use crate::targets::{Target, TargetId};
 
@@ -72,7 +72,7 @@
     relative_latency: f64,
     latency_measured_at: Timestamp,
     latency_samples: u32,
-    load: Load,
+    load: GateLoad,
     health: f64,
     reported_at: Timestamp,
     avoided_until: Timestamp,
@@ -87,7 +87,7 @@
             relative_latency: 1.0,
             latency_measured_at: Timestamp::ZERO,
             latency_samples: 0,
-            load: Load::default(),
+            load: GateLoad::default(),
             health: 1.0,
             reported_at: Timestamp::ZERO,
             avoided_until: Timestamp::ZERO,
@@ -240,7 +240,7 @@
     }
 
     /// Records the load that a target's gate has reported, and the share of the target's answers that are good.
-    pub fn record_load(&mut self, target: &TargetId, load: Load, health: f64, now: Timestamp) {
+    pub fn record_load(&mut self, target: &TargetId, load: GateLoad, health: f64, now: Timestamp) {
         let state = self.target_states.entry(target.clone()).or_default();
         state.load = load;
         state.health = health;
--- a/crates/mesh/src/capacity.rs
+++ b/crates/mesh/src/capacity.rs
@@ -20,7 +20,7 @@
 use quillhatch_types::Timestamp;
 
 use crate::admission_level::{AdmissionLevel, MIN_ADMITTED_SHARE};
-use crate::gate::Load;
+use crate::gate::GateLoad;
 use crate::mechanisms::{Mechanism, Mechanisms};
 
 /// The time constant, in seconds, over which demand is measured: some dozens of calls at a gate with a hundred calls a
@@ -96,7 +96,7 @@
 
 /// The demand that exceeds the capacity of a target.
 #[derive(Clone, Debug)]
-pub struct Shortage {
+pub struct CapacityShortage {
     /// The number of priorities that are served in full, from the highest on.
     full_priorities: usize,
     /// The demand of each route of the next priority, which is served in part.
@@ -108,7 +108,7 @@
     priorities: u32,
 }
 
-impl Shortage {
+impl CapacityShortage {
     /// Returns the admission level for the calls of a route.
     pub fn admission_level(&self, route: &str) -> AdmissionLevel {
         let demand = self.route_demands.get(route).copied().unwrap_or(0.0);
@@ -208,7 +208,7 @@
         demand
     }
 
-    fn observe_utilization(&mut self, load: Load, is_limited: bool, now: Timestamp) {
+    fn observe_utilization(&mut self, load: GateLoad, is_limited: bool, now: Timestamp) {
         let elapsed = now.since(self.observed_at).as_secs_f64();
         self.observed_at = now;
         let utilization = f64::from(load.running) / f64::from(load.limit.max(1));
@@ -227,11 +227,11 @@
     /// of priorities in use; calls beyond the `level_of` their route don't arrive.
     pub fn shortage(
         &mut self,
-        load: Load,
+        load: GateLoad,
         priorities: u32,
         level_of: impl Fn(&str) -> AdmissionLevel,
         now: Timestamp,
-    ) -> Option<Shortage> {
+    ) -> Option<CapacityShortage> {
         self.decay(now);
         let demand_by_priority = self.demand(priorities, level_of, now);
         let demand: f64 = demand_by_priority.iter().flat_map(BTreeMap::values).sum();
@@ -249,7 +249,7 @@
             let priority_demand: f64 = route_demands.values().sum();
             if priority_demand > left {
                 let route_limit = max_min_fair_limit(&route_demands, left);
-                return Some(Shortage { full_priorities, route_demands, route_limit, evidence, priorities });
+                return Some(CapacityShortage { full_priorities, route_demands, route_limit, evidence, priorities });
             }
             left -= priority_demand;
         }
--- a/crates/mesh/src/gate.rs
+++ b/crates/mesh/src/gate.rs
@@ -5,7 +5,7 @@
 
 use quillhatch_types::Timestamp;
 
-use crate::queue::{Rank, Ticket, WaitingQueue};
+use crate::queue::{QueueTicket, Rank, WaitingQueue};
 
 /// The fraction of a target's slots that is used, rounded down, since some targets slow down when their last slots
 /// fill. Rounded up, all slots of a target with 16 were in use and its calls took 1.3 times as long: where such a
@@ -21,7 +21,7 @@
 
 /// The load of a gate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct GateLoad {
     /// The calls that run at the target.
     pub running: u32,
     /// The maximum number of calls that may run at the target.
@@ -30,7 +30,7 @@
     pub waiting: u32,
 }
 
-impl Load {
+impl GateLoad {
     /// Returns the running and waiting calls as a fraction of the limit; above one if calls wait.
     pub fn utilization(&self) -> f64 {
         f64::from(self.running + self.waiting) / f64::from(self.limit.max(1))
@@ -39,7 +39,7 @@
 
 /// The reason why a gate refuses a call. A refused call has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum GateRefusal {
     /// Too many calls wait, or the call may not wait longer.
     Overloaded,
     /// The target is draining, or this node stops.
@@ -48,13 +48,13 @@
 
 /// The gate's decision on a call that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum GateDecision {
     /// The call is forwarded to the target now.
     Runs,
     /// The call waits; the caller keeps the ticket.
-    Waits(Ticket),
+    Waits(QueueTicket),
     /// The call is refused.
-    Refused(Refusal),
+    Refused(GateRefusal),
 }
 
 /// The slots of a target and the calls that wait for one.
@@ -88,8 +88,8 @@
     }
 
     /// Returns the load of the gate.
-    pub fn load(&self) -> Load {
-        Load { running: self.running, limit: self.limit(), waiting: self.queue.len() as u32 }
+    pub fn load(&self) -> GateLoad {
+        GateLoad { running: self.running, limit: self.limit(), waiting: self.queue.len() as u32 }
     }
 
     /// Returns whether new calls are refused.
@@ -99,29 +99,29 @@
 
     /// Decides on a call that may wait for at most `max_wait`. The second value is a waiting call that ranks behind it
     /// and is refused instead.
-    pub fn admit(&mut self, rank: Rank, max_wait: Duration, now: Timestamp) -> (Admission, Option<Ticket>) {
+    pub fn admit(&mut self, rank: Rank, max_wait: Duration, now: Timestamp) -> (GateDecision, Option<QueueTicket>) {
         if self.closed {
-            return (Admission::Refused(Refusal::Closed), None);
+            return (GateDecision::Refused(GateRefusal::Closed), None);
         }
         if self.running < self.limit() && self.queue.is_empty() {
             self.running += 1;
-            return (Admission::Runs, None);
+            return (GateDecision::Runs, None);
         }
         let displaced = if self.queue.len() >= self.limit() as usize * MAX_QUEUE_PER_RUNNING_CALL {
             match self.queue.last_behind(rank) {
                 Some(ticket) => Some(ticket),
-                None => return (Admission::Refused(Refusal::Overloaded), None),
+                None => return (GateDecision::Refused(GateRefusal::Overloaded), None),
             }
         } else {
             None
         };
         if max_wait.is_zero() {
-            return (Admission::Refused(Refusal::Overloaded), None);
+            return (GateDecision::Refused(GateRefusal::Overloaded), None);
         }
         if let Some(ticket) = displaced {
             self.queue.remove(ticket);
         }
-        (Admission::Waits(self.queue.push(rank, now + max_wait)), displaced)
+        (GateDecision::Waits(self.queue.push(rank, now + max_wait)), displaced)
     }
 
     /// Releases the slot of a call that has ended.
@@ -130,7 +130,7 @@
     }
 
     /// Gives a free slot to the next waiting call; call again until it returns `None`.
-    pub fn admit_waiting(&mut self) -> Option<Ticket> {
+    pub fn admit_waiting(&mut self) -> Option<QueueTicket> {
         if self.running >= self.limit() {
             return None;
         }
@@ -140,12 +140,12 @@
     }
 
     /// Removes a waiting call whose caller is gone; returns whether it was still waiting.
-    pub fn cancel_waiting(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel_waiting(&mut self, ticket: QueueTicket) -> bool {
         self.queue.remove(ticket)
     }
 
     /// Removes a waiting call whose time to wait is over, to be refused; call again until it returns `None`.
-    pub fn pop_expired(&mut self, now: Timestamp) -> Option<Ticket> {
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<QueueTicket> {
         self.queue.pop_expired(now)
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// If the gate is closed, removes a waiting call, to be refused; call again until it returns `None`.
-    pub fn pop_refused(&mut self) -> Option<Ticket> {
+    pub fn pop_refused(&mut self) -> Option<QueueTicket> {
         if self.closed {
             return self.queue.pop();
         }
--- a/crates/mesh/src/quarantine/evidence.rs
+++ b/crates/mesh/src/quarantine/evidence.rs
@@ -61,7 +61,7 @@
 
 /// The decision on a request. If several apply, the greatest one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Verdict {
+pub enum RunVerdict {
     /// The request may run.
     Runs,
     /// The request is refused, for this time.
@@ -87,15 +87,15 @@
         true
     }
 
-    fn verdict(&self, jitter: f64, now: Timestamp) -> Verdict {
-        let Some(doublings) = self.crashes.len().checked_sub(QUARANTINE_THRESHOLD) else { return Verdict::Runs };
+    fn verdict(&self, jitter: f64, now: Timestamp) -> RunVerdict {
+        let Some(doublings) = self.crashes.len().checked_sub(QUARANTINE_THRESHOLD) else { return RunVerdict::Runs };
         let length = BASE_QUARANTINE
             .mul_f64((1.0 + MAX_JITTER_FRACTION * jitter) * f64::from(1_u32 << doublings.min(MAX_DOUBLINGS)));
         let left = length.saturating_sub(now.since(self.last_crash));
         if left.is_zero() {
-            Verdict::Runs
+            RunVerdict::Runs
         } else {
-            Verdict::Refused(left)
+            RunVerdict::Refused(left)
         }
     }
 }
@@ -116,12 +116,12 @@
     }
 
     /// Returns the decision on a request that arrives.
-    pub fn verdict(&self, signature: &RequestSignature, now: Timestamp) -> Verdict {
+    pub fn verdict(&self, signature: &RequestSignature, now: Timestamp) -> RunVerdict {
         if self.suspects.is_empty() {
-            return Verdict::Runs;
+            return RunVerdict::Runs;
         }
         let suspects = signature.keys().into_iter().filter_map(|key| self.suspects.get(&key));
-        suspects.map(|suspect| suspect.verdict(self.jitter, now)).max().unwrap_or(Verdict::Runs)
+        suspects.map(|suspect| suspect.verdict(self.jitter, now)).max().unwrap_or(RunVerdict::Runs)
     }
 
     /// Counts the crash of a target against the requests that ran there, and returns the evidence to broadcast.
@@ -213,7 +213,7 @@
     pub fn remove_expired(&mut self, now: Timestamp) {
         let jitter = self.jitter;
         self.suspects.retain(|_, suspect| {
-            let is_refused = matches!(suspect.verdict(jitter, now), Verdict::Refused(_));
+            let is_refused = matches!(suspect.verdict(jitter, now), RunVerdict::Refused(_));
             is_refused || now.since(suspect.last_crash) < EVIDENCE_LIFETIME
         });
         self.cleared.retain(|_, at| now.since(*at) < EVIDENCE_LIFETIME);
--- a/crates/mesh/src/quarantine/mod.rs
+++ b/crates/mesh/src/quarantine/mod.rs
@@ -18,6 +18,6 @@
 mod runs;
 mod signature;
 
-pub use evidence::{CrashId, Quarantine, SuspectRecord, Verdict};
+pub use evidence::{CrashId, Quarantine, RunVerdict, SuspectRecord};
 pub use runs::{RunId, RunTracker, TargetCrash};
 pub use signature::{RequestParts, RequestSignature, SignatureKey};
--- a/crates/mesh/src/quarantine/signature.rs
+++ b/crates/mesh/src/quarantine/signature.rs
@@ -32,7 +32,7 @@
     /// The tenant that sends the request; empty without tenants.
     pub tenant: &'a str,
     /// The service at whose machine the request entered.
-    pub caller: &'a str,
+    pub caller_service: &'a str,
 }
 
 /// Two hashes that identify a request: a wide and a narrow one.
@@ -54,7 +54,7 @@
         let mut hasher = SipHasher13::new_with_keys(HASH_KEY.0, HASH_KEY.1);
         (parts.method, parts.host, parts.path, parts.body).hash(&mut hasher);
         let wide = SignatureKey(hasher.finish());
-        (parts.query, parts.tenant, parts.caller).hash(&mut hasher);
+        (parts.query, parts.tenant, parts.caller_service).hash(&mut hasher);
         RequestSignature { wide, narrow: SignatureKey(hasher.finish()) }
     }
 
--- a/crates/mesh/src/queue.rs
+++ b/crates/mesh/src/queue.rs
@@ -19,7 +19,7 @@
 
 /// Identifies a waiting call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct QueueTicket {
     rank: Rank,
     sequence: u64,
 }
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct WaitingQueue {
     next_sequence: u64,
-    by_rank: BTreeMap<Ticket, Timestamp>,
-    by_expiry: BTreeSet<(Timestamp, Ticket)>,
+    by_rank: BTreeMap<QueueTicket, Timestamp>,
+    by_expiry: BTreeSet<(Timestamp, QueueTicket)>,
 }
 
 impl WaitingQueue {
@@ -45,12 +45,12 @@
 
     /// Returns the number of waiting calls that would be served before a new call of `rank`.
     pub fn count_ahead_of(&self, rank: Rank) -> usize {
-        self.by_rank.range(..=Ticket { rank, sequence: u64::MAX }).count()
+        self.by_rank.range(..=QueueTicket { rank, sequence: u64::MAX }).count()
     }
 
     /// Adds a call that waits until `expires` at the latest.
-    pub fn push(&mut self, rank: Rank, expires: Timestamp) -> Ticket {
-        let ticket = Ticket { rank, sequence: self.next_sequence };
+    pub fn push(&mut self, rank: Rank, expires: Timestamp) -> QueueTicket {
+        let ticket = QueueTicket { rank, sequence: self.next_sequence };
         self.next_sequence += 1;
         self.by_rank.insert(ticket, expires);
         self.by_expiry.insert((expires, ticket));
@@ -58,27 +58,27 @@
     }
 
     /// Removes a call; returns whether it was still waiting.
-    pub fn remove(&mut self, ticket: Ticket) -> bool {
+    pub fn remove(&mut self, ticket: QueueTicket) -> bool {
         let Some(expires) = self.by_rank.remove(&ticket) else { return false };
         self.by_expiry.remove(&(expires, ticket));
         true
     }
 
     /// Removes and returns the call that is served next.
-    pub fn pop(&mut self) -> Option<Ticket> {
+    pub fn pop(&mut self) -> Option<QueueTicket> {
         let (ticket, expires) = self.by_rank.pop_first()?;
         self.by_expiry.remove(&(expires, ticket));
         Some(ticket)
     }
 
     /// Returns the last waiting call in the order of service, if it ranks behind `rank`.
-    pub fn last_behind(&self, rank: Rank) -> Option<Ticket> {
+    pub fn last_behind(&self, rank: Rank) -> Option<QueueTicket> {
         let (ticket, _) = self.by_rank.last_key_value()?;
         (ticket.rank > rank).then_some(*ticket)
     }
 
     /// Removes and returns a call that has expired.
-    pub fn pop_expired(&mut self, now: Timestamp) -> Option<Ticket> {
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<QueueTicket> {
         let (expires, ticket) = *self.by_expiry.first()?;
         if expires > now {
             return None;
--- a/crates/mesh/tests/decisions/balance.rs
+++ b/crates/mesh/tests/decisions/balance.rs
@@ -6,7 +6,7 @@
 
 use crate::{milliseconds, target};
 use quillhatch_mesh::balance::{LoadBalancer, ZonePreference};
-use quillhatch_mesh::gate::Load;
+use quillhatch_mesh::gate::GateLoad;
 use quillhatch_types::Timestamp;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -26,7 +26,7 @@
     };
     assert_eq!(chosen(&balancer, Timestamp::ZERO), 100);
     let local: Arc<str> = Arc::from("local");
-    balancer.record_load(&local, Load { running: 10, limit: 10, waiting: 3 }, 1.0, Timestamp::ZERO);
+    balancer.record_load(&local, GateLoad { running: 10, limit: 10, waiting: 3 }, 1.0, Timestamp::ZERO);
     assert_eq!(chosen(&balancer, milliseconds(10)), 0, "busy");
     assert_eq!(chosen(&balancer, milliseconds(2_000)), 100, "an old report has no effect");
     let read: Arc<str> = Arc::from("read");
@@ -155,7 +155,7 @@
     };
     assert_eq!(stays(&balancer, 300), 100);
     assert_eq!(stays(&balancer, 60), 0);
-    balancer.record_load(&local, Load { running: 10, limit: 10, waiting: 1 }, 1.0, now);
+    balancer.record_load(&local, GateLoad { running: 10, limit: 10, waiting: 1 }, 1.0, now);
     assert_eq!(stays(&balancer, 300), 0, "busy");
 }
 
@@ -164,7 +164,7 @@
     let mut random = Pcg64::seed_from_u64(8);
     let targets = [target("bad", "here"), target("good", "here")];
     let (bad, good): (Arc<str>, Arc<str>) = (Arc::from("bad"), Arc::from("good"));
-    let idle = Load { running: 1, limit: 10, waiting: 0 };
+    let idle = GateLoad { running: 1, limit: 10, waiting: 0 };
     let mut balancer = LoadBalancer::default();
     let read: Arc<str> = Arc::from("read");
     for _ in 0..100 {
@@ -178,7 +178,7 @@
     balancer.record_load(&bad, idle, 0.6, Timestamp::ZERO);
     balancer.record_load(&good, idle, 1.0, Timestamp::ZERO);
     assert_eq!(chosen(&balancer, milliseconds(10)), 0);
-    balancer.record_load(&good, Load { running: 10, limit: 10, waiting: 8 }, 1.0, milliseconds(10));
+    balancer.record_load(&good, GateLoad { running: 10, limit: 10, waiting: 8 }, 1.0, milliseconds(10));
     assert_eq!(chosen(&balancer, milliseconds(20)), 100, "the good target is overloaded");
     assert!(chosen(&balancer, milliseconds(9_000)) > 50, "the bad target is tried again");
 }
--- a/crates/mesh/tests/decisions/capacity.rs
+++ b/crates/mesh/tests/decisions/capacity.rs
@@ -6,13 +6,13 @@
 use crate::milliseconds;
 use quillhatch_mesh::admission_level::{AdmissionLevel, MIN_ADMITTED_SHARE};
 use quillhatch_mesh::capacity::CapacityMeter;
-use quillhatch_mesh::gate::Load;
+use quillhatch_mesh::gate::GateLoad;
 use quillhatch_mesh::mechanisms::Mechanisms;
 use quillhatch_types::Timestamp;
 use test_case::test_case;
 
 const PRIORITIES: u32 = 3;
-const FULL_LOAD: Load = Load { running: 20, limit: 20, waiting: 0 };
+const FULL_LOAD: GateLoad = GateLoad { running: 20, limit: 20, waiting: 0 };
 /// The time for which a call holds its slot.
 const SLOT_TIME: Duration = Duration::from_millis(20);
 
@@ -45,12 +45,12 @@
     meter
 }
 
-fn level(meter: &mut CapacityMeter, load: Load) -> f64 {
+fn level(meter: &mut CapacityMeter, load: GateLoad) -> f64 {
     level_of(meter, "read", load, 2_000)
 }
 
 /// Returns the admission level of a route at a moment, as a number of priorities.
-fn level_of(meter: &mut CapacityMeter, route: &str, load: Load, now: u64) -> f64 {
+fn level_of(meter: &mut CapacityMeter, route: &str, load: GateLoad, now: u64) -> f64 {
     let shortage = meter.shortage(load, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(now));
     shortage.map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route)).priority_share()
         * f64::from(PRIORITIES)
@@ -73,7 +73,7 @@
     let route: Arc<str> = Arc::from("read");
     let mut meter = meter_of(&[Stream { route: &route, priority: 2, each_second: 800, share: 1.0 }]);
     assert!((level(&mut meter, FULL_LOAD) - f64::from(PRIORITIES)).abs() < f64::EPSILON);
-    let with_backlog = Load { waiting: 200, ..FULL_LOAD };
+    let with_backlog = GateLoad { waiting: 200, ..FULL_LOAD };
     assert!(level(&mut meter, with_backlog) < 2.8, "waiting calls must be served as well");
 }
 
@@ -82,7 +82,7 @@
     let route: Arc<str> = Arc::from("read");
     let mut meter = meter_of(&[Stream { route: &route, priority: 2, each_second: 2_000, share: 1.0 }]);
     assert!(level(&mut meter, FULL_LOAD) < 2.6);
-    let half = Load { running: 10, limit: 20, waiting: 0 };
+    let half = GateLoad { running: 10, limit: 20, waiting: 0 };
     for step in 200..300 {
         meter.call_arrived(&route, 2, 0.05, milliseconds(step * 10));
         meter.shortage(half, PRIORITIES, |_| AdmissionLevel::FULL, milliseconds(step * 10));
@@ -97,7 +97,7 @@
     let stream = || Stream { route: &route, priority: 2, each_second: 2_000, share: 1.0 };
     let before = level(&mut meter_of(&[stream()]), FULL_LOAD);
     let mut meter = meter_of(&[stream()]);
-    let unused = Load { running: 18, limit: 20, waiting: 0 };
+    let unused = GateLoad { running: 18, limit: 20, waiting: 0 };
     let mut due = 0.0;
     for step in 200..500 {
         due += 20.0;
--- a/crates/mesh/tests/decisions/gate.rs
+++ b/crates/mesh/tests/decisions/gate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::milliseconds;
-use quillhatch_mesh::gate::{Admission, Gate, Load, Refusal};
+use quillhatch_mesh::gate::{Gate, GateDecision, GateLoad, GateRefusal};
 use quillhatch_mesh::queue::Rank;
 use quillhatch_types::Timestamp;
 use test_case::test_case;
@@ -20,14 +20,14 @@
 fn gate_without_free_slots() -> Gate {
     let mut gate = Gate::new(4);
     for _ in 0..4 {
-        assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, Admission::Runs);
+        assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, GateDecision::Runs);
     }
     gate
 }
 
-fn expect_wait(gate: &mut Gate, rank: Rank) -> quillhatch_mesh::queue::Ticket {
+fn expect_wait(gate: &mut Gate, rank: Rank) -> quillhatch_mesh::queue::QueueTicket {
     match gate.admit(rank, MAX_WAIT, Timestamp::ZERO).0 {
-        Admission::Waits(ticket) => ticket,
+        GateDecision::Waits(ticket) => ticket,
         other => panic!("{other:?}"),
     }
 }
@@ -45,7 +45,7 @@
         order.extend(gate.admit_waiting());
     }
     assert_eq!(order, [nested, important, roots[0], roots[1]]);
-    assert_eq!(gate.load(), Load { running: 4, limit: 4, waiting: 0 });
+    assert_eq!(gate.load(), GateLoad { running: 4, limit: 4, waiting: 0 });
 }
 
 /// During a shortage all gates serve the same roots first, whether their calls enter here or are made by targets.
@@ -67,9 +67,9 @@
 fn a_full_queue_displaces_the_last_call_in_rank_order() {
     let mut gate = gate_without_free_slots();
     let roots: Vec<_> = (0..16).map(|_| expect_wait(&mut gate, ROOT)).collect();
-    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO), (Admission::Refused(Refusal::Overloaded), None));
+    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO), (GateDecision::Refused(GateRefusal::Overloaded), None));
     let (admission, displaced) = gate.admit(IMPORTANT_ROOT, MAX_WAIT, Timestamp::ZERO);
-    assert!(matches!(admission, Admission::Waits(_)));
+    assert!(matches!(admission, GateDecision::Waits(_)));
     assert!(displaced.is_some_and(|ticket| roots.contains(&ticket)));
 }
 
@@ -82,7 +82,7 @@
     assert_eq!(gate.next_expiry(), Some(milliseconds(100)));
     assert_eq!(gate.pop_expired(milliseconds(99)), None);
     assert_eq!(gate.pop_expired(milliseconds(100)), Some(first));
-    assert_eq!(gate.admit(ROOT, Duration::ZERO, Timestamp::ZERO).0, Admission::Refused(Refusal::Overloaded));
+    assert_eq!(gate.admit(ROOT, Duration::ZERO, Timestamp::ZERO).0, GateDecision::Refused(GateRefusal::Overloaded));
 }
 
 #[test]
@@ -91,11 +91,11 @@
     let waiting = expect_wait(&mut gate, ROOT);
     assert_eq!(gate.pop_refused(), None);
     gate.close();
-    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, Admission::Refused(Refusal::Closed));
+    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, GateDecision::Refused(GateRefusal::Closed));
     assert_eq!((gate.pop_refused(), gate.pop_refused()), (Some(waiting), None));
     gate.open();
     gate.release_slot();
-    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, Admission::Runs);
+    assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO).0, GateDecision::Runs);
 }
 
 #[test_case(1, 1)]
--- a/crates/mesh/tests/decisions/quarantine.rs
+++ b/crates/mesh/tests/decisions/quarantine.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use quillhatch_mesh::quarantine::{
-    CrashId, Quarantine, RequestParts, RequestSignature, RunTracker, SignatureKey, SuspectRecord, TargetCrash, Verdict,
+    CrashId, Quarantine, RequestParts, RequestSignature, RunTracker, RunVerdict, SignatureKey, SuspectRecord,
+    TargetCrash,
 };
 use quillhatch_types::Timestamp;
 use test_case::test_case;
@@ -16,7 +17,7 @@
         query: "page=1",
         body: b"",
         tenant: "",
-        caller: "alpha",
+        caller_service: "alpha",
     }
 }
 
@@ -30,7 +31,7 @@
 #[test_case(RequestParts { body: b"x", ..parts() }, false; "body")]
 #[test_case(RequestParts { tenant: "office", ..parts() }, true; "tenant")]
 #[test_case(RequestParts { query: "page=2", ..parts() }, true; "query")]
-#[test_case(RequestParts { caller: "beta", ..parts() }, true; "service at whose machine it entered")]
+#[test_case(RequestParts { caller_service: "beta", ..parts() }, true; "service at whose machine it entered")]
 fn different_requests_have_different_signatures(second: RequestParts<'static>, has_same_wide_key: bool) {
     let (signature, second) = (RequestSignature::of(&parts()), RequestSignature::of(&second));
     assert_eq!(signature, RequestSignature::of(&parts()));
@@ -144,18 +145,18 @@
 fn a_request_is_refused_from_the_third_crash_on(crashes: usize, jitter: f64, refused_for: Option<u64>) {
     let (quarantine, signature) = after_crashes(crashes, jitter);
     let last = seconds(9 + crashes as u64);
-    let expected = refused_for.map_or(Verdict::Runs, |time| Verdict::Refused(Duration::from_secs(time)));
+    let expected = refused_for.map_or(RunVerdict::Runs, |time| RunVerdict::Refused(Duration::from_secs(time)));
     assert_eq!(quarantine.verdict(&signature, last), expected);
     let over = last + Duration::from_secs(refused_for.unwrap_or_default());
-    assert_eq!(quarantine.verdict(&signature, over), Verdict::Runs);
-    assert_eq!(quarantine.verdict(&signature_of_path("/other"), last), Verdict::Runs);
+    assert_eq!(quarantine.verdict(&signature, over), RunVerdict::Runs);
+    assert_eq!(quarantine.verdict(&signature_of_path("/other"), last), RunVerdict::Runs);
 }
 
 #[test]
 fn one_more_crash_after_a_quarantine_is_enough() {
     let (mut quarantine, signature) = after_crashes(3, 0.0);
     quarantine.record_crash(&crash(9, &[signature]), seconds(200));
-    assert_eq!(quarantine.verdict(&signature, seconds(200)), Verdict::Refused(Duration::from_secs(240)));
+    assert_eq!(quarantine.verdict(&signature, seconds(200)), RunVerdict::Refused(Duration::from_secs(240)));
 }
 
 #[test]
@@ -168,7 +169,7 @@
         assert_eq!(second.merge(&records, seconds(2)), []);
     }
     assert!(!second.has_gossip());
-    assert_eq!(second.verdict(&signature, seconds(2)), Verdict::Runs);
+    assert_eq!(second.verdict(&signature, seconds(2)), RunVerdict::Runs);
 }
 
 #[test]
@@ -178,15 +179,15 @@
     for (number, gate) in gates.iter_mut().enumerate() {
         gate.record_crash(&crash(2 * number, &[signature]), seconds(10));
         gate.record_crash(&crash(2 * number + 1, &[signature]), seconds(11));
-        assert_eq!(gate.verdict(&signature, seconds(12)), Verdict::Runs);
+        assert_eq!(gate.verdict(&signature, seconds(12)), RunVerdict::Runs);
     }
     let records = gates[0].gossip_records(seconds(12));
     gates[1].merge(&records, seconds(12));
-    assert!(matches!(gates[1].verdict(&signature, seconds(12)), Verdict::Refused(_)));
+    assert!(matches!(gates[1].verdict(&signature, seconds(12)), RunVerdict::Refused(_)));
     // A gate that has just started receives all evidence.
     let mut new = Quarantine::new(0.0);
     new.merge(&gates[1].all_records(seconds(13)), seconds(1));
-    assert!(matches!(new.verdict(&signature, seconds(1)), Verdict::Refused(_)));
+    assert!(matches!(new.verdict(&signature, seconds(1)), RunVerdict::Refused(_)));
 }
 
 #[test]
@@ -200,7 +201,7 @@
         second.merge(&first.gossip_records(now), later);
         first.merge(&second.gossip_records(later), later + Duration::from_millis(200));
     }
-    let Verdict::Refused(left) = first.verdict(&signature, seconds(70)) else { panic!("it is refused") };
+    let RunVerdict::Refused(left) = first.verdict(&signature, seconds(70)) else { panic!("it is refused") };
     assert_eq!(left, Duration::from_secs(12 + 120 - 70));
 }
 
@@ -242,8 +243,8 @@
         quarantine.record_crash(&crash(number, &[crashing]), seconds(10));
         quarantine.record_completion(&RequestSignature::of(&parts()), seconds(10));
     }
-    assert!(matches!(quarantine.verdict(&crashing, seconds(10)), Verdict::Refused(_)));
-    assert_eq!(quarantine.verdict(&RequestSignature::of(&parts()), seconds(10)), Verdict::Runs);
+    assert!(matches!(quarantine.verdict(&crashing, seconds(10)), RunVerdict::Refused(_)));
+    assert_eq!(quarantine.verdict(&RequestSignature::of(&parts()), seconds(10)), RunVerdict::Runs);
 }
 
 #[test]
@@ -258,7 +259,7 @@
     assert!(quarantine.len() <= 2048, "{}", quarantine.len());
     assert!(quarantine.all_records(seconds(20)).len() <= 512);
     assert!(
-        matches!(quarantine.verdict(&crashing, seconds(20)), Verdict::Refused(_)),
+        matches!(quarantine.verdict(&crashing, seconds(20)), RunVerdict::Refused(_)),
         "suspects with most crashes are retained"
     );
     let forged = (0..5000).map(|key| SuspectRecord {
--- a/crates/mesh/tests/quarantine/fleet.rs
+++ b/crates/mesh/tests/quarantine/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 
 use quillhatch_mesh::quarantine::{
-    Quarantine, RequestParts, RequestSignature, RunId, RunTracker, SignatureKey, SuspectRecord, Verdict,
+    Quarantine, RequestParts, RequestSignature, RunId, RunTracker, RunVerdict, SignatureKey, SuspectRecord,
 };
 use quillhatch_types::Timestamp;
 use rand::{Rng, SeedableRng};
@@ -117,7 +117,7 @@
         query: "",
         body: b"",
         tenant: "",
-        caller: "alpha",
+        caller_service: "alpha",
     })
 }
 
@@ -259,7 +259,7 @@
     /// Returns whether the quarantine of a node refuses the request.
     fn refuses(&mut self, node: usize, request: u64) -> bool {
         let verdict = self.nodes[node].quarantine.verdict(&signature(request), self.now);
-        let is_refused = matches!(verdict, Verdict::Refused(_));
+        let is_refused = matches!(verdict, RunVerdict::Refused(_));
         self.outcome.refused_others += usize::from(is_refused && request != CRASHING_REQUEST);
         is_refused
     }
--- a/crates/mesh/tests/shortage/fleet.rs
+++ b/crates/mesh/tests/shortage/fleet.rs
@@ -6,9 +6,9 @@
 
 use quillhatch_mesh::admission_level::{AdmissionLevel, RouteAdmissionLevels};
 use quillhatch_mesh::capacity::CapacityMeter;
-use quillhatch_mesh::gate::{Admission, Gate};
+use quillhatch_mesh::gate::{Gate, GateDecision};
 use quillhatch_mesh::mechanisms::Mechanisms;
-use quillhatch_mesh::queue::{Rank, Ticket};
+use quillhatch_mesh::queue::{QueueTicket, Rank};
 use quillhatch_types::Timestamp;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -71,7 +71,7 @@
 struct Target {
     gate: Gate,
     meter: CapacityMeter,
-    waiting: HashMap<Ticket, Root>,
+    waiting: HashMap<QueueTicket, Root>,
 }
 
 /// The simulated fleet.
@@ -172,11 +172,11 @@
         let (admission, displaced) = target.gate.admit(rank, MAX_WAIT, now);
         let displaced = displaced.and_then(|ticket| target.waiting.remove(&ticket));
         match admission {
-            Admission::Runs => self.call_ends.entry(self.now + SLOT_TIME_MS).or_default().push((number, root)),
-            Admission::Waits(ticket) => {
+            GateDecision::Runs => self.call_ends.entry(self.now + SLOT_TIME_MS).or_default().push((number, root)),
+            GateDecision::Waits(ticket) => {
                 target.waiting.insert(ticket, root);
             }
-            Admission::Refused(_) => self.fail_root(number, root),
+            GateDecision::Refused(_) => self.fail_root(number, root),
         }
         if let Some(root) = displaced {
             self.fail_root(number, root);
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, StatusCode};
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_mesh::callers::CallerKind;
-use quillhatch_mesh::gate::Refusal;
+use quillhatch_mesh::gate::GateRefusal;
 use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::quarantine::RequestSignature;
 use quillhatch_mesh::routing::find_route;
@@ -112,10 +112,10 @@
     find_route(&configuration, authority, parts.uri.path()).map(|route| route.name.clone())
 }
 
-fn outcome_of(refusal: Refusal) -> GateOutcome {
+fn outcome_of(refusal: GateRefusal) -> GateOutcome {
     match refusal {
-        Refusal::Overloaded => GateOutcome::Full,
-        Refusal::Closed => GateOutcome::Closed,
+        GateRefusal::Overloaded => GateOutcome::Full,
+        GateRefusal::Closed => GateOutcome::Closed,
     }
 }
 
@@ -185,8 +185,8 @@
     }
 }
 
-impl From<Refusal> for Failure {
-    fn from(refusal: Refusal) -> Self {
+impl From<GateRefusal> for Failure {
+    fn from(refusal: GateRefusal) -> Self {
         Failure::new(outcome_of(refusal), "not admitted")
     }
 }
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -3,11 +3,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use quillhatch_mesh::gate::{Admission, Refusal};
+use quillhatch_mesh::gate::{GateDecision, GateRefusal};
 use quillhatch_mesh::mechanisms::Mechanism;
 use quillhatch_mesh::parents::{InheritedContext, RunningCallId, ALL_ADMITTED_PERMILLE};
 use quillhatch_mesh::quarantine::{RequestSignature, RunId};
-use quillhatch_mesh::queue::{Rank, Ticket};
+use quillhatch_mesh::queue::{QueueTicket, Rank};
 use quillhatch_types::Timestamp;
 use tokio::sync::oneshot;
 
@@ -106,7 +106,7 @@
     }
 }
 
-fn refuse_waiting(node: &Node, ticket: Ticket) {
+fn refuse_waiting(node: &Node, ticket: QueueTicket) {
     if let Some(waiting) = node.waiting_calls.borrow_mut().remove(&ticket) {
         // The caller may have gone away.
         let _ = waiting.send(false);
@@ -116,7 +116,7 @@
 /// A call in the queue. It is removed from the queue if it is dropped because its caller goes away.
 struct WaitingCall<'a> {
     node: &'a Rc<Node>,
-    ticket: Ticket,
+    ticket: QueueTicket,
     receiver: oneshot::Receiver<Admitted>,
 }
 
@@ -146,21 +146,26 @@
 
 /// Records a refused nested call. A nested call that is refused because the gate is full fails its parent, so the
 /// parent's later calls do not arrive.
-fn record_refusal(node: &Node, context: &HopContext, refusal: Refusal) {
-    if refusal == Refusal::Overloaded && !context.is_root {
+fn record_refusal(node: &Node, context: &HopContext, refusal: GateRefusal) {
+    if refusal == GateRefusal::Overloaded && !context.is_root {
         node.capacity.borrow_mut().nested_call_refused(context.inherited.priority);
     }
 }
 
 /// Waits until a call gets a slot of the target, or is refused.
-pub(super) async fn admit(node: &Rc<Node>, call: &Call, context: &HopContext, now: Timestamp) -> Result<Slot, Refusal> {
+pub(super) async fn admit(
+    node: &Rc<Node>,
+    call: &Call,
+    context: &HopContext,
+    now: Timestamp,
+) -> Result<Slot, GateRefusal> {
     // The edge treats a call as possibly run if the gate does not respond by the deadline, so the call is refused by
     // then.
     if node.clock.timeout_at(call.deadline, local_target::verify_identity(node)).await.is_err() {
-        return Err(Refusal::Overloaded);
+        return Err(GateRefusal::Overloaded);
     }
     if !local_target::accepts_calls_for(node, &call.expected) {
-        return Err(Refusal::Closed);
+        return Err(GateRefusal::Closed);
     }
     let InheritedContext { priority, position, admitted_permille, .. } = context.inherited;
     if let Some(route) = &call.route {
@@ -182,17 +187,18 @@
         refuse_waiting(node, ticket);
     }
     match arrival {
-        Admission::Runs => Ok(Slot::new(node, call.route.clone())),
-        Admission::Refused(refusal) => {
+        GateDecision::Runs => Ok(Slot::new(node, call.route.clone())),
+        GateDecision::Refused(refusal) => {
             record_refusal(node, context, refusal);
             Err(refusal)
         }
-        Admission::Waits(ticket) => {
+        GateDecision::Waits(ticket) => {
             let (sender, receiver) = oneshot::channel();
             node.waiting_calls.borrow_mut().insert(ticket, sender);
             node.gate_changed.notify_one();
             if !(WaitingCall { node, ticket, receiver }).admitted().await {
-                let refusal = if node.gate.borrow().is_closed() { Refusal::Closed } else { Refusal::Overloaded };
+                let refusal =
+                    if node.gate.borrow().is_closed() { GateRefusal::Closed } else { GateRefusal::Overloaded };
                 record_refusal(node, context, refusal);
                 return Err(refusal);
             }
@@ -200,7 +206,7 @@
             if local_target::accepts_calls_for(node, &call.expected) {
                 Ok(slot)
             } else {
-                Err(Refusal::Closed)
+                Err(GateRefusal::Closed)
             }
         }
     }
--- a/crates/sidecar/src/gate/suspects.rs
+++ b/crates/sidecar/src/gate/suspects.rs
@@ -2,7 +2,7 @@
 
 use hyper::http::request::Parts;
 use quillhatch_mesh::mechanisms::Mechanism;
-use quillhatch_mesh::quarantine::{RequestParts, RequestSignature, Verdict};
+use quillhatch_mesh::quarantine::{RequestParts, RequestSignature, RunVerdict};
 use quillhatch_platform::headers;
 
 use super::Failure;
@@ -17,8 +17,8 @@
         return Ok(());
     }
     match node.quarantine.borrow().verdict(signature, node.now()) {
-        Verdict::Runs => Ok(()),
-        Verdict::Refused(retry_after) => Err(Failure {
+        RunVerdict::Runs => Ok(()),
+        RunVerdict::Refused(retry_after) => Err(Failure {
             outcome: GateOutcome::Quarantined,
             why: format!("signature {}, for {} s", signature.narrow, retry_after.as_secs()),
             retry_after: Some(retry_after),
@@ -40,6 +40,6 @@
         query: parts.uri.query().unwrap_or_default(),
         body,
         tenant: header(headers::TENANT),
-        caller: header(headers::CALLER_SERVICE),
+        caller_service: header(headers::CALLER_SERVICE),
     })
 }
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -11,7 +11,7 @@
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::freshness::FreshnessProof;
-use quillhatch_mesh::gate::Load;
+use quillhatch_mesh::gate::GateLoad;
 use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::replica::Position;
 
@@ -152,7 +152,7 @@
     /// How the call ended at the gate.
     pub outcome: GateOutcome,
     /// The gate's load.
-    pub load: Load,
+    pub load: GateLoad,
     /// The admission level of the call's route: the lowest of the gate's own and of the routes that the route calls.
     /// Edges apply it to root calls.
     pub admission_level: AdmissionLevel,
@@ -205,7 +205,7 @@
 impl HopReport {
     /// Encodes the value of the header.
     pub fn encode(&self) -> String {
-        let Load { running, limit, waiting } = self.load;
+        let GateLoad { running, limit, waiting } = self.load;
         let admission_level = (self.admission_level.priority_share() * LEVEL_STEPS).round() as u32;
         let health = (self.health * HEALTH_STEPS).round() as u32;
         let caller_kind = encode_caller_kind(self.caller_kind);
@@ -228,7 +228,7 @@
         let mut parts = text.split(';');
         let outcome = GateOutcome::from_code(parts.next()?)?;
         let mut number = || parts.next()?.parse::<u64>().ok();
-        let load = Load { running: number()? as u32, limit: number()? as u32, waiting: number()? as u32 };
+        let load = GateLoad { running: number()? as u32, limit: number()? as u32, waiting: number()? as u32 };
         let admission_level = AdmissionLevel::from_priority_share(number()? as f64 / LEVEL_STEPS);
         let health = number()? as f64 / HEALTH_STEPS;
         let caller_kind = decode_caller_kind(number()?);
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -11,7 +11,7 @@
 use quillhatch_mesh::balance::LoadBalancer;
 use quillhatch_mesh::call_graph::CallGraph;
 use quillhatch_mesh::callers::RouteCallerCounts;
-use quillhatch_mesh::capacity::{CapacityMeter, Shortage};
+use quillhatch_mesh::capacity::{CapacityMeter, CapacityShortage};
 use quillhatch_mesh::configuration::{Configuration, ConfigurationInForce};
 use quillhatch_mesh::feed::SoloReads;
 use quillhatch_mesh::gate::Gate;
@@ -19,7 +19,7 @@
 use quillhatch_mesh::mechanisms::Mechanism;
 use quillhatch_mesh::parents::ParentTracker;
 use quillhatch_mesh::quarantine::{Quarantine, RunTracker};
-use quillhatch_mesh::queue::Ticket;
+use quillhatch_mesh::queue::QueueTicket;
 use quillhatch_mesh::replica::{Position, Replica};
 use quillhatch_mesh::retry_budget::RetryBudget;
 use quillhatch_mesh::settings::SidecarSettings;
@@ -108,7 +108,7 @@
     /// Evidence to be sent to the other gates of the service.
     pub quarantine_outbox: Outbox,
     /// The calls that wait at the gate.
-    pub waiting_calls: RefCell<HashMap<Ticket, oneshot::Sender<Admitted>>>,
+    pub waiting_calls: RefCell<HashMap<QueueTicket, oneshot::Sender<Admitted>>>,
     /// The state of tenants.
     pub tenancy: Tenancy,
     /// The retry budget of each service.
@@ -293,7 +293,7 @@
     }
 
     /// The part of the arriving load for which the local target has no capacity, if any.
-    pub fn shortage(&self) -> Option<Shortage> {
+    pub fn shortage(&self) -> Option<CapacityShortage> {
         let priorities = self.current_configuration().map_or(1, |configuration| configuration.priority_count());
         let load = self.gate.borrow().load();
         let now = self.now();
--- a/crates/sidecar/tests/parts.rs
+++ b/crates/sidecar/tests/parts.rs
@@ -7,7 +7,7 @@
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_mesh::callers::CallerKind;
 use quillhatch_mesh::freshness::FreshnessProof;
-use quillhatch_mesh::gate::Load;
+use quillhatch_mesh::gate::GateLoad;
 use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::replica::Position;
 use quillhatch_messages::generated::limits::LimitMessage;
@@ -40,7 +40,7 @@
         {
             let report = HopReport {
                 outcome,
-                load: Load { running: 3, limit: 36, waiting: 144 },
+                load: GateLoad { running: 3, limit: 36, waiting: 144 },
                 admission_level: AdmissionLevel::from_priority_share(0.125),
                 health: 0.75,
                 caller_kind: CallerKind::TargetsOnly,
