--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -24,7 +24,7 @@
         admitted_permille: ALL_ADMITTED_PERMILLE,
     };
     match origin {
-        _ if !node.has(Mechanism::InheritedPriority) => new_root,
+        _ if !node.is_enabled(Mechanism::InheritedPriority) => new_root,
         CallOrigin::KnownParent(_, inherited) => inherited.clone(),
         CallOrigin::UnknownParent(Some(likely)) => InheritedContext {
             priority: likely.priority,
@@ -51,7 +51,7 @@
     priority: u8,
     now: Timestamp,
 ) -> f64 {
-    node.cuts.borrow().level(&route.name, now).admitted_share(priority, configuration.priority_count())
+    node.admission_levels.borrow().level(&route.name, now).admitted_share(priority, configuration.priority_count())
 }
 
 /// Whether a root call is refused at this admitted share. While the share does not change, every node and every retry
--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -80,7 +80,7 @@
 /// Recomputes the node's role in the feed tree from `targets`.
 pub fn update_role<'a>(node: &Node, targets: impl Iterator<Item = &'a Arc<Target>>) {
     let own = node.settings.local_target.ip();
-    let role = match node.has(Mechanism::SharedReads) {
+    let role = match node.is_enabled(Mechanism::SharedReads) {
         true => FeedTree::new(targets).role_of(own, &node.settings.zone),
         false => FeedRole { is_reader: true, ..FeedRole::default() },
     };
@@ -148,7 +148,8 @@
     }
 }
 
-/// Records how recently another node's data was read from the store, and returns whether this node may follow it.
+/// Records how recently another node's data was read from the store, and returns whether this node may use it as a
+/// source.
 fn record_source_status(node: &Rc<Node>, status: SourceStatus, is_upstream: bool) -> SourceVerdict {
     if let Some(read) = status.store_read_at {
         node.feed.record_store_read(read);
--- a/crates/sidecar/src/gate/suspects.rs
+++ b/crates/sidecar/src/gate/suspects.rs
@@ -13,7 +13,7 @@
 
 /// Refuses a request whose signature is quarantined because requests like it crash targets.
 pub(super) fn check_quarantine(node: &Node, signature: &RequestSignature) -> Result<(), Failure> {
-    if !node.has(Mechanism::Quarantine) {
+    if !node.is_enabled(Mechanism::Quarantine) {
         return Ok(());
     }
     match node.quarantine.borrow().verdict(signature, node.now()) {
--- a/crates/sidecar/src/gate/target_crash.rs
+++ b/crates/sidecar/src/gate/target_crash.rs
@@ -69,7 +69,7 @@
 /// Logs a crash of a target, and records the calls that were running as suspects in the quarantine.
 fn record_crash(node: &Node, crash: &TargetCrash) {
     log_crash(node, crash);
-    if node.has(Mechanism::Quarantine) {
+    if node.is_enabled(Mechanism::Quarantine) {
         let suspects = node.quarantine.borrow_mut().record_crash(crash, node.now());
         node.quarantine_outbox.queue_suspects(suspects);
     }
@@ -77,7 +77,7 @@
 
 /// Clears requests of this signature in the quarantine, since the target has answered one.
 pub(super) fn request_completed(node: &Node, signature: &RequestSignature) {
-    if !node.has(Mechanism::Quarantine) {
+    if !node.is_enabled(Mechanism::Quarantine) {
         return;
     }
     let cleared = node.quarantine.borrow_mut().record_completion(signature, node.now());
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -84,21 +84,21 @@
     /// Whether the list of targets was received at least once.
     pub targets_known: Cell<bool>,
     /// Load and latency of other targets, for load balancing.
-    pub balance: RefCell<LoadBalancer>,
-    /// The admission cuts of routes, as other nodes reported them.
-    pub cuts: RefCell<RouteAdmissionLevels>,
+    pub load_balancer: RefCell<LoadBalancer>,
+    /// The admission levels of routes, as other nodes reported them.
+    pub admission_levels: RefCell<RouteAdmissionLevels>,
     /// Which routes are called by the calls of each route.
     pub call_graph: RefCell<CallGraph>,
     /// The calls that run at the local target, as parents of the calls that it makes.
-    pub parents: RefCell<ParentTracker>,
+    pub parent_tracker: RefCell<ParentTracker>,
     /// The origins of the calls of each route.
-    pub caller_shares: RefCell<RouteCallerCounts>,
+    pub caller_counts: RefCell<RouteCallerCounts>,
     /// The gate of the local target.
     pub gate: RefCell<Gate>,
     /// The load on the local target.
     pub capacity: RefCell<CapacityMeter>,
     /// The share of successful responses of the local target.
-    pub health: RefCell<TargetHealth>,
+    pub target_health: RefCell<TargetHealth>,
     /// The calls that are running at the local target, and those that were aborted.
     pub run_tracker: RefCell<RunTracker>,
     /// Whether a probe is running that shows whether the local target has crashed.
@@ -208,14 +208,14 @@
             identity_query_lock: tokio::sync::Mutex::default(),
             retained_target: RetainedTargetState::default(),
             targets_known: Cell::new(false),
-            balance: RefCell::new(LoadBalancer::new(settings.mechanisms)),
-            cuts: RefCell::default(),
+            load_balancer: RefCell::new(LoadBalancer::new(settings.mechanisms)),
+            admission_levels: RefCell::default(),
             call_graph: RefCell::new(CallGraph::new(now)),
-            parents: RefCell::default(),
-            caller_shares: RefCell::default(),
+            parent_tracker: RefCell::default(),
+            caller_counts: RefCell::default(),
             gate: RefCell::new(Gate::new(FALLBACK_SLOTS)),
             capacity: RefCell::new(CapacityMeter::new(settings.mechanisms, now)),
-            health: RefCell::new(TargetHealth::new(now)),
+            target_health: RefCell::new(TargetHealth::new(now)),
             run_tracker: RefCell::default(),
             is_probing_target: Cell::new(false),
             quarantine: RefCell::new(Quarantine::new(rand::random())),
@@ -253,7 +253,7 @@
         })
     }
 
-    /// The time since the process started, suspensions of the machine included.
+    /// The current time of the node's clock, which continues during suspensions of the machine.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -274,7 +274,7 @@
     }
 
     /// Whether a mechanism is enabled.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.settings.mechanisms.is_enabled(mechanism)
     }
 
@@ -297,17 +297,17 @@
         let priorities = self.current_configuration().map_or(1, |configuration| configuration.priority_count());
         let load = self.gate.borrow().load();
         let now = self.now();
-        self.capacity.borrow_mut().shortage(load, priorities, |route| self.called_cut(route, now), now)
+        self.capacity.borrow_mut().shortage(load, priorities, |route| self.callee_admission_level(route, now), now)
     }
 
-    /// The cut for calls of a route where they enter, because the local target is out of capacity.
-    pub fn own_cut(&self, route: &str) -> AdmissionLevel {
+    /// The admission level that the local target allows for a route; lower than full if it is out of capacity.
+    pub fn own_admission_level(&self, route: &str) -> AdmissionLevel {
         self.shortage().map_or(AdmissionLevel::FULL, |shortage| shortage.admission_level(route))
     }
 
-    /// The lowest cut among the routes that calls of `route` call.
-    pub fn called_cut(&self, route: &str, now: Timestamp) -> AdmissionLevel {
-        self.cuts.borrow().lowest(self.call_graph.borrow().callees(route), now)
+    /// The lowest admission level among the routes that calls of `route` call.
+    pub fn callee_admission_level(&self, route: &str, now: Timestamp) -> AdmissionLevel {
+        self.admission_levels.borrow().lowest(self.call_graph.borrow().callees(route), now)
     }
 
     /// Whether the node is ready to serve callers.
@@ -328,7 +328,7 @@
 
     /// Takes one retry from the budget of a service, and returns whether the budget allowed it.
     pub fn try_retry(&self, service: &Arc<str>) -> bool {
-        self.has(Mechanism::Retries) && self.with_budget(service, RetryBudget::try_retry)
+        self.is_enabled(Mechanism::Retries) && self.with_budget(service, RetryBudget::try_retry)
     }
 
     /// Counts a call to a service in its retry budget. A call made on behalf of a retried call counts as a retry too.
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -8,7 +8,7 @@
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_sidecar::node::Node;
 use quillhatch_sidecar::node::Stage;
-use support::caller::{call, request, Answer, Caller};
+use support::caller::{call, request, Caller, Response};
 use support::limits::{pay, read, two_machines, HOST};
 use support::store::StandInStore;
 use support::target::{ChainedCall, TargetBehaviour};
@@ -71,7 +71,7 @@
 #[test_case(TargetBehaviour::TruncatedBody; "response that ends early")]
 #[test_case(TargetBehaviour::Unsigned; "response without a server stamp")]
 #[test_case(TargetBehaviour::Garbage; "bytes that are no HTTP response")]
-#[test_case(TargetBehaviour::NoAnswer; "no response")]
+#[test_case(TargetBehaviour::NoResponse; "no response")]
 fn an_invalid_response_is_a_502_and_is_not_retried(habit: TargetBehaviour) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
@@ -90,12 +90,12 @@
 fn a_surplus_response_reaches_no_caller() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_behaviour(TargetBehaviour::SecondAnswer);
+        alpha.target.set_behaviour(TargetBehaviour::SecondResponse);
         let mut caller = Caller::connect(beta.outbound()).await;
         for number in 0..6 {
             let id = format!("call-{number}");
             caller.send(&read(&id)).await;
-            let answer = caller.answer().await.expect("a response");
+            let answer = caller.next_response().await.expect("a response");
             if answer.status == 200 {
                 assert_eq!(answer.body, format!("the answer to {id}").as_bytes());
             }
@@ -126,7 +126,7 @@
 }
 
 /// The value of `Retry-After` in a response, in seconds.
-fn retry_after_s(answer: &Answer) -> f64 {
+fn retry_after_s(answer: &Response) -> f64 {
     answer.header("retry-after").parse().expect("a time")
 }
 
@@ -140,7 +140,7 @@
         let mut refused = 0;
         for number in 0..40 {
             let node = beta.node();
-            node.cuts.borrow_mut().record_report(
+            node.admission_levels.borrow_mut().record_report(
                 &Arc::from("read"),
                 AdmissionLevel::from_priority_share(0.0),
                 node.now(),
@@ -220,11 +220,11 @@
         let (store, alpha, beta) = two_machines().await;
         // A machine that accepts connections and never responds simulates a frozen one.
         let frozen = support::unused_address();
-        let silent = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
-        let taken = tokio::task::spawn_local(async move {
-            let mut kept = Vec::new();
-            while let Ok((stream, _)) = silent.accept().await {
-                kept.push(stream);
+        let listener = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
+        let acceptor = tokio::task::spawn_local(async move {
+            let mut streams = Vec::new();
+            while let Ok((stream, _)) = listener.accept().await {
+                streams.push(stream);
             }
         });
         // Retries need a budget, which is a share of the calls made.
@@ -252,7 +252,7 @@
             let answer = call(beta.outbound(), &pay(&format!("pay-{number}"))).await.expect("a response");
             assert_eq!(answer.status, 200, "an at-most-once call is not sent to an unresponsive node");
         }
-        taken.abort();
+        acceptor.abort();
         drop(alpha);
     });
 }
@@ -312,7 +312,7 @@
             alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
-        alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoAnswer));
+        alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoResponse));
         assert_eq!(call(beta.outbound(), &chain("twice")).await.expect("a response").status, 502);
         assert_eq!(counted(), 1, "the call nested in the second attempt");
         let below = beta
@@ -398,7 +398,7 @@
 fn a_target_that_responds_before_reading_the_body_receives_no_foreign_bytes(length: usize) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_behaviour(TargetBehaviour::EarlyAnswer);
+        alpha.target.set_behaviour(TargetBehaviour::EarlyResponse);
         for number in 0..3 {
             let body = "b".repeat(length - number);
             let text = request("POST", HOST, "/pay/", &format!("early-{number}"), 5000, &body);
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -70,7 +70,7 @@
         let read = |id: &str| request("GET", HOST, "/read/", id, 5000, "");
 
         // A call whose target closes the connection without a response.
-        alpha.target.set_behaviour(TargetBehaviour::NoAnswer);
+        alpha.target.set_behaviour(TargetBehaviour::NoResponse);
         call(beta.outbound(), &pay("lost-call")).await;
         let gate_line = first_line("gate", "lost-call");
         assert_eq!(gate_line["outcome"], "broken");
@@ -100,7 +100,7 @@
         assert!(lines_of("given-up", "load-").iter().any(|line| line["may_have_run"] == false));
         for route in ["read"] {
             for _ in 0..200 {
-                beta.node().cuts.borrow_mut().record_report(
+                beta.node().admission_levels.borrow_mut().record_report(
                     &route.into(),
                     AdmissionLevel::from_priority_share(0.0),
                     beta.node().now(),
