--- a/crates/mesh/src/admission_level.rs
+++ b/crates/mesh/src/admission_level.rs
@@ -14,7 +14,7 @@
 
 /// The minimum share of the calls of any priority that is admitted, so that none starves and the end of a shortage is
 /// noticed. Refused callers retry, some of them several times: with 0.1, the calls admitted in this way took a third of
-/// the capacity of a scarce service.
+/// the capacity of a bottleneck service.
 pub const MIN_ADMITTED_SHARE: f64 = 0.03;
 
 /// The share of the priorities that is admitted, from the highest priority on: zero admits only the minimum share of
--- a/crates/mesh/src/callers.rs
+++ b/crates/mesh/src/callers.rs
@@ -71,12 +71,12 @@
 
 impl RouteCallerCounts {
     /// Counts a call of a route that entered at a machine of a service.
-    pub fn count_call(&mut self, route: &Arc<str>, caller: &str) {
+    pub fn count_call(&mut self, route: &Arc<str>, caller_service: &str) {
         let callers = self.by_route.entry(route.clone()).or_default();
-        match callers.by_service.get_mut(caller) {
+        match callers.by_service.get_mut(caller_service) {
             Some(calls) => *calls += 1.0,
             None => {
-                callers.by_service.insert(Arc::from(caller), 1.0);
+                callers.by_service.insert(Arc::from(caller_service), 1.0);
             }
         }
         callers.total += 1.0;
--- a/crates/mesh/src/gate.rs
+++ b/crates/mesh/src/gate.rs
@@ -9,9 +9,9 @@
 
 /// The fraction of a target's slots that is used, rounded down, since some targets slow down when their last slots
 /// fill. Rounded up, all slots of a target with 16 were in use and its calls took 1.3 times as long: where such a
-/// service was scarce, the value served in five test days was 0.682 instead of 0.726. A smaller fraction takes a slot
-/// of a target with 20: 0.512 instead of 0.544 in one test day on which such a service was scarce. Each figure is from
-/// one run.
+/// service was the bottleneck, the value served in five test days was 0.682 instead of 0.726. A smaller fraction takes
+/// a slot of a target with 20: 0.512 instead of 0.544 in one test day on which such a service was the bottleneck. Each
+/// figure is from one run.
 const USED_SLOT_FRACTION: f64 = 0.95;
 /// The maximum number of slots of which all are used: one of them would be an eighth or more, as much as a target that
 /// slows down loses.
--- a/crates/mesh/tests/decisions/capacity.rs
+++ b/crates/mesh/tests/decisions/capacity.rs
@@ -139,7 +139,7 @@
 /// Calls that another service's level refuses leave their slots to others.
 #[test]
 fn calls_refused_by_another_level_count_only_with_the_share_that_arrives() {
-    let routes: [Arc<str>; 2] = ["parent of a scarce route", "other"].map(Arc::from);
+    let routes: [Arc<str>; 2] = ["parent of an overloaded route", "other"].map(Arc::from);
     let parent = Stream { route: &routes[0], priority: 2, each_second: 2_000, share: MIN_ADMITTED_SHARE };
     let other = Stream { route: &routes[1], priority: 2, each_second: 700, share: 1.0 };
     let mut meter = meter_of(&[parent, other]);
--- a/crates/mesh/tests/decisions/gate.rs
+++ b/crates/mesh/tests/decisions/gate.rs
@@ -10,7 +10,7 @@
 
 const NESTED_CALL: Rank = Rank { is_root: false, priority: 0, position: 0 };
 
-const IMPORTANT_ROOT: Rank = Rank { is_root: true, priority: 0, position: 0 };
+const HIGH_PRIORITY_ROOT: Rank = Rank { is_root: true, priority: 0, position: 0 };
 
 const ROOT: Rank = Rank { is_root: true, priority: 2, position: 0 };
 
@@ -36,7 +36,7 @@
 fn nested_calls_are_served_first_then_by_priority_then_in_order_of_arrival() {
     let mut gate = gate_without_free_slots();
     let roots = [expect_wait(&mut gate, ROOT), expect_wait(&mut gate, ROOT)];
-    let important = expect_wait(&mut gate, IMPORTANT_ROOT);
+    let high_priority = expect_wait(&mut gate, HIGH_PRIORITY_ROOT);
     let nested = expect_wait(&mut gate, NESTED_CALL);
     let mut order = Vec::new();
     for _ in 0..4 {
@@ -44,7 +44,7 @@
         gate.release_slot();
         order.extend(gate.admit_waiting());
     }
-    assert_eq!(order, [nested, important, roots[0], roots[1]]);
+    assert_eq!(order, [nested, high_priority, roots[0], roots[1]]);
     assert_eq!(gate.load(), GateLoad { running: 4, limit: 4, waiting: 0 });
 }
 
@@ -53,7 +53,7 @@
 fn calls_of_one_priority_are_served_by_position() {
     let mut gate = gate_without_free_slots();
     let high_position = expect_wait(&mut gate, Rank { position: 200, ..NESTED_CALL });
-    let root = expect_wait(&mut gate, Rank { position: 100, ..IMPORTANT_ROOT });
+    let root = expect_wait(&mut gate, Rank { position: 100, ..HIGH_PRIORITY_ROOT });
     let nested = expect_wait(&mut gate, Rank { position: 100, ..NESTED_CALL });
     let mut order = Vec::new();
     for _ in 0..3 {
@@ -68,7 +68,7 @@
     let mut gate = gate_without_free_slots();
     let roots: Vec<_> = (0..16).map(|_| expect_wait(&mut gate, ROOT)).collect();
     assert_eq!(gate.admit(ROOT, MAX_WAIT, Timestamp::ZERO), (GateDecision::Refused(GateRefusal::Overloaded), None));
-    let (admission, displaced) = gate.admit(IMPORTANT_ROOT, MAX_WAIT, Timestamp::ZERO);
+    let (admission, displaced) = gate.admit(HIGH_PRIORITY_ROOT, MAX_WAIT, Timestamp::ZERO);
     assert!(matches!(admission, GateDecision::Waits(_)));
     assert!(displaced.is_some_and(|ticket| roots.contains(&ticket)));
 }
--- a/crates/mesh/tests/decisions/graph.rs
+++ b/crates/mesh/tests/decisions/graph.rs
@@ -89,9 +89,9 @@
     let CallOrigin::UnknownParent(Some(estimate)) = max_time_origin else { panic!("{max_time_origin:?}") };
     assert_eq!(estimate.priority, 2);
     assert_eq!(estimate.parent_routes, [(parent, 1.0)], "the others have less time left than the call");
-    let matched_origin = parents.origin(&callee, Duration::from_millis(515), milliseconds(100), |_| 1.0);
+    let matched = parents.origin(&callee, Duration::from_millis(515), milliseconds(100), |_| 1.0);
     assert!(
-        matches!(matched_origin, CallOrigin::KnownParent(route, InheritedContext { priority: 0, .. }) if *route == *short)
+        matches!(matched, CallOrigin::KnownParent(route, InheritedContext { priority: 0, .. }) if *route == *short)
     );
 }
 
--- a/crates/mesh/tests/shortage/fleet.rs
+++ b/crates/mesh/tests/shortage/fleet.rs
@@ -1,4 +1,4 @@
-//! Entries, nodes in between and gates of one scarce service, simulated in steps of a millisecond.
+//! Entries, nodes in between and gates of one bottleneck service, simulated in steps of a millisecond.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/mesh/tests/shortage/main.rs
+++ b/crates/mesh/tests/shortage/main.rs
@@ -1,7 +1,7 @@
 //! A service three hops down loses a third of its targets, then two thirds. The simulation runs the decision code on a
 //! virtual clock.
 //!
-//! Roots enter at many entries and make four calls of the scarce service one after the other. Each gate's admission
+//! Roots enter at many entries and make four calls of the bottleneck service one after the other. Each gate's admission
 //! level goes to a node in between with each answer, and on to the entry with the answer of the root, as in the
 //! sidecar.
 
@@ -10,7 +10,7 @@
 use fleet::{Fleet, Totals};
 use test_case::test_case;
 
-/// Targets of the scarce service, with [`fleet::SLOTS`] slots each.
+/// Targets of the bottleneck service, with [`fleet::SLOTS`] slots each.
 const TARGETS: usize = 6;
 /// The demand of calls of the highest priority, as a share of the capacity of the whole service.
 const HIGH_PRIORITY_DEMAND: f64 = 0.28;
@@ -36,12 +36,12 @@
     let normal = run(&mut fleet, TARGETS, 6);
     assert!(normal.refused_share(2) < 0.01, "normal: {normal:?}");
     for (open, capacity) in [(TARGETS * 2 / 3, 2.0 / 3.0), (TARGETS / 3, 1.0 / 3.0)] {
-        let short = run(&mut fleet, open, 12);
-        assert!(short.served_share(0) > 0.99, "{open} targets, the highest priority fits: {short:?}");
-        assert!(short.wasted_share() < 0.05, "{open} targets: {short:?}");
+        let shortage = run(&mut fleet, open, 12);
+        assert!(shortage.served_share(0) > 0.99, "{open} targets, the highest priority fits: {shortage:?}");
+        assert!(shortage.wasted_share() < 0.05, "{open} targets: {shortage:?}");
         let fits = f64::min(HIGH_PRIORITY_DEMAND + LOW_PRIORITY_DEMAND, capacity);
-        let served = HIGH_PRIORITY_DEMAND * short.served_share(0) + LOW_PRIORITY_DEMAND * short.served_share(2);
-        assert!(served > 0.9 * fits, "{open} targets: {served} of {fits}, {short:?}");
+        let served = HIGH_PRIORITY_DEMAND * shortage.served_share(0) + LOW_PRIORITY_DEMAND * shortage.served_share(2);
+        assert!(served > 0.9 * fits, "{open} targets: {served} of {fits}, {shortage:?}");
     }
     let after = run(&mut fleet, TARGETS, 6);
     assert!(after.served_share(2) > 0.99, "two seconds after the targets are back: {after:?}");
