--- a/crates/control/src/message/encode.rs
+++ b/crates/control/src/message/encode.rs
@@ -2,7 +2,7 @@
 
 use quillhatch_messages::generated::control as wire;
 use quillhatch_messages::generated::control::mod_Control::OneOfbody as Body;
-use quillhatch_messages::{encode, Kind, Payload};
+use quillhatch_messages::{encode, Payload, PayloadKind};
 use serde::Serialize;
 
 use crate::convert::{
@@ -22,10 +22,10 @@
                     ControlMessage::Group { service, .. } => Some(service.clone()),
                     _ => None,
                 };
-                Payload { kind: Kind::Control, service, bytes: message.encode() }
+                Payload { kind: PayloadKind::Control, service, bytes: message.encode() }
             }
             ControlPayload::Group(frame) => {
-                Payload { kind: Kind::Group, service: Some(frame.service.clone()), bytes: frame.encode() }
+                Payload { kind: PayloadKind::Group, service: Some(frame.service.clone()), bytes: frame.encode() }
             }
         }
     }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -121,5 +121,5 @@
     network.start(&place);
     assert!(network.run_until(Duration::from_secs(2), |network| network.node(12).ready_at.is_some()));
     assert_eq!(network.node(12).configuration.as_deref(), Some(&large));
-    assert!(network.largest_payload <= quillhatch_messages::MAXIMUM_PAYLOAD_BYTES);
+    assert!(network.largest_payload <= quillhatch_messages::MAX_PAYLOAD_BYTES);
 }
--- a/crates/control/tests/network/mod.rs
+++ b/crates/control/tests/network/mod.rs
@@ -14,7 +14,7 @@
 use quillhatch_control::message::ControlMessage;
 use quillhatch_control::operator::{OperatorReply, OperatorRequest};
 use quillhatch_control::{ControlInput, ControlMechanisms, ControlNode, ControlOutput, ControlPayload};
-use quillhatch_messages::Kind;
+use quillhatch_messages::PayloadKind;
 use quillhatch_types::{
     Configuration, Incarnation, NodeAddress, NodeId, RefusalReason, ServiceTable, SiteName, Timestamp,
 };
@@ -39,7 +39,7 @@
     pub paused: bool,
     pub events: Vec<ControlEvent>,
     pub owner: ClaimStandIn,
-    backlog: Vec<(NodeId, Vec<u8>, Kind)>,
+    backlog: Vec<(NodeId, Vec<u8>, PayloadKind)>,
     platform: Option<Arc<Configuration>>,
 }
 
@@ -47,7 +47,7 @@
 struct Flight {
     from: NodeId,
     to: NodeId,
-    kind: Kind,
+    kind: PayloadKind,
     bytes: Vec<u8>,
 }
 
@@ -324,12 +324,12 @@
         }
     }
 
-    fn hand_over(&mut self, to: NodeAddress, from: NodeId, bytes: &[u8], kind: Kind) {
+    fn hand_over(&mut self, to: NodeAddress, from: NodeId, bytes: &[u8], kind: PayloadKind) {
         if let Some(revision) = self.nodes.get(&from.address).map(|node| node.control.revision()) {
             self.feed(to, ControlInput::PeerRevision { from, revision });
         }
         let input = match kind {
-            Kind::Group => {
+            PayloadKind::Group => {
                 let frame = quillhatch_control::io::GroupFrame::decode(bytes).expect("own bytes decode");
                 ControlInput::Group { from, frame: Box::new(frame) }
             }
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/lab/src/fleet/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use quillhatch_settings::presentation::render_text;
-use quillhatch_settings::{parse_node_settings, NodeSettings, Overrides};
+use quillhatch_settings::{parse_node_settings, FlagOverrides, NodeSettings};
 
 use super::deployment::{Deployment, DEPLOYMENT};
 use super::ports::PlannedMachine;
@@ -18,7 +18,7 @@
     platform: SocketAddr,
 ) -> Result<NodeSettings, FleetError> {
     let text = settings_text(deployment, machine, platform);
-    let parsed = parse_node_settings("lab", &text, &Overrides::default());
+    let parsed = parse_node_settings("lab", &text, &FlagOverrides::default());
     let (settings, _warnings) = parsed.map_err(|findings| FleetError::Settings { findings: render_text(&findings) })?;
     Ok(settings)
 }
--- a/crates/messages/src/error.rs
+++ b/crates/messages/src/error.rs
@@ -43,7 +43,7 @@
     },
     /// The payload is written in a version that this node does not read.
     #[display("protocol version {version} is not readable here")]
-    UnreadableVersion {
+    UnsupportedVersion {
         /// The version.
         version: ProtocolVersion,
     },
--- a/crates/messages/src/frame.rs
+++ b/crates/messages/src/frame.rs
@@ -13,22 +13,22 @@
 use crate::error::FrameError;
 use crate::generated::frame::{Envelope, FrameNode};
 use crate::key::{FleetKeys, KeyId};
-use crate::payload::{Kind, Payload};
+use crate::payload::{Payload, PayloadKind};
 use crate::replay::ReplayWindow;
-use crate::version::{negotiate, ProtocolVersion, NEWEST_VERSION, OLDEST_VERSION};
+use crate::version::{negotiate_version, ProtocolVersion, NEWEST_VERSION, OLDEST_VERSION};
 use crate::wire::{decode, encode};
 
 /// The largest payload, in bytes.
-pub const MAXIMUM_PAYLOAD_BYTES: usize = 256 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 
 /// The largest frame, in bytes: the payload and room for the envelope around it.
-pub const MAXIMUM_FRAME_BYTES: usize = MAXIMUM_PAYLOAD_BYTES + 4 * 1024;
+pub const MAX_FRAME_BYTES: usize = MAX_PAYLOAD_BYTES + 4 * 1024;
 
 const KEY_ID_BYTES: usize = 4;
 const TAG_BYTES: usize = 32;
 
 /// The number of senders whose sequence numbers are remembered; beyond it the sender heard least recently is dropped.
-pub const MAXIMUM_SENDERS: usize = 32 * 1024;
+pub const MAX_SENDERS: usize = 32 * 1024;
 
 /// Seals payloads into frames for other nodes.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`FrameError::Oversized`] if the payload is larger than [`MAXIMUM_PAYLOAD_BYTES`].
+    /// Returns [`FrameError::Oversized`] if the payload is larger than [`MAX_PAYLOAD_BYTES`].
     pub fn seal(
         &mut self,
         receiver: NodeAddress,
@@ -65,13 +65,13 @@
         revision: Revision,
         peer_newest: Option<ProtocolVersion>,
     ) -> Result<Vec<u8>, FrameError> {
-        if payload.bytes.len() > MAXIMUM_PAYLOAD_BYTES {
-            return Err(FrameError::Oversized { size: payload.bytes.len(), maximum: MAXIMUM_PAYLOAD_BYTES });
+        if payload.bytes.len() > MAX_PAYLOAD_BYTES {
+            return Err(FrameError::Oversized { size: payload.bytes.len(), maximum: MAX_PAYLOAD_BYTES });
         }
         let sequence = self.sequences.entry(receiver).or_insert(0);
         *sequence += 1;
         let envelope = Envelope {
-            version: negotiate(peer_newest).0,
+            version: negotiate_version(peer_newest).0,
             newest: NEWEST_VERSION.0,
             sender: Some(node_to_wire(self.node)),
             receiver: Some(FrameNode {
@@ -87,7 +87,7 @@
         };
         let envelope = encode(&envelope);
         let mut frame = Vec::with_capacity(KEY_ID_BYTES + TAG_BYTES + envelope.len());
-        frame.extend_from_slice(&self.keys.sending().0.to_be_bytes());
+        frame.extend_from_slice(&self.keys.sending_key_id().0.to_be_bytes());
         frame.extend_from_slice(&self.keys.sign(&envelope));
         frame.extend_from_slice(&envelope);
         Ok(frame)
@@ -96,11 +96,11 @@
 
 /// A frame that passed every check.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened {
+pub struct OpenedFrame {
     /// Who sent it.
     pub sender: NodeId,
     /// The newest version that the sender reads.
-    pub sender_newest: ProtocolVersion,
+    pub sender_newest_version: ProtocolVersion,
     /// The configuration revision that the sender has in force.
     pub revision: Revision,
     /// What it carries.
@@ -139,9 +139,9 @@
     /// # Errors
     ///
     /// Returns why the frame is refused; nothing is remembered of a frame that was not authenticated.
-    pub fn open(&mut self, bytes: &[u8]) -> Result<Opened, FrameError> {
-        if bytes.len() > MAXIMUM_FRAME_BYTES {
-            return Err(FrameError::Oversized { size: bytes.len(), maximum: MAXIMUM_FRAME_BYTES });
+    pub fn open(&mut self, bytes: &[u8]) -> Result<OpenedFrame, FrameError> {
+        if bytes.len() > MAX_FRAME_BYTES {
+            return Err(FrameError::Oversized { size: bytes.len(), maximum: MAX_FRAME_BYTES });
         }
         let (key, rest) = bytes.split_first_chunk::<KEY_ID_BYTES>().ok_or(FrameError::Malformed)?;
         let (tag, envelope) = rest.split_first_chunk::<TAG_BYTES>().ok_or(FrameError::Malformed)?;
@@ -155,7 +155,7 @@
         self.open_envelope(envelope)
     }
 
-    fn open_envelope(&mut self, envelope: Envelope) -> Result<Opened, FrameError> {
+    fn open_envelope(&mut self, envelope: Envelope) -> Result<OpenedFrame, FrameError> {
         if envelope.deployment != self.deployment.as_str() {
             return Err(FrameError::ForeignDeployment);
         }
@@ -166,20 +166,20 @@
         }
         let version = ProtocolVersion(envelope.version);
         if !(OLDEST_VERSION..=NEWEST_VERSION).contains(&version) {
-            return Err(FrameError::UnreadableVersion { version });
+            return Err(FrameError::UnsupportedVersion { version });
         }
         let sender = node_from_wire(envelope.sender.as_ref())?;
         if !self.accept_sequence(sender, envelope.sequence) {
             return Err(FrameError::Replayed { sender });
         }
-        let kind = Kind::from_wire(envelope.kind).ok_or(FrameError::UnknownKind)?;
+        let kind = PayloadKind::from_wire(envelope.kind).ok_or(FrameError::UnknownKind)?;
         let service = match envelope.service.as_str() {
             "" => None,
             name => Some(ServiceName::new(name).map_err(|_| FrameError::Malformed)?),
         };
-        Ok(Opened {
+        Ok(OpenedFrame {
             sender,
-            sender_newest: ProtocolVersion(envelope.newest),
+            sender_newest_version: ProtocolVersion(envelope.newest),
             revision: Revision(envelope.revision),
             payload: Payload { kind, service, bytes: envelope.payload },
         })
@@ -187,7 +187,7 @@
 
     fn accept_sequence(&mut self, sender: NodeId, sequence: u64) -> bool {
         self.clock += 1;
-        if !self.windows.contains_key(&sender) && self.windows.len() >= MAXIMUM_SENDERS {
+        if !self.windows.contains_key(&sender) && self.windows.len() >= MAX_SENDERS {
             self.forget_least_recent();
         }
         let state = self.windows.entry(sender).or_default();
--- a/crates/messages/src/key.rs
+++ b/crates/messages/src/key.rs
@@ -7,7 +7,7 @@
 use sha2::Sha256;
 
 /// The shortest secret accepted, in bytes.
-pub const SECRET_BYTES_MINIMUM: usize = 32;
+pub const MIN_SECRET_BYTES: usize = 32;
 
 /// The number of a key, chosen by the operator.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,8 +38,8 @@
         /// The key's number.
         id: KeyId,
     },
-    /// A secret is shorter than [`SECRET_BYTES_MINIMUM`].
-    #[display("the secret of key {id} is shorter than {SECRET_BYTES_MINIMUM} bytes")]
+    /// A secret is shorter than [`MIN_SECRET_BYTES`].
+    #[display("the secret of key {id} is shorter than {MIN_SECRET_BYTES} bytes")]
     SecretTooShort {
         /// The key's number.
         id: KeyId,
@@ -60,7 +60,7 @@
     ///
     /// Returns an error if the sending key is missing or a secret is too short.
     pub fn new(accepted: Vec<FleetKey>, sending: KeyId) -> Result<Self, KeySetError> {
-        if let Some(short) = accepted.iter().find(|key| key.secret.len() < SECRET_BYTES_MINIMUM) {
+        if let Some(short) = accepted.iter().find(|key| key.secret.len() < MIN_SECRET_BYTES) {
             return Err(KeySetError::SecretTooShort { id: short.id });
         }
         let accepted: BTreeMap<KeyId, FleetKey> = accepted.into_iter().map(|key| (key.id, key)).collect();
@@ -71,7 +71,7 @@
     }
 
     /// The number of the key used for sending.
-    pub fn sending(&self) -> KeyId {
+    pub fn sending_key_id(&self) -> KeyId {
         self.sending
     }
 
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -14,8 +14,8 @@
 pub mod wire;
 
 pub use error::FrameError;
-pub use frame::{FrameOpener, FrameSealer, Opened, MAXIMUM_FRAME_BYTES, MAXIMUM_PAYLOAD_BYTES};
-pub use key::{FleetKey, FleetKeys, KeyId, KeySetError, SECRET_BYTES_MINIMUM};
-pub use payload::{Kind, Payload};
+pub use frame::{FrameOpener, FrameSealer, OpenedFrame, MAX_FRAME_BYTES, MAX_PAYLOAD_BYTES};
+pub use key::{FleetKey, FleetKeys, KeyId, KeySetError, MIN_SECRET_BYTES};
+pub use payload::{Payload, PayloadKind};
 pub use version::{ProtocolVersion, NEWEST_VERSION, OLDEST_VERSION};
 pub use wire::{decode, encode, MalformedMessage};
--- a/crates/messages/src/payload.rs
+++ b/crates/messages/src/payload.rs
@@ -7,7 +7,7 @@
 
 /// The protocol that a payload belongs to.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum PayloadKind {
     /// Failure detection; see `quillhatch-membership`.
     #[display("membership")]
     Membership,
@@ -22,26 +22,27 @@
     Claims,
 }
 
-impl Kind {
+impl PayloadKind {
     /// All kinds.
-    pub const ALL: [Kind; 4] = [Kind::Membership, Kind::Control, Kind::Group, Kind::Claims];
+    pub const ALL: [PayloadKind; 4] =
+        [PayloadKind::Membership, PayloadKind::Control, PayloadKind::Group, PayloadKind::Claims];
 
     pub(crate) fn to_wire(self) -> FrameKind {
         match self {
-            Kind::Membership => FrameKind::MEMBERSHIP,
-            Kind::Control => FrameKind::CONTROL,
-            Kind::Group => FrameKind::GROUP,
-            Kind::Claims => FrameKind::CLAIMS,
+            PayloadKind::Membership => FrameKind::MEMBERSHIP,
+            PayloadKind::Control => FrameKind::CONTROL,
+            PayloadKind::Group => FrameKind::GROUP,
+            PayloadKind::Claims => FrameKind::CLAIMS,
         }
     }
 
     pub(crate) fn from_wire(kind: FrameKind) -> Option<Self> {
         match kind {
             FrameKind::UNKNOWN => None,
-            FrameKind::MEMBERSHIP => Some(Kind::Membership),
-            FrameKind::CONTROL => Some(Kind::Control),
-            FrameKind::GROUP => Some(Kind::Group),
-            FrameKind::CLAIMS => Some(Kind::Claims),
+            FrameKind::MEMBERSHIP => Some(PayloadKind::Membership),
+            FrameKind::CONTROL => Some(PayloadKind::Control),
+            FrameKind::GROUP => Some(PayloadKind::Group),
+            FrameKind::CLAIMS => Some(PayloadKind::Claims),
         }
     }
 }
@@ -50,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Payload {
     /// The protocol.
-    pub kind: Kind,
+    pub kind: PayloadKind,
     /// The service that the message is about, for the protocols that run once per service.
     pub service: Option<ServiceName>,
     /// The encoded message.
--- a/crates/messages/src/replay.rs
+++ b/crates/messages/src/replay.rs
@@ -1,7 +1,7 @@
 //! A sliding window over the sequence numbers of one sender, which accepts each number once.
 
 /// The number of sequence numbers that may arrive out of order.
-pub const WINDOW: u64 = 64;
+pub const WINDOW_SIZE: u64 = 64;
 
 /// Accepts each sequence number once; numbers older than the window are refused, since nobody can tell any more.
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,13 +18,13 @@
         }
         if sequence > self.highest {
             let shift = sequence - self.highest;
-            self.seen = if shift >= WINDOW { 0 } else { self.seen << shift };
+            self.seen = if shift >= WINDOW_SIZE { 0 } else { self.seen << shift };
             self.seen |= 1;
             self.highest = sequence;
             return true;
         }
         let age = self.highest - sequence;
-        if age >= WINDOW {
+        if age >= WINDOW_SIZE {
             return false;
         }
         let bit = 1 << age;
--- a/crates/messages/src/version.rs
+++ b/crates/messages/src/version.rs
@@ -15,6 +15,6 @@
 /// The version to write to a peer whose newest readable version is `peer`; `None` if nothing is known of the peer.
 ///
 /// A peer of which nothing is known gets the oldest version, which every release in use must read.
-pub fn negotiate(peer: Option<ProtocolVersion>) -> ProtocolVersion {
+pub fn negotiate_version(peer: Option<ProtocolVersion>) -> ProtocolVersion {
     peer.map_or(OLDEST_VERSION, |peer| peer.clamp(OLDEST_VERSION, NEWEST_VERSION))
 }
--- a/crates/messages/tests/frames.rs
+++ b/crates/messages/tests/frames.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use quillhatch_messages::{
-    FleetKey, FleetKeys, FrameError, FrameOpener, FrameSealer, KeyId, KeySetError, Kind, Payload, MAXIMUM_FRAME_BYTES,
-    MAXIMUM_PAYLOAD_BYTES,
+    FleetKey, FleetKeys, FrameError, FrameOpener, FrameSealer, KeyId, KeySetError, Payload, PayloadKind,
+    MAX_FRAME_BYTES, MAX_PAYLOAD_BYTES,
 };
 use quillhatch_types::{DeploymentName, Incarnation, NodeAddress, NodeId, Revision, ServiceName};
 use test_case::test_case;
@@ -26,7 +26,7 @@
 }
 
 fn payload(bytes: Vec<u8>) -> Payload {
-    Payload { kind: Kind::Group, service: Some(ServiceName::new("giving").unwrap()), bytes }
+    Payload { kind: PayloadKind::Group, service: Some(ServiceName::new("giving").unwrap()), bytes }
 }
 
 fn seal(sealer: &mut FrameSealer, receiver: NodeId) -> Vec<u8> {
@@ -106,15 +106,15 @@
 #[test]
 fn sizes_are_bounded_both_ways() {
     let receiver = node(RECEIVER, 6);
-    let oversized = payload(vec![0; MAXIMUM_PAYLOAD_BYTES + 1]);
+    let oversized = payload(vec![0; MAX_PAYLOAD_BYTES + 1]);
     assert!(matches!(
         sealer(1).seal(receiver.address, None, oversized, Revision(1), None),
         Err(FrameError::Oversized { .. })
     ));
-    let largest = payload(vec![0; MAXIMUM_PAYLOAD_BYTES]);
+    let largest = payload(vec![0; MAX_PAYLOAD_BYTES]);
     let frame = sealer(1).seal(receiver.address, None, largest, Revision(1), None).unwrap();
     assert!(opener(&[1]).open(&frame).is_ok());
-    assert!(matches!(opener(&[1]).open(&vec![0; MAXIMUM_FRAME_BYTES + 1]), Err(FrameError::Oversized { .. })));
+    assert!(matches!(opener(&[1]).open(&vec![0; MAX_FRAME_BYTES + 1]), Err(FrameError::Oversized { .. })));
 }
 
 #[test]
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -8,7 +8,7 @@
 use quillhatch_control::io::{ControlEvent, PlatformReading, RequestNumber};
 use quillhatch_control::operator::{OperatorReply, OperatorRequest};
 use quillhatch_membership::MemberStatus;
-use quillhatch_messages::{Kind, Payload};
+use quillhatch_messages::{Payload, PayloadKind};
 use quillhatch_types::{Incarnation, NodeAddress, NodeId, Revision};
 
 /// What can happen to a node.
@@ -100,7 +100,7 @@
     #[from(skip)]
     Undecodable {
         /// The protocol.
-        kind: Kind,
+        kind: PayloadKind,
         /// The sender.
         sender: NodeId,
     },
--- a/crates/node/src/route/control.rs
+++ b/crates/node/src/route/control.rs
@@ -8,7 +8,7 @@
 use quillhatch_control::io::{EncodedClaim, MemberChange as ControlMember, MemberStatus as ControlStatus, Recipient};
 use quillhatch_control::{ControlInput, ControlOutput};
 use quillhatch_membership::{MemberChange, MemberStatus, MembershipInput, MembershipOutput};
-use quillhatch_messages::{Kind, Payload};
+use quillhatch_messages::{Payload, PayloadKind};
 use quillhatch_types::{Configuration, ServiceName, ServiceTable, Timestamp};
 
 use crate::inbox::Inbox;
@@ -117,7 +117,7 @@
         for output in membership_outputs {
             match output {
                 MembershipOutput::Send { to, message } => {
-                    let payload = Payload { kind: Kind::Membership, service: None, bytes: message.encode() };
+                    let payload = Payload { kind: PayloadKind::Membership, service: None, bytes: message.encode() };
                     outputs.push(NodeOutput::Send { to, incarnation: None, payload });
                 }
                 MembershipOutput::Changed(change) => report_member(change, inbox, outputs),
--- a/crates/node/src/route/messages.rs
+++ b/crates/node/src/route/messages.rs
@@ -5,7 +5,7 @@
 use quillhatch_control::message::ControlMessage;
 use quillhatch_control::ControlInput;
 use quillhatch_membership::{MembershipInput, MembershipMessage};
-use quillhatch_messages::{Kind, Payload};
+use quillhatch_messages::{Payload, PayloadKind};
 use quillhatch_types::{NodeId, ServiceName, Timestamp};
 
 use crate::inbox::Inbox;
@@ -28,21 +28,21 @@
 
     fn try_accept_payload(&mut self, from: NodeId, payload: &Payload, inbox: &mut Inbox) -> Option<()> {
         match payload.kind {
-            Kind::Membership => {
+            PayloadKind::Membership => {
                 let message = MembershipMessage::decode(&payload.bytes).ok()?;
                 // A node speaks for itself only: what it says of its own run must match the authenticated frame.
                 (message.sender.info.node == from).then_some(())?;
                 inbox.push(MembershipInput::Message(Box::new(message)));
             }
-            Kind::Control => {
+            PayloadKind::Control => {
                 let message = Box::new(ControlMessage::decode(&payload.bytes).ok()?);
                 inbox.push(ControlInput::Message { from, message });
             }
-            Kind::Group => {
+            PayloadKind::Group => {
                 let frame = Box::new(GroupFrame::decode(&payload.bytes).ok()?);
                 inbox.push(ControlInput::Group { from, frame });
             }
-            Kind::Claims => {
+            PayloadKind::Claims => {
                 let message = ClaimMessage::decode(&payload.bytes).ok()?;
                 self.accept_claim(from, message, inbox);
             }
@@ -72,7 +72,8 @@
             self.accept_claim(to, message, inbox);
             return;
         }
-        let payload = Payload { kind: Kind::Claims, service: Some(message.service.clone()), bytes: message.encode() };
+        let payload =
+            Payload { kind: PayloadKind::Claims, service: Some(message.service.clone()), bytes: message.encode() };
         outputs.push(NodeOutput::Send { to: to.address, incarnation: Some(to.incarnation), payload });
     }
 
--- a/crates/quillhatch/src/call_header.rs
+++ b/crates/quillhatch/src/call_header.rs
@@ -84,7 +84,7 @@
     let tag = keys.sign(&request.bytes(&context));
     let text = format!(
         "{VERSION}.{}.{}.{}.{}",
-        keys.sending(),
+        keys.sending_key_id(),
         request.receiver.incarnation,
         URL_SAFE_NO_PAD.encode(context),
         URL_SAFE_NO_PAD.encode(tag)
--- a/crates/quillhatch/src/command_line/check.rs
+++ b/crates/quillhatch/src/command_line/check.rs
@@ -1,7 +1,7 @@
 //! `quillhatch check`: prints all findings about a settings file or a configuration document.
 
 use quillhatch_settings::presentation::{render_text, FindingsDocument};
-use quillhatch_settings::{parse_configuration, parse_node_settings, Overrides};
+use quillhatch_settings::{parse_configuration, parse_node_settings, FlagOverrides};
 use quillhatch_types::Findings;
 
 use super::options::{no_free_arguments, Command};
@@ -42,7 +42,7 @@
 }
 
 fn check_settings(path: &str, text: &str) -> Findings {
-    match parse_node_settings(path, text, &Overrides::default()) {
+    match parse_node_settings(path, text, &FlagOverrides::default()) {
         Ok((_, warnings)) => warnings,
         Err(findings) => findings,
     }
--- a/crates/quillhatch/src/command_line/node.rs
+++ b/crates/quillhatch/src/command_line/node.rs
@@ -2,7 +2,7 @@
 
 use getopts::Matches;
 use quillhatch_settings::presentation::render_text;
-use quillhatch_settings::{parse_node_settings, NodeSettings, Overrides};
+use quillhatch_settings::{parse_node_settings, FlagOverrides, NodeSettings};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use super::options::{no_free_arguments, required, Command};
@@ -54,8 +54,8 @@
     }
 }
 
-fn overrides(matches: &Matches) -> Overrides {
-    Overrides {
+fn overrides(matches: &Matches) -> FlagOverrides {
+    FlagOverrides {
         site: matches.opt_str("site"),
         zone: matches.opt_str("zone"),
         callers: matches.opt_str("callers"),
@@ -66,7 +66,7 @@
 }
 
 /// Reads and checks the settings; tells every finding.
-fn read_settings(path: &str, overrides: &Overrides, streams: &mut Streams<'_>) -> Option<NodeSettings> {
+fn read_settings(path: &str, overrides: &FlagOverrides, streams: &mut Streams<'_>) -> Option<NodeSettings> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
--- a/crates/quillhatch/src/peers/receiver.rs
+++ b/crates/quillhatch/src/peers/receiver.rs
@@ -62,7 +62,7 @@
             Ok(opened) => {
                 self.counters.received_frames.inc();
                 let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
-                versions.insert(opened.sender.address, opened.sender_newest);
+                versions.insert(opened.sender.address, opened.sender_newest_version);
                 drop(versions);
                 self.driver.input(NodeInput::Message {
                     from: opened.sender,
--- a/crates/quillhatch/src/peers/sender.rs
+++ b/crates/quillhatch/src/peers/sender.rs
@@ -152,7 +152,7 @@
             };
             append(&mut batch, &frame);
             let room = MAXIMUM_BATCH_BYTES - batch.len().min(MAXIMUM_BATCH_BYTES);
-            if room < quillhatch_messages::MAXIMUM_FRAME_BYTES + LENGTH_BYTES {
+            if room < quillhatch_messages::MAX_FRAME_BYTES + LENGTH_BYTES {
                 break;
             }
         }
--- a/crates/quillhatch/tests/node.rs
+++ b/crates/quillhatch/tests/node.rs
@@ -8,7 +8,7 @@
 use quillhatch_calls::edge::io::EdgeInput;
 use quillhatch_calls::gate::io::{GateInput, LoadHint};
 use quillhatch_control::operator::OperatorRequest;
-use quillhatch_messages::{Kind, Payload};
+use quillhatch_messages::{Payload, PayloadKind};
 use quillhatch_standins::backend::{Backend, BackendFaults, BackendOptions};
 use quillhatch_standins::server::any_loopback;
 use support::backend::{start_raw, start_rocket};
@@ -43,7 +43,7 @@
 async fn messages_reach_their_node_and_forged_ones_do_not() {
     let (sender, _) = start(settings(None), Vec::new()).await;
     let (receiver, log) = start(settings(None), Vec::new()).await;
-    let payload = Payload { kind: Kind::Membership, service: None, bytes: vec![1, 2, 3] };
+    let payload = Payload { kind: PayloadKind::Membership, service: None, bytes: vec![1, 2, 3] };
     sender.driver().send(receiver.node.address, Some(receiver.node.incarnation), payload.clone());
     let arrived = |input: &NodeInput| matches!(input, NodeInput::Message { from, payload: got, .. } if *from == sender.node && *got == payload);
     log.wait_for("the message", arrived).await;
--- a/crates/quillhatch/tests/support/node.rs
+++ b/crates/quillhatch/tests/support/node.rs
@@ -4,7 +4,7 @@
 
 use quillhatch::decisions::Decisions;
 use quillhatch::running::{start_with, RunningNode, StartError};
-use quillhatch_settings::{parse_node_settings, NodeSettings, Overrides};
+use quillhatch_settings::{parse_node_settings, FlagOverrides, NodeSettings};
 use quillhatch_types::{NodeAddress, NodeId};
 
 use super::double::{Double, Log};
@@ -23,7 +23,7 @@
          [stop]\ngrace = \"20 s\"\n{backend}",
         (0..32).map(|byte| format!("{:02x}", byte * 37 % 251)).collect::<String>()
     );
-    let parsed = parse_node_settings("test", &text, &Overrides::default());
+    let parsed = parse_node_settings("test", &text, &FlagOverrides::default());
     let (mut settings, _) = parsed.unwrap_or_else(|findings| panic!("{findings}"));
     let any: SocketAddr = "127.0.0.1:0".parse().expect("address");
     (settings.callers, settings.peers, settings.operators) = (any, NodeAddress(any), any);
--- a/crates/settings/src/configuration/class.rs
+++ b/crates/settings/src/configuration/class.rs
@@ -5,7 +5,7 @@
 
 use quillhatch_types::{ClassConfiguration, ClassName, Priority};
 
-use super::MAXIMUM_RETRY_BUDGET;
+use super::MAX_RETRY_BUDGET;
 use crate::report::{Report, Spot};
 use crate::section::{Field, Section};
 
@@ -66,7 +66,7 @@
     let repeatable = section.require(report, "repeatable").and_then(|field| field.boolean(report));
     let deadline = section.require(report, "deadline").and_then(|field| field.time(report, DEADLINES));
     let retry_budget = section.optional(report, "retry_budget", DEFAULT_RETRY_BUDGET, |field, report| {
-        let budget = field.integer(report, 0..=u64::from(MAXIMUM_RETRY_BUDGET))?;
+        let budget = field.integer(report, 0..=u64::from(MAX_RETRY_BUDGET))?;
         u16::try_from(budget).ok()
     });
     let ratio = DEFAULT_RETRY_RATIO_PERCENT;
--- a/crates/settings/src/configuration/mod.rs
+++ b/crates/settings/src/configuration/mod.rs
@@ -18,13 +18,13 @@
 
 /// The highest revision and epoch in a document: the largest whole number that every JSON reader keeps exactly
 /// (RFC 8259, section 6).
-pub const MAXIMUM_COUNTER: u64 = (1 << 53) - 1;
+pub const MAX_SAFE_INTEGER: u64 = (1 << 53) - 1;
 
 /// The largest number of slots of a service.
-pub const MAXIMUM_SLOT_COUNT: u16 = 4096;
+pub const MAX_SLOT_COUNT: u16 = 4096;
 
 /// The largest retry budget of a root call, in attempts over the whole tree of calls.
-pub const MAXIMUM_RETRY_BUDGET: u16 = 64;
+pub const MAX_RETRY_BUDGET: u16 = 64;
 
 /// Reads the configuration document `text`, which findings call `source`.
 ///
--- a/crates/settings/src/configuration/read.rs
+++ b/crates/settings/src/configuration/read.rs
@@ -6,7 +6,7 @@
 
 use super::service::{read_service, ServiceContext};
 use super::sites::read_sites;
-use super::MAXIMUM_COUNTER;
+use super::MAX_SAFE_INTEGER;
 use crate::document::Node;
 use crate::report::Report;
 use crate::section::{Field, Section};
@@ -17,7 +17,7 @@
 pub(super) fn read(report: &mut Report<'_>, node: &Node) -> Option<Configuration> {
     let mut root = Section::open(report, &Field::root(node))?;
     let deployment = root.require(report, "deployment").and_then(|field| field.name(report, DeploymentName::new));
-    let revision = root.require(report, "revision").and_then(|field| field.integer(report, 1..=MAXIMUM_COUNTER));
+    let revision = root.require(report, "revision").and_then(|field| field.integer(report, 1..=MAX_SAFE_INTEGER));
     let formation =
         root.optional(report, "formation", Formation::default(), |field, report| field.choice(report, &FORMATIONS));
     let sites = read_sites(report, &mut root);
@@ -54,5 +54,5 @@
 
 /// The epoch in `key`, or zero.
 pub(super) fn read_epoch(report: &mut Report<'_>, section: &mut Section<'_>, key: &'static str) -> Epoch {
-    Epoch(section.optional(report, key, 0, |field, report| field.integer(report, 0..=MAXIMUM_COUNTER)))
+    Epoch(section.optional(report, key, 0, |field, report| field.integer(report, 0..=MAX_SAFE_INTEGER)))
 }
--- a/crates/settings/src/configuration/render.rs
+++ b/crates/settings/src/configuration/render.rs
@@ -8,7 +8,7 @@
 };
 use serde::Serialize;
 
-use crate::units::{render_size, render_time};
+use crate::units::{render_duration, render_size};
 
 #[derive(Serialize)]
 struct ConfigurationDocument<'value> {
@@ -70,12 +70,12 @@
     ServiceDocument {
         hosts: &service.hosts,
         slot_count: service.slot_count,
-        claim_retention: render_time(service.claim_retention),
+        claim_retention: render_duration(service.claim_retention),
         claim_capacity: service.claim_capacity,
         replay_limit: render_size(u64::from(service.replay_limit_bytes)),
         refused_before_running: &service.refused_before_running,
-        minimum_time: render_time(service.minimum_time),
-        queue_timeout: render_time(service.queue_timeout),
+        minimum_time: render_duration(service.minimum_time),
+        queue_timeout: render_duration(service.queue_timeout),
         site_shares: service.site_shares.iter().map(|(site, share)| (site.as_str(), *share)).collect(),
         minimum_epoch: service.minimum_epoch.0,
         classes: service.classes.iter().map(class_document).collect(),
@@ -90,7 +90,7 @@
         path_prefix: &class.path_prefix,
         priority: class.priority,
         repeatable: class.repeatable,
-        deadline: render_time(class.deadline),
+        deadline: render_duration(class.deadline),
         retry_budget: class.retry_budget,
         retry_ratio_percent: class.retry_ratio_percent,
         large_answers: class.large_answers,
--- a/crates/settings/src/configuration/service.rs
+++ b/crates/settings/src/configuration/service.rs
@@ -11,7 +11,7 @@
 use super::class::{read_class, LocatedClass};
 use super::read::read_epoch;
 use super::sites::Sites;
-use super::MAXIMUM_SLOT_COUNT;
+use super::MAX_SLOT_COUNT;
 use crate::report::{Report, Spot};
 use crate::section::{Field, Section};
 
@@ -61,7 +61,7 @@
     let mut section = Section::open(report, field)?;
     let hosts = read_hosts(report, &mut section, context);
     let slot_count = section.require(report, "slot_count").and_then(|field| {
-        let count = field.integer(report, 1..=u64::from(MAXIMUM_SLOT_COUNT))?;
+        let count = field.integer(report, 1..=u64::from(MAX_SLOT_COUNT))?;
         u16::try_from(count).ok()
     });
     let claim_retention = section
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,4 +16,4 @@
 mod suggestion;
 
 pub use configuration::{parse_configuration, render_configuration};
-pub use node_settings::{parse_node_settings, NodeSettings, Overrides};
+pub use node_settings::{parse_node_settings, FlagOverrides, NodeSettings};
--- a/crates/settings/src/node_settings/checks.rs
+++ b/crates/settings/src/node_settings/checks.rs
@@ -9,7 +9,7 @@
 use super::sections::{BackendSettings, ControlTimings, FleetKey};
 use crate::report::{Report, Spot};
 use crate::section::{Field, Section};
-use crate::units::render_time;
+use crate::units::render_duration;
 
 /// A value and where it was given.
 #[derive(Clone, Debug)]
@@ -228,7 +228,7 @@
         let (name, time) = order.longer;
         let (other_name, other) = order.shorter;
         let wanted = if order.factor == 1 { "longer than".to_string() } else { format!("{} times", order.factor) };
-        let (time, other) = (render_time(time), render_time(other));
+        let (time, other) = (render_duration(time), render_duration(other));
         let problem = format!("{name} is {time} and must be {wanted} {other_name}, which is {other}");
         report.error(&section.spot(name), problem, format!("change one of the two: {}", order.reason));
     }
--- a/crates/settings/src/node_settings/mod.rs
+++ b/crates/settings/src/node_settings/mod.rs
@@ -13,11 +13,11 @@
 
 use quillhatch_types::{DeploymentName, Findings, NodeAddress, SiteName, ZoneName};
 
-pub use overrides::Overrides;
+pub use overrides::FlagOverrides;
 pub use secret::Secret;
 pub use sections::{
-    BackendSettings, ControlTimings, FleetKey, FleetKeys, Limits, LogFormat, LogSettings, PlatformSettings,
-    StopSettings, MINIMUM_SECRET_LENGTH,
+    BackendSettings, CallerLimits, ControlTimings, FleetKey, FleetKeys, LogFormat, LogSettings, PlatformSettings,
+    StopSettings, MIN_SECRET_BYTES,
 };
 
 use crate::document::toml;
@@ -50,7 +50,7 @@
     /// The back end beside the node; a node without one is an edge only.
     pub backend: Option<BackendSettings>,
     /// What a caller may use up.
-    pub limits: Limits,
+    pub limits: CallerLimits,
     /// How the node stops.
     pub stop: StopSettings,
     /// What is logged and how.
@@ -70,7 +70,7 @@
 pub fn parse_node_settings(
     source: &str,
     text: &str,
-    overrides: &Overrides,
+    overrides: &FlagOverrides,
 ) -> Result<(NodeSettings, Findings), Findings> {
     let mut report = Report::new(source, text);
     let settings = match toml::parse(text) {
--- a/crates/settings/src/node_settings/overrides.rs
+++ b/crates/settings/src/node_settings/overrides.rs
@@ -4,7 +4,7 @@
 
 /// The values of the flags that were given, as they were written; they are checked like the file's own.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Overrides {
+pub struct FlagOverrides {
     /// `--site`: the node's site.
     pub site: Option<String>,
     /// `--zone`: the node's zone.
@@ -19,7 +19,7 @@
     pub backend: Option<String>,
 }
 
-impl Overrides {
+impl FlagOverrides {
     /// Puts the flags' values into the tree of the settings file.
     pub(super) fn apply(&self, root: &mut Node) {
         let values: [(&'static str, &[&str], &Option<String>); 6] = [
--- a/crates/settings/src/node_settings/read.rs
+++ b/crates/settings/src/node_settings/read.rs
@@ -9,8 +9,8 @@
 use super::checks;
 use super::secret::Secret;
 use super::sections::{
-    BackendSettings, ControlTimings, FleetKey, FleetKeys, Limits, LogFormat, LogSettings, PlatformSettings,
-    StopSettings, MINIMUM_SECRET_LENGTH,
+    BackendSettings, CallerLimits, ControlTimings, FleetKey, FleetKeys, LogFormat, LogSettings, PlatformSettings,
+    StopSettings, MIN_SECRET_BYTES,
 };
 use super::NodeSettings;
 use crate::document::Node;
@@ -152,12 +152,12 @@
 }
 
 fn checked_fleet_secret(report: &mut Report<'_>, field: &Field<'_>, text: &str) -> Option<Secret> {
-    let advice = format!("draw {MINIMUM_SECRET_LENGTH} random bytes and write them as hexadecimal digits");
+    let advice = format!("draw {MIN_SECRET_BYTES} random bytes and write them as hexadecimal digits");
     let Some(bytes) = decode_hexadecimal(text) else {
         report.error(&field.spot, "the secret is not an even number of hexadecimal digits", advice);
         return None;
     };
-    if bytes.len() < MINIMUM_SECRET_LENGTH {
+    if bytes.len() < MIN_SECRET_BYTES {
         report.error(&field.spot, format!("the secret is {} bytes long", bytes.len()), advice);
         return None;
     }
@@ -241,10 +241,10 @@
     checks::LocatedBackend { address, outgoing, settings }
 }
 
-fn read_limits(report: &mut Report<'_>, root: &mut Section<'_>) -> Limits {
-    let default = Limits::default();
+fn read_limits(report: &mut Report<'_>, root: &mut Section<'_>) -> CallerLimits {
+    let default = CallerLimits::default();
     let mut section = root.subsection(report, "limits");
-    let limits = Limits {
+    let limits = CallerLimits {
         header_bytes: section
             .optional(report, "header_size", default.header_bytes, |field, report| field.size(report, HEADER_SIZES)),
         body_bytes: section.take("body_size").and_then(|field| field.size(report, BODY_SIZES)),
--- a/crates/settings/src/node_settings/sections.rs
+++ b/crates/settings/src/node_settings/sections.rs
@@ -14,12 +14,12 @@
 pub struct FleetKey {
     /// The number that frames name the key by.
     pub id: u32,
-    /// The key, at least [`MINIMUM_SECRET_LENGTH`] bytes.
+    /// The key, at least [`MIN_SECRET_BYTES`] bytes.
     pub secret: Secret,
 }
 
 /// The shortest fleet key, in bytes: the length of the tag of HMAC-SHA-256 (RFC 2104, section 3).
-pub const MINIMUM_SECRET_LENGTH: usize = 32;
+pub const MIN_SECRET_BYTES: usize = 32;
 
 /// The keys that the node accepts, and the one that it sends with.
 ///
@@ -34,7 +34,7 @@
 
 impl FleetKeys {
     /// The key that the node sends with.
-    pub fn sending(&self) -> Option<&FleetKey> {
+    pub fn sending_key(&self) -> Option<&FleetKey> {
         self.get(self.send)
     }
 
@@ -88,7 +88,7 @@
 
 /// What a caller may use up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct CallerLimits {
     /// The largest request header, in bytes; a larger one is answered with 431.
     pub header_bytes: u64,
     /// The largest request body, in bytes, or any size; a larger one is answered with 413.
@@ -99,9 +99,9 @@
     pub connections: u64,
 }
 
-impl Default for Limits {
+impl Default for CallerLimits {
     fn default() -> Self {
-        Limits { header_bytes: 32 << 10, body_bytes: None, retry_buffer_bytes: 64 << 10, connections: 4096 }
+        CallerLimits { header_bytes: 32 << 10, body_bytes: None, retry_buffer_bytes: 64 << 10, connections: 4096 }
     }
 }
 
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -64,11 +64,11 @@
     /// The value as a time in `range`.
     pub(crate) fn time(&self, report: &mut Report<'_>, range: RangeInclusive<Duration>) -> Option<Duration> {
         const ADVICE: &str = "write a number and its unit between quotes, such as \"250 ms\" or \"2 s\"";
-        let time = self.with_unit(report, "a time with a unit", ADVICE, units::parse_time)?;
+        let time = self.with_unit(report, "a time with a unit", ADVICE, units::parse_duration)?;
         if range.contains(&time) {
             return Some(time);
         }
-        let [time, start, end] = [time, *range.start(), *range.end()].map(units::render_time);
+        let [time, start, end] = [time, *range.start(), *range.end()].map(units::render_duration);
         self.out_of_range(report, time, start, end);
         None
     }
--- a/crates/settings/src/units.rs
+++ b/crates/settings/src/units.rs
@@ -13,19 +13,19 @@
 pub enum UnitError {
     /// The text has no unit.
     #[display("{text:?} has no unit")]
-    NoUnit {
+    MissingUnit {
         /// The text.
         text: String,
     },
     /// The text is no time.
     #[display("{text:?} is no time")]
-    Time {
+    InvalidDuration {
         /// The text.
         text: String,
     },
     /// The text is no size.
     #[display("{text:?} is no size")]
-    Size {
+    InvalidSize {
         /// The text.
         text: String,
     },
@@ -36,13 +36,13 @@
 /// # Errors
 ///
 /// Returns an error if the text has no unit or is no time.
-pub fn parse_time(text: &str) -> Result<Duration, UnitError> {
+pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
     require_unit(text)?;
-    humantime::parse_duration(text.trim()).map_err(|_| UnitError::Time { text: text.to_string() })
+    humantime::parse_duration(text.trim()).map_err(|_| UnitError::InvalidDuration { text: text.to_string() })
 }
 
-/// Writes a time so that [`parse_time`] reads the same value.
-pub fn render_time(time: Duration) -> String {
+/// Writes a time so that [`parse_duration`] reads the same value.
+pub fn render_duration(time: Duration) -> String {
     humantime::format_duration(time).to_string()
 }
 
@@ -53,7 +53,7 @@
 /// Returns an error if the text has no unit, is no size, or is not a whole number of bytes.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     require_unit(text)?;
-    let error = || UnitError::Size { text: text.to_string() };
+    let error = || UnitError::InvalidSize { text: text.to_string() };
     let size: ByteSize = text.trim().parse().map_err(|_| error())?;
     // The library computes in floating point: beyond this the value need not be what was written.
     if size.0 > MAXIMUM_EXACT_SIZE {
@@ -78,5 +78,5 @@
     if text.chars().any(|character| character.is_alphabetic()) {
         return Ok(());
     }
-    Err(UnitError::NoUnit { text: text.to_string() })
+    Err(UnitError::MissingUnit { text: text.to_string() })
 }
--- a/crates/settings/tests/settings/documentation.rs
+++ b/crates/settings/tests/settings/documentation.rs
@@ -1,7 +1,7 @@
 //! The page of settings names every key that the parsers know.
 
 use crate::support::NODE;
-use quillhatch_settings::{parse_configuration, parse_node_settings, Overrides};
+use quillhatch_settings::{parse_configuration, parse_node_settings, FlagOverrides};
 use quillhatch_types::Findings;
 
 const PAGE: &str = include_str!("../../../../docs/SETTINGS.md");
@@ -29,7 +29,7 @@
         format!("{line}\n{}", if header { stranger } else { "" })
     });
     let text = format!("{stranger}{}", in_sections.collect::<String>());
-    let findings = parse_node_settings("node.toml", &text, &Overrides::default()).unwrap_err();
+    let findings = parse_node_settings("node.toml", &text, &FlagOverrides::default()).unwrap_err();
     let tables = text.matches(stranger).count();
     assert_documented(&findings, tables);
 }
--- a/crates/settings/tests/settings/node_settings.rs
+++ b/crates/settings/tests/settings/node_settings.rs
@@ -3,25 +3,25 @@
 use std::time::Duration;
 
 use crate::support::{line_of, paths, replaced, NODE, PRAIRIE};
-use quillhatch_settings::node_settings::{ControlTimings, Limits, LogSettings, StopSettings};
+use quillhatch_settings::node_settings::{CallerLimits, ControlTimings, LogSettings, StopSettings};
 use quillhatch_settings::presentation::{render_text, FindingsDocument};
-use quillhatch_settings::{parse_configuration, parse_node_settings, NodeSettings, Overrides};
+use quillhatch_settings::{parse_configuration, parse_node_settings, FlagOverrides, NodeSettings};
 use quillhatch_types::{Findings, ServiceName, Severity};
 use test_case::test_case;
 
 fn parse(text: &str) -> Result<(NodeSettings, Findings), Findings> {
-    parse_node_settings("node.toml", text, &Overrides::default())
+    parse_node_settings("node.toml", text, &FlagOverrides::default())
 }
 
 #[test]
 fn the_example_has_no_finding_and_the_defaults_it_states() {
     let (settings, findings) = parse(NODE).unwrap();
     assert_eq!(findings, Findings::default());
-    assert_eq!(settings.limits, Limits::default());
+    assert_eq!(settings.limits, CallerLimits::default());
     assert_eq!(settings.stop, StopSettings::default());
     assert_eq!(settings.log, LogSettings::default());
     assert_eq!(settings.control, ControlTimings::default());
-    assert_eq!(settings.fleet_keys.sending().map(|key| key.id), Some(1));
+    assert_eq!(settings.fleet_keys.sending_key().map(|key| key.id), Some(1));
 
     let is_default = |line: &str| line.starts_with("# ") && line.contains(" = ");
     let stated = |line: &str| if is_default(line) { line[2..].to_string() } else { line.to_string() };
@@ -126,7 +126,7 @@
     let key = |id: u32, secret: &str| format!("[[fleet.keys]]\nid = {id}\nsecret = \"{secret}\"\n");
     let (settings, _) = parse(&with_more_keys(&key(2, OTHER_SECRET))).unwrap();
     assert_eq!(settings.fleet_keys.accepted.len(), 2);
-    assert_eq!(settings.fleet_keys.sending().map(|key| key.id), Some(1));
+    assert_eq!(settings.fleet_keys.sending_key().map(|key| key.id), Some(1));
 
     let reused = parse(&with_more_keys(&key(2, "SECRET"))).unwrap_err();
     assert_eq!(paths(&reused), ["fleet.keys[1].secret"]);
@@ -157,11 +157,11 @@
 
 #[test]
 fn flags_take_the_place_of_the_file_and_are_checked_alike() {
-    let overrides = Overrides {
+    let overrides = FlagOverrides {
         zone: Some("hall-c".to_string()),
         callers: Some("127.0.0.1:8199".to_string()),
         backend: Some("127.0.0.1:6199".to_string()),
-        ..Overrides::default()
+        ..FlagOverrides::default()
     };
     let without_zone = replaced(NODE, "zone = \"hall-a\"", "");
     let (settings, _) = parse_node_settings("node.toml", &without_zone, &overrides).unwrap();
@@ -169,7 +169,7 @@
     assert_eq!(settings.callers.port(), 8199);
     assert_eq!(settings.backend.unwrap().address.port(), 6199);
 
-    let wrong = Overrides { site: Some("o/ld".to_string()), ..Overrides::default() };
+    let wrong = FlagOverrides { site: Some("o/ld".to_string()), ..FlagOverrides::default() };
     let findings = parse_node_settings("node.toml", NODE, &wrong).unwrap_err();
     assert!(render_text(&findings).starts_with("--site: site: error: \"o/ld\" is not accepted"), "{findings}");
 }
--- a/crates/settings/tests/settings/properties.rs
+++ b/crates/settings/tests/settings/properties.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use quillhatch_settings::text::utf8_text;
-use quillhatch_settings::units::{parse_size, parse_time, render_size, render_time};
-use quillhatch_settings::{parse_configuration, parse_node_settings, render_configuration, Overrides};
+use quillhatch_settings::units::{parse_duration, parse_size, render_duration, render_size};
+use quillhatch_settings::{parse_configuration, parse_node_settings, render_configuration, FlagOverrides};
 use quillhatch_types::{
     ClassConfiguration, ClassName, Configuration, DeploymentName, Epoch, Findings, Formation, NodeAddress, Priority,
     Revision, ServiceConfiguration, ServiceName, SiteConfiguration, SiteName, TargetConfiguration, ZoneName,
@@ -27,7 +27,7 @@
     let results = match utf8_text("input", bytes) {
         Err(findings) => vec![findings],
         Ok(text) => {
-            let settings = parse_node_settings("input", text, &Overrides::default()).map(|(_, warnings)| warnings);
+            let settings = parse_node_settings("input", text, &FlagOverrides::default()).map(|(_, warnings)| warnings);
             let configuration = parse_configuration("input", text).map(|(_, warnings)| warnings);
             [settings, configuration].into_iter().map(|result| result.unwrap_or_else(|errors| errors)).collect()
         }
@@ -189,7 +189,7 @@
         bytes in prop_oneof![0u64..(1 << 20), 0u64..=(1 << 53), (0u64..1 << 20).prop_map(|size| size << 30)],
     ) {
         let time = Duration::from_nanos(nanoseconds);
-        prop_assert_eq!(parse_time(&render_time(time)), Ok(time));
+        prop_assert_eq!(parse_duration(&render_duration(time)), Ok(time));
         prop_assert_eq!(parse_size(&render_size(bytes)), Ok(bytes));
     }
 }
--- a/crates/settings/tests/settings/units.rs
+++ b/crates/settings/tests/settings/units.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use quillhatch_settings::units::{parse_size, parse_time, UnitError};
+use quillhatch_settings::units::{parse_duration, parse_size, UnitError};
 use test_case::test_case;
 
 #[test_case("250 ms", 250; "milliseconds")]
 #[test_case("1m 30s", 90_000; "minutes and seconds")]
 #[test_case("1 h", 3_600_000; "an hour")]
 fn times_with_units_are_read(text: &str, milliseconds: u64) {
-    assert_eq!(parse_time(text), Ok(Duration::from_millis(milliseconds)));
+    assert_eq!(parse_duration(text), Ok(Duration::from_millis(milliseconds)));
 }
 
 #[test_case("512 B", 512; "bytes")]
@@ -23,13 +23,13 @@
 #[test_case("250")]
 #[test_case(" ")]
 fn numbers_without_unit_are_refused(text: &str) {
-    assert_eq!(parse_time(text), Err(UnitError::NoUnit { text: text.to_string() }));
-    assert_eq!(parse_size(text), Err(UnitError::NoUnit { text: text.to_string() }));
+    assert_eq!(parse_duration(text), Err(UnitError::MissingUnit { text: text.to_string() }));
+    assert_eq!(parse_size(text), Err(UnitError::MissingUnit { text: text.to_string() }));
 }
 
 #[test_case("-5 KiB"; "negative")]
 #[test_case("5 parsecs"; "another unit")]
 #[test_case("99999999999 PiB"; "beyond what is read exactly")]
 fn what_is_no_size_is_refused(text: &str) {
-    assert_eq!(parse_size(text), Err(UnitError::Size { text: text.to_string() }));
+    assert_eq!(parse_size(text), Err(UnitError::InvalidSize { text: text.to_string() }));
 }
