--- a/crates/mesh/src/mechanisms.rs
+++ b/crates/mesh/src/mechanisms.rs
@@ -50,7 +50,7 @@
     Quarantine,
 }
 
-/// A name that is not that of a mechanism.
+/// The error for a name that no mechanism has.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("unknown mechanism {name:?}; the mechanisms are {}", Mechanism::names())]
 pub struct UnknownMechanism {
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first name that is not that of a mechanism.
+    /// Returns an error for the first name that no mechanism has.
     pub fn without(text: &str) -> Result<Self, UnknownMechanism> {
         let mut disabled = 0;
         for name in text.split(',').map(str::trim) {
--- a/crates/mesh/src/quarantine/evidence.rs
+++ b/crates/mesh/src/quarantine/evidence.rs
@@ -59,7 +59,7 @@
     pub age: Duration,
 }
 
-/// The decision on a request. If several apply, the greatest one counts.
+/// The decision on a request. Of the decisions for its two keys, the greater one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RunVerdict {
     /// The request may run.
--- a/crates/mesh/src/quarantine/mod.rs
+++ b/crates/mesh/src/quarantine/mod.rs
@@ -6,12 +6,12 @@
 //! evidence to the other gates of the service, where crashes add up. A request that completes anywhere is cleared. From
 //! the third crash on it is refused, for a time that doubles with each further one.
 //!
-//! Suspects don't run one at a time before that. Requests that only ran beside a crashing one would then wait for it
-//! and run beside it again: in simulations with 4 gates, up to 58 of 50,000 other requests were refused, compared with
-//! none now.
+//! Before the third crash, suspects are not run one at a time. Requests that only ran beside a crashing one would then
+//! wait for it and run beside it again: in simulations with 4 gates, up to 58 of 50,000 other requests were refused in
+//! that way, and none without it.
 //!
-//! Nothing is stored. A gate that starts queries others of its service. Parts of a partitioned fleet count separately,
-//! and their crashes add up again afterwards.
+//! The evidence is in memory only. A gate that starts queries others of its service. Parts of a partitioned fleet count
+//! separately, and their crashes add up again afterwards.
 
 mod completed;
 mod evidence;
