--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -48,9 +48,9 @@
 }
 
 pub(super) async fn start(settings: NodeSettings, factory: impl DecisionFactory) -> Result<RunningNode, StartError> {
-    let callers = bind("callers", settings.callers).await?;
-    let peers = bind("peers", settings.peers.0).await?;
-    let outgoing = match settings.backend.as_ref().and_then(|backend| backend.outgoing) {
+    let callers = bind("callers", settings.caller_address).await?;
+    let peers = bind("peers", settings.peer_address.0).await?;
+    let outgoing = match settings.backend.as_ref().and_then(|backend| backend.outgoing_address) {
         Some(address) => Some(bind("the back end's calls", address).await?),
         None => None,
     };
@@ -89,7 +89,7 @@
     };
 
     let token = settings.operator_token.as_ref().map(|token| BearerToken::new(token.expose().to_vec()));
-    let operators = Operators::start(settings.operators, token, Arc::clone(&driver), &counters).await?;
+    let operators = Operators::start(settings.operator_address, token, Arc::clone(&driver), &counters).await?;
     let background = background(&settings, &driver, &counters)?;
     let addresses = Addresses {
         callers: callers.address,
@@ -107,7 +107,7 @@
     servers.spawn(serve(callers.listener, Arc::new(edge), limits, stop_listeners.subscribe()));
     servers.spawn(serve(peers.listener, Arc::new(gate), peer_limits(&settings), stop_listeners.subscribe()));
     log_start(&node, &addresses);
-    let grace = settings.stop.grace;
+    let grace = settings.stop.grace_period;
     Ok(RunningNode {
         addresses,
         node,
@@ -133,7 +133,7 @@
         id: KeyId(key.id),
         secret: key.secret.expose().to_vec(),
     };
-    FleetKeys::new(settings.accepted.iter().map(key).collect(), KeyId(settings.send))
+    FleetKeys::new(settings.accepted.iter().map(key).collect(), KeyId(settings.sending_key_id))
 }
 
 fn backend(settings: &BackendSettings) -> reqwest::Result<Backend> {
@@ -143,19 +143,19 @@
 
 fn request_limits(settings: &NodeSettings) -> RequestLimits {
     RequestLimits {
-        header_bytes: settings.limits.header_bytes,
-        body_bytes: settings.limits.body_bytes,
+        header_bytes: settings.limits.max_header_bytes,
+        body_bytes: settings.limits.max_body_bytes,
         retry_buffer_bytes: settings.limits.retry_buffer_bytes,
     }
 }
 
 fn caller_limits(settings: &NodeSettings) -> ServerLimits {
-    let head_bytes = to_usize(settings.limits.header_bytes + HEAD_ROOM_BYTES);
-    ServerLimits { head_bytes, connections: to_usize(settings.limits.connections) }
+    let head_bytes = to_usize(settings.limits.max_header_bytes + HEAD_ROOM_BYTES);
+    ServerLimits { head_bytes, connections: to_usize(settings.limits.max_connections) }
 }
 
 fn peer_limits(settings: &NodeSettings) -> ServerLimits {
-    let head_bytes = to_usize(settings.limits.header_bytes + HEAD_ROOM_BYTES + PEER_HEAD_BYTES);
+    let head_bytes = to_usize(settings.limits.max_header_bytes + HEAD_ROOM_BYTES + PEER_HEAD_BYTES);
     ServerLimits { head_bytes, connections: PEER_CONNECTIONS }
 }
 
--- a/crates/quillhatch/tests/node.rs
+++ b/crates/quillhatch/tests/node.rs
@@ -125,7 +125,7 @@
 async fn the_back_ends_own_listener_marks_its_calls() {
     let mut settings = settings(Some(start_rocket().await));
     if let Some(backend) = &mut settings.backend {
-        backend.outgoing = Some(any_loopback());
+        backend.outgoing_address = Some(any_loopback());
     }
     let (node, log) = start(settings, Vec::new()).await;
     let outgoing = node.addresses.outgoing.expect("the listener");
--- a/crates/quillhatch/tests/support/fleet.rs
+++ b/crates/quillhatch/tests/support/fleet.rs
@@ -132,7 +132,7 @@
     settings.platform.urls = vec![format!("http://{}", platform.address())];
     settings.platform.poll_interval = POLL_INTERVAL;
     if let Some(backend) = &mut settings.backend {
-        backend.outgoing = Some(any_loopback());
+        backend.outgoing_address = Some(any_loopback());
         backend.load_path = Some("/load".to_owned());
     }
     settings
--- a/crates/quillhatch/tests/support/node.rs
+++ b/crates/quillhatch/tests/support/node.rs
@@ -26,7 +26,7 @@
     let parsed = parse_node_settings("test", &text, &FlagOverrides::default());
     let (mut settings, _) = parsed.unwrap_or_else(|findings| panic!("{findings}"));
     let any: SocketAddr = "127.0.0.1:0".parse().expect("address");
-    (settings.callers, settings.peers, settings.operators) = (any, NodeAddress(any), any);
+    (settings.caller_address, settings.peer_address, settings.operator_address) = (any, NodeAddress(any), any);
     settings
 }
 
--- a/crates/settings/src/node_settings/mod.rs
+++ b/crates/settings/src/node_settings/mod.rs
@@ -16,7 +16,7 @@
 pub use overrides::FlagOverrides;
 pub use secret::Secret;
 pub use sections::{
-    BackendSettings, CallerLimits, ControlTimings, FleetKey, FleetKeys, LogFormat, LogSettings, PlatformSettings,
+    BackendSettings, ControlTimings, FleetKey, FleetKeys, LimitSettings, LogFormat, LogSettings, PlatformSettings,
     StopSettings, MIN_SECRET_BYTES,
 };
 
@@ -34,11 +34,11 @@
     /// The zone that the node is in.
     pub zone: ZoneName,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where other nodes connect; this is the node's identity too.
-    pub peers: NodeAddress,
+    pub peer_address: NodeAddress,
     /// Where operators connect.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// The bearer token that operators must present; never absent if the operator listener is bound beyond loopback.
     pub operator_token: Option<Secret>,
     /// The keys with which nodes authenticate to each other.
@@ -50,7 +50,7 @@
     /// The back end beside the node; a node without one is an edge only.
     pub backend: Option<BackendSettings>,
     /// What a caller may use up.
-    pub limits: CallerLimits,
+    pub limits: LimitSettings,
     /// How the node stops.
     pub stop: StopSettings,
     /// What is logged and how.
--- a/crates/settings/src/node_settings/read.rs
+++ b/crates/settings/src/node_settings/read.rs
@@ -9,7 +9,7 @@
 use super::checks;
 use super::secret::Secret;
 use super::sections::{
-    BackendSettings, CallerLimits, ControlTimings, FleetKey, FleetKeys, LogFormat, LogSettings, PlatformSettings,
+    BackendSettings, ControlTimings, FleetKey, FleetKeys, LimitSettings, LogFormat, LogSettings, PlatformSettings,
     StopSettings, MIN_SECRET_BYTES,
 };
 use super::NodeSettings;
@@ -66,11 +66,11 @@
         deployment: deployment?,
         site: site?,
         zone: zone?,
-        callers: listeners.callers?.value,
-        peers: NodeAddress(listeners.peers?.value),
-        operators: listeners.operators?.value,
+        caller_address: listeners.callers?.value,
+        peer_address: NodeAddress(listeners.peers?.value),
+        operator_address: listeners.operators?.value,
         operator_token: operator_token.and_then(|token| token.value),
-        fleet_keys: FleetKeys { send: fleet_keys.send?, accepted: fleet_keys.into_accepted() },
+        fleet_keys: FleetKeys { sending_key_id: fleet_keys.send?, accepted: fleet_keys.into_accepted() },
         platform: platform?,
         seed_peers,
         backend: backend.map_or(Some(None), |backend| backend.settings.map(Some))?,
@@ -233,7 +233,7 @@
     let settings = address.as_ref().zip(service).map(|(address, service)| BackendSettings {
         address: address.value,
         service,
-        outgoing: outgoing.as_ref().map(|outgoing| outgoing.value),
+        outgoing_address: outgoing.as_ref().map(|outgoing| outgoing.value),
         health_path,
         load_path,
         poll_interval,
@@ -241,18 +241,20 @@
     checks::LocatedBackend { address, outgoing, settings }
 }
 
-fn read_limits(report: &mut Report<'_>, root: &mut Section<'_>) -> CallerLimits {
-    let default = CallerLimits::default();
+fn read_limits(report: &mut Report<'_>, root: &mut Section<'_>) -> LimitSettings {
+    let default = LimitSettings::default();
     let mut section = root.subsection(report, "limits");
-    let limits = CallerLimits {
-        header_bytes: section
-            .optional(report, "header_size", default.header_bytes, |field, report| field.size(report, HEADER_SIZES)),
-        body_bytes: section.take("body_size").and_then(|field| field.size(report, BODY_SIZES)),
+    let limits = LimitSettings {
+        max_header_bytes: section.optional(report, "header_size", default.max_header_bytes, |field, report| {
+            field.size(report, HEADER_SIZES)
+        }),
+        max_body_bytes: section.take("body_size").and_then(|field| field.size(report, BODY_SIZES)),
         retry_buffer_bytes: section.optional(report, "retry_buffer", default.retry_buffer_bytes, |field, report| {
             field.size(report, RETRY_BUFFER_SIZES)
         }),
-        connections: section
-            .optional(report, "connections", default.connections, |field, report| field.integer(report, CONNECTIONS)),
+        max_connections: section.optional(report, "connections", default.max_connections, |field, report| {
+            field.integer(report, CONNECTIONS)
+        }),
     };
     section.finish(report);
     limits
@@ -260,10 +262,10 @@
 
 fn read_stop(report: &mut Report<'_>, root: &mut Section<'_>) -> StopSettings {
     let mut section = root.subsection(report, "stop");
-    let default = StopSettings::default().grace;
-    let grace = section.optional(report, "grace", default, |field, report| field.time(report, GRACE_TIMES));
+    let default = StopSettings::default().grace_period;
+    let grace_period = section.optional(report, "grace", default, |field, report| field.time(report, GRACE_TIMES));
     section.finish(report);
-    StopSettings { grace }
+    StopSettings { grace_period }
 }
 
 fn read_log(report: &mut Report<'_>, root: &mut Section<'_>) -> LogSettings {
--- a/crates/settings/src/node_settings/sections.rs
+++ b/crates/settings/src/node_settings/sections.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetKeys {
     /// The number of the key that the node sends with; one of `accepted`.
-    pub send: u32,
+    pub sending_key_id: u32,
     /// The keys that the node accepts: one or two.
     pub accepted: Vec<FleetKey>,
 }
@@ -35,7 +35,7 @@
 impl FleetKeys {
     /// The key that the node sends with.
     pub fn sending_key(&self) -> Option<&FleetKey> {
-        self.get(self.send)
+        self.get(self.sending_key_id)
     }
 
     /// The accepted key with the number `id`.
@@ -70,7 +70,7 @@
     /// The service that it belongs to.
     pub service: ServiceName,
     /// Where the node listens for the calls that the back end makes, if it has an own listener for them.
-    pub outgoing: Option<SocketAddr>,
+    pub outgoing_address: Option<SocketAddr>,
     /// The path of its health endpoint.
     pub health_path: String,
     /// The path of its load endpoint, if it has one.
@@ -88,20 +88,25 @@
 
 /// What a caller may use up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallerLimits {
+pub struct LimitSettings {
     /// The largest request header, in bytes; a larger one is answered with 431.
-    pub header_bytes: u64,
+    pub max_header_bytes: u64,
     /// The largest request body, in bytes, or any size; a larger one is answered with 413.
-    pub body_bytes: Option<u64>,
+    pub max_body_bytes: Option<u64>,
     /// The largest request body that is kept in memory so that it can be sent again, in bytes.
     pub retry_buffer_bytes: u64,
     /// The largest number of connections of callers at a time.
-    pub connections: u64,
+    pub max_connections: u64,
 }
 
-impl Default for CallerLimits {
+impl Default for LimitSettings {
     fn default() -> Self {
-        CallerLimits { header_bytes: 32 << 10, body_bytes: None, retry_buffer_bytes: 64 << 10, connections: 4096 }
+        LimitSettings {
+            max_header_bytes: 32 << 10,
+            max_body_bytes: None,
+            retry_buffer_bytes: 64 << 10,
+            max_connections: 4096,
+        }
     }
 }
 
@@ -109,12 +114,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopSettings {
     /// The longest time that a planned stop waits for calls in flight.
-    pub grace: Duration,
+    pub grace_period: Duration,
 }
 
 impl Default for StopSettings {
     fn default() -> Self {
-        StopSettings { grace: Duration::from_secs(120) }
+        StopSettings { grace_period: Duration::from_secs(120) }
     }
 }
 
--- a/crates/settings/tests/settings/node_settings.rs
+++ b/crates/settings/tests/settings/node_settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::support::{line_of, paths, replaced, NODE, PRAIRIE};
-use quillhatch_settings::node_settings::{CallerLimits, ControlTimings, LogSettings, StopSettings};
+use quillhatch_settings::node_settings::{ControlTimings, LimitSettings, LogSettings, StopSettings};
 use quillhatch_settings::presentation::{render_text, FindingsDocument};
 use quillhatch_settings::{parse_configuration, parse_node_settings, FlagOverrides, NodeSettings};
 use quillhatch_types::{Findings, ServiceName, Severity};
@@ -17,7 +17,7 @@
 fn the_example_has_no_finding_and_the_defaults_it_states() {
     let (settings, findings) = parse(NODE).unwrap();
     assert_eq!(findings, Findings::default());
-    assert_eq!(settings.limits, CallerLimits::default());
+    assert_eq!(settings.limits, LimitSettings::default());
     assert_eq!(settings.stop, StopSettings::default());
     assert_eq!(settings.log, LogSettings::default());
     assert_eq!(settings.control, ControlTimings::default());
@@ -35,7 +35,7 @@
     let (settings, _) = parse(NODE).unwrap();
     let (configuration, _) = parse_configuration("prairie.json", PRAIRIE).unwrap();
     let service = &configuration.services[&ServiceName::new("giving").unwrap()];
-    let target = service.targets.iter().find(|target| target.node == settings.peers).unwrap();
+    let target = service.targets.iter().find(|target| target.node == settings.peer_address).unwrap();
     assert_eq!((&target.site, &target.zone), (&settings.site, &settings.zone));
     assert_eq!(settings.backend.unwrap().service, service.name);
 }
@@ -98,9 +98,9 @@
 #[test]
 fn the_back_ends_calls_may_have_their_own_listener() {
     let backend = |text: &str| parse(text).unwrap().0.backend.unwrap();
-    assert_eq!(backend(NODE).outgoing, None);
+    assert_eq!(backend(NODE).outgoing_address, None);
     let text = replaced(NODE, "load_path = ", "outgoing = \"127.0.0.1:5103\"\nload_path = ");
-    assert_eq!(backend(&text).outgoing, Some("127.0.0.1:5103".parse().unwrap()));
+    assert_eq!(backend(&text).outgoing_address, Some("127.0.0.1:5103".parse().unwrap()));
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let without_zone = replaced(NODE, "zone = \"hall-a\"", "");
     let (settings, _) = parse_node_settings("node.toml", &without_zone, &overrides).unwrap();
     assert_eq!(settings.zone.as_str(), "hall-c");
-    assert_eq!(settings.callers.port(), 8199);
+    assert_eq!(settings.caller_address.port(), 8199);
     assert_eq!(settings.backend.unwrap().address.port(), 6199);
 
     let wrong = FlagOverrides { site: Some("o/ld".to_string()), ..FlagOverrides::default() };
