--- a/crates/sidecar/src/gate/target_crash.rs
+++ b/crates/sidecar/src/gate/target_crash.rs
@@ -2,7 +2,7 @@
 //!
 //! A single lost connection does not show that the target has crashed: the response may be lost while the target lives.
 //! So after a call has lost its connection the other running calls are checked, and if none of them is left, the target
-//! is asked for its identity.
+//! is queried for its identity.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -33,8 +33,11 @@
         assert_eq!(seen.header("quillhatch-caller-service"), "beta");
         assert_eq!(seen.header("quillhatch-expect-instance"), alpha.target.id());
         assert_eq!(seen.header("quillhatch-hop"), "");
-        let left: u64 = seen.header("quillhatch-deadline-ms").parse().expect("a deadline");
-        assert!((900..=1000).contains(&left), "the route's timeout overrides the caller's longer one: {left}");
+        let remaining_ms: u64 = seen.header("quillhatch-deadline-ms").parse().expect("a deadline");
+        assert!(
+            (900..=1000).contains(&remaining_ms),
+            "the route's timeout overrides the caller's longer one: {remaining_ms}"
+        );
     });
 }
 
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -61,9 +61,9 @@
         caller.send(&(read("one") + &read("two"))).await;
         eventually("both run", || alpha.target.running() == 2).await;
         drop(caller);
-        let left = Instant::now();
+        let disconnected_at = Instant::now();
         eventually("both calls are cancelled at the target", || alpha.target.abandoned() == 2).await;
-        assert!(left.elapsed() < Duration::from_millis(500));
+        assert!(disconnected_at.elapsed() < Duration::from_millis(500));
         eventually("no slot is held", || alpha.node().gate.borrow().load().running == 0).await;
     });
 }
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -173,7 +173,7 @@
         for alpha in &fleet.alphas {
             alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(30)));
         }
-        let beside = async {
+        let other_calls = async {
             let (mut first, mut second) = (Vec::new(), Vec::new());
             for _ in 0..12 {
                 first.extend(fleet.send_copies("/read/popular", "popular", Duration::from_millis(100)).await);
@@ -182,7 +182,7 @@
             (first, second)
         };
         let copies = fleet.send_copies(CRASHING_PATH, "crashing", Duration::from_secs(2));
-        let _ = tokio::join!(copies, beside);
+        let _ = tokio::join!(copies, other_calls);
         assert_served_everywhere(&fleet, "/read/popular").await;
         assert_served_everywhere(&fleet, "/read/seldom").await;
         assert!(fleet.crash_count() <= MAX_CRASHES, "{} targets crashed", fleet.crash_count());
