--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -152,7 +152,7 @@
     let address = node.addresses.peers;
     let stop = async {
         tokio::time::sleep(STOP_AFTER).await;
-        let running = node.driver().running().len();
+        let running = node.driver().active_requests().len();
         narrator.tell(format!("{address} is told to stop with {running} calls in flight"));
         let report = node.stop_within(STOP_GRACE).await;
         narrator.tell(format!("{address} has stopped; {} calls were cut", report.cut.len()));
--- a/crates/quillhatch/src/backend_health.rs
+++ b/crates/quillhatch/src/backend_health.rs
@@ -34,7 +34,7 @@
             log::info!(healthy; "the back end's health endpoint changed its answer");
         }
         let load = load(&client, &endpoints).await;
-        driver.gate(GateInput::Hint(LoadHint { healthy, load }));
+        driver.gate_input(GateInput::Hint(LoadHint { healthy, load }));
         tokio::time::sleep(endpoints.interval).await;
     }
 }
--- a/crates/quillhatch/src/driver/channels.rs
+++ b/crates/quillhatch/src/driver/channels.rs
@@ -69,7 +69,7 @@
 
 /// Something that has not ended.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Running {
+pub enum ActiveRequest {
     /// A call at the edge.
     #[display("call {call} to {service}")]
     Call {
@@ -171,13 +171,13 @@
         }
     }
 
-    pub(super) fn running(&self) -> Vec<Running> {
+    pub(super) fn active_requests(&self) -> Vec<ActiveRequest> {
         let calls =
-            self.calls.iter().map(|(call, entry)| Running::Call { call: *call, service: entry.service.clone() });
+            self.calls.iter().map(|(call, entry)| ActiveRequest::Call { call: *call, service: entry.service.clone() });
         let attempts = self
             .attempts
             .iter()
-            .map(|(attempt, entry)| Running::Attempt { attempt: *attempt, service: entry.service.clone() });
+            .map(|(attempt, entry)| ActiveRequest::Attempt { attempt: *attempt, service: entry.service.clone() });
         calls.chain(attempts).collect()
     }
 }
--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -23,7 +23,7 @@
 use crate::decisions::{Decisions, NodeEvent, NodeInput, NodeOutput, Statistic};
 use channels::Channels;
 
-pub use channels::{AttemptCommand, CallCommand, RangeRequest, Running};
+pub use channels::{ActiveRequest, AttemptCommand, CallCommand, RangeRequest};
 
 /// Takes messages to other nodes; must not wait.
 pub trait MessageSink: Send + Sync + 'static {
@@ -75,12 +75,12 @@
     }
 
     /// Hands an event to the edge.
-    pub fn edge(&self, input: EdgeInput) {
+    pub fn edge_input(&self, input: EdgeInput) {
         self.input(NodeInput::Edge(input));
     }
 
     /// Hands an event to the gate.
-    pub fn gate(&self, input: GateInput) {
+    pub fn gate_input(&self, input: GateInput) {
         self.input(NodeInput::Gate(input));
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Asks the node on behalf of an operator; the reply arrives at the receiver.
-    pub fn operator(&self, body: OperatorRequest) -> oneshot::Receiver<OperatorReply> {
+    pub fn operator_request(&self, body: OperatorRequest) -> oneshot::Receiver<OperatorReply> {
         let mut state = self.lock();
         let (request, receiver) = state.channels.open_request();
         self.step(&mut state, NodeInput::Operator { request, body: Box::new(body) });
@@ -151,8 +151,8 @@
     }
 
     /// The calls at the edge and the attempts at the gate that have not ended.
-    pub fn running(&self) -> Vec<Running> {
-        self.lock().channels.running()
+    pub fn active_requests(&self) -> Vec<ActiveRequest> {
+        self.lock().channels.active_requests()
     }
 
     /// Turns true when the node has stopped.
@@ -246,9 +246,9 @@
 
 /// Drops every message: for nodes and tests without peers.
 #[derive(Clone, Copy, Debug)]
-pub struct NoMessages;
+pub struct NullMessageSink;
 
-impl MessageSink for NoMessages {
+impl MessageSink for NullMessageSink {
     fn send(&self, _to: NodeAddress, _incarnation: Option<Incarnation>, _payload: Payload) {}
 }
 
--- a/crates/quillhatch/src/edge/attempt.rs
+++ b/crates/quillhatch/src/edge/attempt.rs
@@ -17,7 +17,7 @@
 use crate::http::problem::read_refusal;
 
 /// Everything that all attempts of one call send alike.
-pub struct Outgoing {
+pub struct OutgoingRequest {
     edge: Arc<Edge>,
     head: Parts,
     path: PathAndQuery,
@@ -67,12 +67,12 @@
     }
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Prepares the attempts of a call with the given head; only what callers may set is sent on.
     pub fn new(edge: Arc<Edge>, mut head: Parts, path: PathAndQuery, body: RequestBody) -> Self {
         remove_hop_by_hop(&mut head.headers);
         remove_internal(&mut head.headers);
-        Outgoing { edge, head, path, body }
+        OutgoingRequest { edge, head, path, body }
     }
 
     /// The method of the request.
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -10,7 +10,7 @@
 use quillhatch_types::{AttemptId, CallContext, CallId, NodeId, ParentContext, Refusal, RequestKey, RootId};
 use tokio::sync::mpsc;
 
-use super::attempt::{AttemptOutcome, Outgoing};
+use super::attempt::{AttemptOutcome, OutgoingRequest};
 use super::relay;
 use super::request::{body_too_large, ContextHeader, RequestDescription};
 use super::request_body::RequestBody;
@@ -41,7 +41,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.driver.edge(EdgeInput::CallerGone { call: self.call });
+            self.driver.edge_input(EdgeInput::CallerGone { call: self.call });
         }
         self.driver.close_call(self.call);
     }
@@ -63,8 +63,8 @@
     let call = arrival.call;
     let commands = driver.open_call(call, request.service.clone());
     let guard = CallGuard { driver: Arc::clone(&driver), call, ended: false };
-    let outgoing = Arc::new(Outgoing::new(edge, head, request.path, body));
-    driver.edge(EdgeInput::Arrived(arrival));
+    let outgoing = Arc::new(OutgoingRequest::new(edge, head, request.path, body));
+    driver.edge_input(EdgeInput::Arrived(arrival));
     let task = CallTask { driver, outgoing, commands, guard, in_flight: InFlight::default(), held: BTreeMap::new() };
     task.run().await
 }
@@ -119,7 +119,7 @@
 impl InFlight {
     fn launch(
         &mut self,
-        outgoing: Arc<Outgoing>,
+        outgoing: Arc<OutgoingRequest>,
         target: NodeId,
         context: Box<CallContext>,
         range: Option<RangeRequest>,
@@ -149,7 +149,7 @@
 
 struct CallTask {
     driver: Arc<Driver>,
-    outgoing: Arc<Outgoing>,
+    outgoing: Arc<OutgoingRequest>,
     commands: mpsc::UnboundedReceiver<CallCommand>,
     guard: CallGuard,
     in_flight: InFlight,
@@ -186,7 +186,7 @@
         if let AttemptOutcome::Answered { response, .. } = outcome {
             self.held.insert(attempt, response);
         }
-        self.driver.edge(EdgeInput::AttemptAnswered { attempt, result, feedback });
+        self.driver.edge_input(EdgeInput::AttemptAnswered { attempt, result, feedback });
     }
 
     fn finish(mut self, decision: Decision) -> Result<Answer, Rejection> {
@@ -195,7 +195,7 @@
             Decision::Relay(attempt) => match self.held.remove(&attempt) {
                 Some(response) => {
                     let CallTask { driver, outgoing, commands, guard, .. } = self;
-                    Ok(relay::answer(relay::Relayed { driver, outgoing, commands, guard, attempt, response }))
+                    Ok(relay::answer(relay::RelayContext { driver, outgoing, commands, guard, attempt, response }))
                 }
                 None => Err(self.refuse(lost())),
             },
--- a/crates/quillhatch/src/edge/mod.rs
+++ b/crates/quillhatch/src/edge/mod.rs
@@ -59,7 +59,7 @@
         match Arc::clone(&self).answer(remote, request).await {
             Ok(answer) => answer,
             Err(rejection) => {
-                self.counters.refused_at_edge(&rejection.refusal);
+                self.counters.count_refusal(&rejection.refusal);
                 rejection.answer()
             }
         }
--- a/crates/quillhatch/src/edge/relay.rs
+++ b/crates/quillhatch/src/edge/relay.rs
@@ -12,19 +12,19 @@
 use quillhatch_types::{AttemptId, CallContext, NodeId};
 use tokio::sync::mpsc;
 
-use super::attempt::{AttemptOutcome, Outgoing};
+use super::attempt::{AttemptOutcome, OutgoingRequest};
 use super::call::CallGuard;
 use crate::driver::{CallCommand, Driver, RangeRequest};
-use crate::http::body::{streamed, BodyBroken, ByteStream};
+use crate::http::body::{streamed, BodyError, ByteStream};
 use crate::http::headers::{expected_length, remove_hop_by_hop, remove_internal, OUTCOME};
 use crate::http::Answer;
 
 /// An answer whose relay was decided.
-pub struct Relayed {
+pub struct RelayContext {
     /// The driver of the decision code.
     pub driver: Arc<Driver>,
     /// What attempts of the call send.
-    pub outgoing: Arc<Outgoing>,
+    pub outgoing: Arc<OutgoingRequest>,
     /// The commands about the call.
     pub commands: mpsc::UnboundedReceiver<CallCommand>,
     /// Tells when the caller leaves.
@@ -36,8 +36,8 @@
 }
 
 /// The head of the caller's answer, with a body that streams the rest.
-pub fn answer(relayed: Relayed) -> Answer {
-    let Relayed { driver, outgoing, commands, guard, attempt, response } = relayed;
+pub fn answer(relayed: RelayContext) -> Answer {
+    let RelayContext { driver, outgoing, commands, guard, attempt, response } = relayed;
     let status = response.status();
     let mut headers = response.headers().clone();
     remove_hop_by_hop(&mut headers);
@@ -57,7 +57,7 @@
 }
 
 fn source(response: reqwest::Response) -> ByteStream {
-    response.bytes_stream().map_err(|_| BodyBroken::Upstream).boxed()
+    response.bytes_stream().map_err(|_| BodyError::Upstream).boxed()
 }
 
 /// The validator under which the rest of the answer may come from another target.
@@ -70,7 +70,7 @@
 
 struct BodyRelay {
     driver: Arc<Driver>,
-    outgoing: Arc<Outgoing>,
+    outgoing: Arc<OutgoingRequest>,
     commands: mpsc::UnboundedReceiver<CallCommand>,
     guard: CallGuard,
     attempt: AttemptId,
@@ -82,12 +82,12 @@
 }
 
 enum Event {
-    Chunk(Option<Result<Bytes, BodyBroken>>),
+    Chunk(Option<Result<Bytes, BodyError>>),
     Command(Option<CallCommand>),
 }
 
 impl BodyRelay {
-    async fn next(&mut self) -> Option<Result<Bytes, BodyBroken>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
             match self.event().await {
                 Event::Chunk(Some(Ok(chunk))) if self.fits(&chunk) => {
@@ -137,7 +137,7 @@
 
     fn end(&mut self) {
         if self.guard.end() {
-            self.driver.edge(EdgeInput::BodyEnded { attempt: self.attempt, broken: None });
+            self.driver.edge_input(EdgeInput::BodyEnded { attempt: self.attempt, broken: None });
         }
     }
 
@@ -145,7 +145,7 @@
         self.source = None;
         self.outgoing.edge().counters.broken_sources.inc();
         let broken = BodyState { received: self.received, length: self.length, validator: self.validator.clone() };
-        self.driver.edge(EdgeInput::BodyEnded { attempt: self.attempt, broken: Some(broken) });
+        self.driver.edge_input(EdgeInput::BodyEnded { attempt: self.attempt, broken: Some(broken) });
     }
 
     async fn resume(&mut self, target: NodeId, context: &CallContext, range: Option<&RangeRequest>) {
@@ -161,7 +161,7 @@
             self.attempt = attempt;
             self.source = Some(source(response));
         }
-        self.driver.edge(EdgeInput::AttemptAnswered { attempt, result, feedback });
+        self.driver.edge_input(EdgeInput::AttemptAnswered { attempt, result, feedback });
     }
 
     fn stop_waiting(&mut self, command: Option<CallCommand>) {
@@ -173,10 +173,10 @@
         self.commands.close();
     }
 
-    fn break_off(&mut self) -> Option<Result<Bytes, BodyBroken>> {
+    fn break_off(&mut self) -> Option<Result<Bytes, BodyError>> {
         self.source = None;
         self.guard.end();
         self.outgoing.edge().counters.broken_answers.inc();
-        Some(Err(BodyBroken::Upstream))
+        Some(Err(BodyError::Upstream))
     }
 }
--- a/crates/quillhatch/src/edge/request.rs
+++ b/crates/quillhatch/src/edge/request.rs
@@ -17,7 +17,7 @@
 use crate::http::problem::Rejection;
 
 /// The longest deadline that a caller may ask for; a longer one is a mistake in its unit.
-pub const LONGEST_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
+pub const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// The context header of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -187,8 +187,8 @@
     // A sign, which `parse` would accept, is refused: a negative time is a fault of the caller.
     let digits = text.bytes().all(|byte| byte.is_ascii_digit());
     let milliseconds = text.parse().ok().filter(|_| digits);
-    let span = milliseconds.map(Duration::from_millis).filter(|span| *span <= LONGEST_DEADLINE);
-    let longest = LONGEST_DEADLINE.as_millis();
+    let span = milliseconds.map(Duration::from_millis).filter(|span| *span <= MAX_DEADLINE);
+    let longest = MAX_DEADLINE.as_millis();
     span.map(Some).ok_or_else(|| Rejection::bad_request(format!("{DEADLINE} must be milliseconds from 0 to {longest}")))
 }
 
--- a/crates/quillhatch/src/edge/request_body.rs
+++ b/crates/quillhatch/src/edge/request_body.rs
@@ -10,7 +10,7 @@
 
 use super::request::{body_too_large, RequestDescription};
 use super::RequestLimits;
-use crate::http::body::{incoming, limited, read_beginning, Beginning, BodyBroken, ByteStream, SizeVerdict};
+use crate::http::body::{buffer_body, incoming, limited, BodyError, BufferedBody, ByteStream, OversizeFlag};
 use crate::http::headers::content_length;
 use crate::http::problem::Rejection;
 
@@ -20,7 +20,7 @@
     /// The length that the head announced.
     pub length: Option<u64>,
     /// Whether the body was cut because it is too large.
-    pub size: SizeVerdict,
+    pub size: OversizeFlag,
 }
 
 enum Source {
@@ -70,7 +70,7 @@
     limits: &RequestLimits,
 ) -> Result<RequestBody, Rejection> {
     let length = content_length(headers);
-    let size = SizeVerdict::default();
+    let size = OversizeFlag::default();
     if body.is_end_stream() {
         return Ok(RequestBody { source: Source::Held(Bytes::new()), length, size });
     }
@@ -85,15 +85,15 @@
 
 async fn hold(request: &RequestDescription, stream: ByteStream, limits: &RequestLimits) -> Result<Source, Rejection> {
     let patience = request.remaining.unwrap_or(request.class_deadline);
-    let reading = tokio::time::timeout(patience, read_beginning(stream, limits.retry_buffer_bytes)).await;
+    let reading = tokio::time::timeout(patience, buffer_body(stream, limits.retry_buffer_bytes)).await;
     let beginning = reading.map_err(|_| Rejection::from(Refusal::not_run(RefusalReason::DeadlinePassed)))?;
     match beginning {
-        Ok(Beginning::Whole(bytes)) => Ok(Source::Held(bytes)),
+        Ok(BufferedBody::Complete(bytes)) => Ok(Source::Held(bytes)),
         // The digest of a keyed request needs the whole body, and nothing is held without a bound.
-        Ok(Beginning::Partial(_)) if request.key.is_some() => Err(keyed_too_large(limits.retry_buffer_bytes)),
-        Ok(Beginning::Partial(stream)) => Ok(Source::Streamed(Mutex::new(Some(stream)))),
-        Err(BodyBroken::TooLarge) => Err(body_too_large(limits.body_bytes.unwrap_or_default())),
-        Err(BodyBroken::Upstream) => Err(Rejection::bad_request("the body of the request broke off")),
+        Ok(BufferedBody::OverLimit(_)) if request.key.is_some() => Err(keyed_too_large(limits.retry_buffer_bytes)),
+        Ok(BufferedBody::OverLimit(stream)) => Ok(Source::Streamed(Mutex::new(Some(stream)))),
+        Err(BodyError::TooLarge) => Err(body_too_large(limits.body_bytes.unwrap_or_default())),
+        Err(BodyError::Upstream) => Err(Rejection::bad_request("the body of the request broke off")),
     }
 }
 
--- a/crates/quillhatch/src/gate/attempt.rs
+++ b/crates/quillhatch/src/gate/attempt.rs
@@ -11,13 +11,13 @@
 use quillhatch_types::{AttemptId, CallContext, Feedback, RecordedAnswer, Refusal, RefusalReason};
 use tokio::sync::mpsc;
 
-use super::awaited_head::{Awaited, AwaitedHead};
 use super::backend::BackendOutcome;
+use super::head_wait::{HeadOutcome, HeadWait};
 use super::relay::{self, BackendBody};
 use super::{refusal_answer, Gate};
 use crate::call_header;
 use crate::driver::{AttemptCommand, Driver};
-use crate::http::headers::{append_recorded, content_length, FEEDBACK};
+use crate::http::headers::{append_recorded_fields, content_length, FEEDBACK};
 use crate::http::problem::Rejection;
 use crate::http::{body, Answer};
 
@@ -47,7 +47,7 @@
         let attempt = context.attempt_id();
         let commands = driver.open_attempt(attempt, context.service.clone())?;
         let driver = Arc::clone(driver);
-        driver.gate(GateInput::Arrived(Box::new(context.clone())));
+        driver.gate_input(GateInput::Arrived(Box::new(context.clone())));
         Some(AttemptGuard { driver, attempt, commands, phase: Phase::Waiting, told_gone: false })
     }
 
@@ -62,12 +62,12 @@
             return;
         }
         self.phase = Phase::Ended;
-        self.driver.gate(GateInput::AnswerEnded { attempt: self.attempt, end });
+        self.driver.gate_input(GateInput::AnswerEnded { attempt: self.attempt, end });
     }
 
     /// The edge has gone. Returns whether the back end's run goes on, which is for the decision code to say: it stops a
     /// run that may be repeated, and lets one that may not come to its end.
-    pub fn goes_on_without_edge(&mut self) -> bool {
+    pub fn continues_without_edge(&mut self) -> bool {
         if self.phase != Phase::Dispatched {
             return false;
         }
@@ -82,7 +82,7 @@
 
     fn tell_gone(&mut self) {
         if self.phase != Phase::Ended && !std::mem::replace(&mut self.told_gone, true) {
-            self.driver.gate(GateInput::Cancelled { attempt: self.attempt });
+            self.driver.gate_input(GateInput::Cancelled { attempt: self.attempt });
         }
     }
 }
@@ -153,27 +153,27 @@
                 None => BackendOutcome::ConnectFailed,
             }
         });
-        match AwaitedHead::new(self, method, sending).wait().await {
-            Awaited::Answer(body) => relay::answer(*body),
-            Awaited::Ended(task, end) => task.ended_without_answer(end),
+        match HeadWait::new(self, method, sending).wait().await {
+            HeadOutcome::Answer(body) => relay::answer(*body),
+            HeadOutcome::Ended(task, end) => task.ended_without_answer(end),
         }
     }
 
     /// What the outcome of a request means: an answer to read, or the end of the attempt.
-    pub fn judge(self, method: &Method, outcome: BackendOutcome) -> Awaited {
+    pub fn judge(self, method: &Method, outcome: BackendOutcome) -> HeadOutcome {
         match outcome {
             BackendOutcome::Answered(response) if self.refused_before_running(response.status()) => {
                 let status = response.status().as_u16();
-                Awaited::Ended(Box::new(self), AnswerEnd::RefusedBeforeRunning { status })
+                HeadOutcome::Ended(Box::new(self), AnswerEnd::RefusedBeforeRunning { status })
             }
             BackendOutcome::Answered(response) => {
                 let status = response.status().as_u16();
                 let length = content_length(response.headers());
-                self.gate.driver.gate(GateInput::AnswerStarted { attempt: self.guard.attempt, status, length });
-                Awaited::Answer(Box::new(BackendBody::new(self, method, response)))
+                self.gate.driver.gate_input(GateInput::AnswerStarted { attempt: self.guard.attempt, status, length });
+                HeadOutcome::Answer(Box::new(BackendBody::new(self, method, response)))
             }
-            BackendOutcome::ConnectFailed => Awaited::Ended(Box::new(self), AnswerEnd::ConnectFailed),
-            BackendOutcome::Broken => Awaited::Ended(Box::new(self), AnswerEnd::Broken),
+            BackendOutcome::ConnectFailed => HeadOutcome::Ended(Box::new(self), AnswerEnd::ConnectFailed),
+            BackendOutcome::Broken => HeadOutcome::Ended(Box::new(self), AnswerEnd::Broken),
         }
     }
 
@@ -220,7 +220,7 @@
         self.guard.phase = Phase::Ended;
         let mut answer = Response::new(body::full(recorded.body.clone()));
         *answer.status_mut() = StatusCode::from_u16(recorded.status).unwrap_or(StatusCode::OK);
-        append_recorded(answer.headers_mut(), &recorded.headers);
+        append_recorded_fields(answer.headers_mut(), &recorded.headers);
         answer.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(recorded.body.len()));
         write_feedback(&mut answer, feedback);
         answer
--- a/crates/quillhatch/src/gate/attempt/tests.rs
+++ b/crates/quillhatch/src/gate/attempt/tests.rs
@@ -9,7 +9,7 @@
 
 use super::*;
 use crate::decisions::{Decisions, NodeInput, NodeOutput, Statistic};
-use crate::driver::NoMessages;
+use crate::driver::NullMessageSink;
 
 /// Dispatches at once, and stops a dispatched attempt only if it may be repeated.
 #[derive(Clone, Default)]
@@ -74,7 +74,7 @@
 #[test]
 fn a_dispatch_that_no_task_took_up_ends_as_not_run() {
     let noted = Noted::default();
-    let driver = Driver::new(Box::new(noted.clone()), Box::new(NoMessages));
+    let driver = Driver::new(Box::new(noted.clone()), Box::new(NullMessageSink));
     let guard = AttemptGuard::arrived(&driver, &context()).expect("the first of its kind");
     assert!(AttemptGuard::arrived(&driver, &context()).is_none());
     drop(guard);
@@ -85,5 +85,5 @@
         GateInput::AnswerEnded { attempt, end: AnswerEnd::ConnectFailed },
     ];
     assert_eq!(*noted.0.lock().expect("inputs"), expected);
-    assert!(driver.running().is_empty());
+    assert!(driver.active_requests().is_empty());
 }
--- a/crates/quillhatch/src/gate/background.rs
+++ b/crates/quillhatch/src/gate/background.rs
@@ -12,7 +12,7 @@
 
 /// The longest time that an answer is read for nobody. The decision code ends most runs earlier; it has no bound for a
 /// large answer that has begun, which only its reader may give up.
-pub const LONGEST_BACKGROUND_RUN: Duration = Duration::from_secs(300);
+pub const MAX_BACKGROUND_RUN: Duration = Duration::from_secs(300);
 
 /// The runs that go on without a reader.
 #[derive(Debug)]
--- a/crates/quillhatch/src/gate/awaited_head.rs
+++ b/crates/quillhatch/src/gate/head_wait.rs
@@ -8,7 +8,7 @@
 
 use super::attempt::AttemptTask;
 use super::backend::BackendOutcome;
-use super::background::LONGEST_BACKGROUND_RUN;
+use super::background::MAX_BACKGROUND_RUN;
 use super::relay::BackendBody;
 
 /// A request at the back end whose answer has not begun.
@@ -19,7 +19,7 @@
 }
 
 /// How the wait came out.
-pub enum Awaited {
+pub enum HeadOutcome {
     /// There is an answer to read.
     Answer(Box<BackendBody>),
     /// The attempt ended without an answer.
@@ -35,37 +35,37 @@
         }
     }
 
-    fn judge(self, outcome: Option<BackendOutcome>) -> Awaited {
+    fn judge(self, outcome: Option<BackendOutcome>) -> HeadOutcome {
         match outcome {
             Some(outcome) => self.task.judge(&self.method, outcome),
-            None => Awaited::Ended(Box::new(self.task), AnswerEnd::Cancelled),
+            None => HeadOutcome::Ended(Box::new(self.task), AnswerEnd::Cancelled),
         }
     }
 
     /// Lets the run come to its end without a reader.
     async fn run_on(mut self) {
         // What is not at its end by then is dropped, and its guard reports it as stopped.
-        let Ok(outcome) = tokio::time::timeout(LONGEST_BACKGROUND_RUN, self.wait()).await else {
+        let Ok(outcome) = tokio::time::timeout(MAX_BACKGROUND_RUN, self.wait()).await else {
             return;
         };
         match self.judge(outcome) {
-            Awaited::Answer(body) => body.read_to_end().await,
-            Awaited::Ended(mut task, end) => task.guard.end(end),
+            HeadOutcome::Answer(body) => body.read_to_end().await,
+            HeadOutcome::Ended(mut task, end) => task.guard.end(end),
         }
     }
 }
 
 /// Waits for the head of an answer on behalf of an edge.
-pub struct AwaitedHead(Option<Sending>);
+pub struct HeadWait(Option<Sending>);
 
-impl AwaitedHead {
+impl HeadWait {
     /// Waits for `request`, a request with `method` that `task` dispatched.
     pub fn new(task: AttemptTask, method: Method, request: BoxFuture<'static, BackendOutcome>) -> Self {
-        AwaitedHead(Some(Sending { task, method, request }))
+        HeadWait(Some(Sending { task, method, request }))
     }
 
     /// Waits; if the returned future is dropped, the decision code says whether the run goes on.
-    pub async fn wait(mut self) -> Awaited {
+    pub async fn wait(mut self) -> HeadOutcome {
         let outcome = match &mut self.0 {
             Some(sending) => sending.wait().await,
             None => None,
@@ -77,12 +77,12 @@
     }
 }
 
-impl Drop for AwaitedHead {
+impl Drop for HeadWait {
     fn drop(&mut self) {
         let Some(mut sending) = self.0.take() else {
             return;
         };
-        if sending.task.guard.goes_on_without_edge() {
+        if sending.task.guard.continues_without_edge() {
             let background = Arc::clone(&sending.task.gate.background);
             background.spawn(sending.run_on());
         }
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -1,13 +1,13 @@
 //! The peers' listener: checks and runs attempts of calls, and takes control frames.
 //!
 //! An attempt's header is opened, the decision code decides when it is dispatched ([`attempt`]), the request goes to the
-//! back end ([`backend`]), its head is awaited ([`awaited_head`]), and the answer streams back with the gate's feedback
+//! back end ([`backend`]), its head is awaited ([`head_wait`]), and the answer streams back with the gate's feedback
 //! ([`relay`]). A run that goes on after its edge has gone does so in the [`background`].
 
 pub mod attempt;
-pub mod awaited_head;
 pub mod backend;
 pub mod background;
+pub mod head_wait;
 pub mod relay;
 
 use std::net::SocketAddr;
--- a/crates/quillhatch/src/gate/relay.rs
+++ b/crates/quillhatch/src/gate/relay.rs
@@ -10,9 +10,9 @@
 use quillhatch_types::{HeaderField, RecordedAnswer};
 
 use super::attempt::{write_feedback, AttemptTask};
-use super::background::LONGEST_BACKGROUND_RUN;
-use crate::http::body::{streamed, BodyBroken, ByteStream};
-use crate::http::headers::{expected_length, recordable, remove_hop_by_hop, remove_internal, OUTCOME};
+use super::background::MAX_BACKGROUND_RUN;
+use crate::http::body::{streamed, BodyError, ByteStream};
+use crate::http::headers::{expected_length, recordable_fields, remove_hop_by_hop, remove_internal, OUTCOME};
 use crate::http::Answer;
 
 /// The head of the answer for the edge, with a body that streams the rest.
@@ -84,9 +84,9 @@
         // Only nodes say what became of a call: a back end may have copied these from an answer to a call of its own.
         remove_internal(&mut headers);
         headers.remove(OUTCOME);
-        let record = Record::new(&task, method, recordable(&headers));
+        let record = Record::new(&task, method, recordable_fields(&headers));
         let length = expected_length(method, status, &headers);
-        let source = response.bytes_stream().map_err(|_| BodyBroken::Upstream).boxed();
+        let source = response.bytes_stream().map_err(|_| BodyError::Upstream).boxed();
         let mut body = BackendBody { task, source, status, headers, bytes: 0, length, record };
         body.end_if_whole();
         body
@@ -95,7 +95,7 @@
     /// Reads the rest for nobody but the record, for a bounded time.
     pub async fn read_to_end(mut self) {
         // What is not at its end by then is dropped, and its guard reports it as stopped.
-        let _ = tokio::time::timeout(LONGEST_BACKGROUND_RUN, async { while self.next().await.is_some() {} }).await;
+        let _ = tokio::time::timeout(MAX_BACKGROUND_RUN, async { while self.next().await.is_some() {} }).await;
     }
 
     /// Reports the end with the last byte: the server does not ask for more than the length announced.
@@ -111,7 +111,7 @@
         self.task.guard.end(AnswerEnd::Whole { status, bytes: self.bytes, record });
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, BodyBroken>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         let chunk = tokio::select! {
             chunk = self.source.next() => chunk,
             _ = self.task.guard.command() => return Some(Err(self.stopped())),
@@ -138,10 +138,10 @@
     }
 
     /// The only command after the dispatch is to stop.
-    fn stopped(&mut self) -> BodyBroken {
+    fn stopped(&mut self) -> BodyError {
         self.source = stream::empty().boxed();
         self.task.guard.end(AnswerEnd::Cancelled);
-        BodyBroken::Upstream
+        BodyError::Upstream
     }
 }
 
@@ -153,7 +153,7 @@
         let Some(mut body) = self.0.take() else {
             return;
         };
-        if body.task.guard.goes_on_without_edge() {
+        if body.task.guard.continues_without_edge() {
             let background = Arc::clone(&body.task.gate.background);
             background.spawn(body.read_to_end());
         }
--- a/crates/quillhatch/src/http/body.rs
+++ b/crates/quillhatch/src/http/body.rs
@@ -15,7 +15,7 @@
 
 /// Why a body ended before it was whole.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum BodyBroken {
+pub enum BodyError {
     /// The source of the body broke off.
     #[display("the source of the body broke off")]
     Upstream,
@@ -25,10 +25,10 @@
 }
 
 /// The body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyBroken>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
 /// The bytes of a body as they arrive.
-pub type ByteStream = BoxStream<'static, Result<Bytes, BodyBroken>>;
+pub type ByteStream = BoxStream<'static, Result<Bytes, BodyError>>;
 
 /// A body held in memory.
 pub fn full(bytes: impl Into<Bytes>) -> AnswerBody {
@@ -46,7 +46,7 @@
         .filter_map(|frame| async move {
             match frame {
                 Ok(frame) => frame.into_data().ok().map(Ok),
-                Err(_) => Some(Err(BodyBroken::Upstream)),
+                Err(_) => Some(Err(BodyError::Upstream)),
             }
         })
         .boxed()
@@ -54,9 +54,9 @@
 
 /// Tells whether a body was cut because it was larger than allowed.
 #[derive(Clone, Debug, Default)]
-pub struct SizeVerdict(Arc<AtomicBool>);
+pub struct OversizeFlag(Arc<AtomicBool>);
 
-impl SizeVerdict {
+impl OversizeFlag {
     /// Whether the body was cut.
     pub fn exceeded(&self) -> bool {
         self.0.load(Ordering::Acquire)
@@ -68,7 +68,7 @@
 }
 
 /// The same bytes, cut with an error after `limit` bytes.
-pub fn limited(body: ByteStream, limit: Option<u64>, verdict: SizeVerdict) -> ByteStream {
+pub fn limited(body: ByteStream, limit: Option<u64>, verdict: OversizeFlag) -> ByteStream {
     let Some(limit) = limit else {
         return body;
     };
@@ -78,7 +78,7 @@
         let size = chunk.len() as u64;
         if size > left {
             verdict.exceed();
-            return Err(BodyBroken::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         left -= size;
         Ok(chunk)
@@ -87,11 +87,11 @@
 }
 
 /// What reading the beginning of a body gave.
-pub enum Beginning {
+pub enum BufferedBody {
     /// The whole body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// More than fits; all of it, from the first byte on, is in the stream.
-    Partial(ByteStream),
+    OverLimit(ByteStream),
 }
 
 /// Reads up to `limit` bytes of `body` into memory.
@@ -99,7 +99,7 @@
 /// # Errors
 ///
 /// Returns an error if the body broke off.
-pub async fn read_beginning(mut body: ByteStream, limit: u64) -> Result<Beginning, BodyBroken> {
+pub async fn buffer_body(mut body: ByteStream, limit: u64) -> Result<BufferedBody, BodyError> {
     let mut held: Vec<Bytes> = Vec::new();
     let mut size = 0;
     while let Some(chunk) = body.next().await {
@@ -108,8 +108,8 @@
         held.push(chunk);
         if size > limit {
             let held = stream::iter(held.into_iter().map(Ok));
-            return Ok(Beginning::Partial(held.chain(body).boxed()));
+            return Ok(BufferedBody::OverLimit(held.chain(body).boxed()));
         }
     }
-    Ok(Beginning::Whole(held.concat().into()))
+    Ok(BufferedBody::Complete(held.concat().into()))
 }
--- a/crates/quillhatch/src/http/headers.rs
+++ b/crates/quillhatch/src/http/headers.rs
@@ -98,7 +98,7 @@
 }
 
 /// The fields of an answer that are worth repeating with it, as text.
-pub fn recordable(headers: &HeaderMap) -> Vec<HeaderField> {
+pub fn recordable_fields(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
         .filter(|(name, _)| *name != CONTENT_LENGTH)
@@ -110,7 +110,7 @@
 }
 
 /// Appends recorded fields; those that are no valid fields any more are left out.
-pub fn append_recorded(headers: &mut HeaderMap, fields: &[HeaderField]) {
+pub fn append_recorded_fields(headers: &mut HeaderMap, fields: &[HeaderField]) {
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
         let value = HeaderValue::from_str(&field.value);
--- a/crates/quillhatch/src/http/mod.rs
+++ b/crates/quillhatch/src/http/mod.rs
@@ -5,7 +5,7 @@
 pub mod problem;
 pub mod server;
 
-pub use body::{AnswerBody, BodyBroken};
+pub use body::{AnswerBody, BodyError};
 
 /// The answer of a listener.
 pub type Answer = hyper::Response<AnswerBody>;
--- a/crates/quillhatch/src/metrics.rs
+++ b/crates/quillhatch/src/metrics.rs
@@ -79,7 +79,7 @@
 
 impl Counters {
     /// Counts an answer in the place of a back end.
-    pub fn refused_at_edge(&self, refusal: &Refusal) {
+    pub fn count_refusal(&self, refusal: &Refusal) {
         let labels = RefusalLabels { outcome: refusal.outcome.to_string(), reason: refusal.reason.to_string() };
         self.refusals.get_or_create(&labels).inc();
     }
--- a/crates/quillhatch/src/operators/routes.rs
+++ b/crates/quillhatch/src/operators/routes.rs
@@ -75,7 +75,7 @@
         Ok(request) => request.into_inner(),
         Err(error) => return (Status::BadRequest, Json(malformed(&error))),
     };
-    let reply = guarded.driver.operator(request);
+    let reply = guarded.driver.operator_request(request);
     match tokio::time::timeout(REPLY_TIMEOUT, reply).await {
         Ok(Ok(reply)) => (Status::Ok, Json(reply)),
         Ok(Err(_)) | Err(_) => (Status::GatewayTimeout, Json(unanswered())),
--- a/crates/quillhatch/src/peers/receiver.rs
+++ b/crates/quillhatch/src/peers/receiver.rs
@@ -11,7 +11,7 @@
 use super::{split, MAXIMUM_BATCH_BYTES};
 use crate::decisions::NodeInput;
 use crate::driver::Driver;
-use crate::http::body::{incoming, read_beginning, Beginning};
+use crate::http::body::{buffer_body, incoming, BufferedBody};
 use crate::http::{body, Answer};
 use crate::metrics::Counters;
 
@@ -35,9 +35,9 @@
 
     /// Takes the body of a request: 204 if it could be read, whatever became of each frame.
     pub async fn receive(&self, request: Incoming) -> Answer {
-        let status = match read_beginning(incoming(request), MAXIMUM_BATCH_BYTES as u64).await {
-            Ok(Beginning::Whole(batch)) => self.take(&batch),
-            Ok(Beginning::Partial(_)) => StatusCode::PAYLOAD_TOO_LARGE,
+        let status = match buffer_body(incoming(request), MAXIMUM_BATCH_BYTES as u64).await {
+            Ok(BufferedBody::Complete(batch)) => self.take(&batch),
+            Ok(BufferedBody::OverLimit(_)) => StatusCode::PAYLOAD_TOO_LARGE,
             Err(_) => StatusCode::BAD_REQUEST,
         };
         let mut answer = Response::new(body::full(Vec::new()));
--- a/crates/quillhatch/src/running/stop.rs
+++ b/crates/quillhatch/src/running/stop.rs
@@ -6,7 +6,7 @@
 
 use super::RunningNode;
 use crate::decisions::NodeInput;
-use crate::driver::Running;
+use crate::driver::ActiveRequest;
 
 /// The time that the last bytes and messages get after the node is done, or after its grace has passed.
 const LAST_BYTES: Duration = Duration::from_secs(1);
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StopReport {
     /// What was still running when the grace had passed, and was cut.
-    pub cut: Vec<Running>,
+    pub cut: Vec<ActiveRequest>,
 }
 
 impl RunningNode {
@@ -41,7 +41,7 @@
         let closing = async { while self.servers.join_next().await.is_some() {} };
         let _ = tokio::time::timeout_at(last, closing).await;
         // Also with every connection closed, a run without a reader may be left.
-        let cut = self.driver.running();
+        let cut = self.driver.active_requests();
         self.background_runs.shutdown().await;
         self.servers.shutdown().await;
         let _ = tokio::time::timeout(LAST_BYTES, self.sender.flush()).await;
@@ -57,7 +57,7 @@
         let mut ready = self.driver.ready_to_exit();
         // The sender lives as long as the driver.
         let _ = ready.wait_for(|ready| *ready).await;
-        while !self.driver.running().is_empty() {
+        while !self.driver.active_requests().is_empty() {
             tokio::time::sleep(PAUSE).await;
         }
     }
--- a/crates/quillhatch/tests/calls.rs
+++ b/crates/quillhatch/tests/calls.rs
@@ -77,8 +77,11 @@
     gate.set_delay(LONG_RUN_MILLISECONDS);
     let caller = start_first(&fleet).await;
     caller.abort();
-    eventually("the edge has forgotten it", || async { fleet.edge.driver().running().is_empty().then_some(()) }).await;
-    eventually("the run ends", || async { gate.node.driver().running().is_empty().then_some(()) }).await;
+    eventually("the edge has forgotten it", || async {
+        fleet.edge.driver().active_requests().is_empty().then_some(())
+    })
+    .await;
+    eventually("the run ends", || async { gate.node.driver().active_requests().is_empty().then_some(()) }).await;
     assert_eq!(gate.runs("first"), (1, 1));
     let repeat = run_answer(fleet.post("a-key", "repeat", "one pledge").send().await.expect("answer")).await;
     assert_eq!((repeat.identity.as_str(), gate.runs("repeat")), ("first", (0, 0)));
--- a/crates/quillhatch/tests/support/fleet.rs
+++ b/crates/quillhatch/tests/support/fleet.rs
@@ -100,7 +100,7 @@
     }
 
     async fn group_is_formed(&self) -> bool {
-        let asked = self.gates[0].node.driver().operator(OperatorRequest::Status { export: false });
+        let asked = self.gates[0].node.driver().operator_request(OperatorRequest::Status { export: false });
         let Ok(OperatorReply::Status { report }) = asked.await else {
             return false;
         };
--- a/crates/quillhatch/tests/support/mod.rs
+++ b/crates/quillhatch/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use quillhatch::driver::{Driver, NoMessages};
+use quillhatch::driver::{Driver, NullMessageSink};
 use quillhatch::edge::{Edge, RequestLimits};
 use quillhatch::gate::backend::Backend;
 use quillhatch::gate::Gate;
@@ -97,7 +97,7 @@
     let (listener, address) = listen().await;
     let node = NodeId { address: NodeAddress(address), incarnation: Incarnation(7) };
     let (double, log) = Double::new(Vec::new());
-    let driver = Driver::new(Box::new(double), Box::new(NoMessages));
+    let driver = Driver::new(Box::new(double), Box::new(NullMessageSink));
     let counters = Arc::new(Counters::default());
     let opener = FrameOpener::new(node, DeploymentName::new("test").expect("name"), (*keys(1)).clone());
     let backend = Backend {
@@ -141,7 +141,7 @@
 pub async fn start_edge_with(targets: Vec<NodeId>, keys: Arc<FleetKeys>, body_bytes: Option<u64>) -> EdgeNode {
     let (listener, address) = listen().await;
     let (double, log) = Double::new(targets);
-    let driver = Driver::new(Box::new(double), Box::new(NoMessages));
+    let driver = Driver::new(Box::new(double), Box::new(NullMessageSink));
     let counters = Arc::new(Counters::default());
     let edge = Edge {
         driver: Arc::clone(&driver),
