--- a/crates/quillhatch/src/edge/attempt.rs
+++ b/crates/quillhatch/src/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends one attempt of a call to a gate and reads the head of the answer.
+//! Sends one attempt of a call to a gate and reads the head of the response.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::http::headers::{self, remove_hop_by_hop, remove_internal};
 use crate::http::problem::read_refusal;
 
-/// Everything that all attempts of one call send alike.
+/// The request that all attempts of one call share.
 pub struct OutgoingRequest {
     edge: Arc<Edge>,
     head: Parts,
@@ -25,35 +25,35 @@
     pub body: RequestBody,
 }
 
-/// How an attempt came out.
+/// The outcome of an attempt.
 pub enum AttemptOutcome {
     /// The head of the back end's answer arrived.
     Answered {
-        /// The answer.
+        /// The back end's response.
         response: reqwest::Response,
-        /// What the gate said with it.
+        /// The gate's feedback header, if present and valid.
         feedback: Option<Feedback>,
     },
-    /// The gate refused or replied in the place of the back end.
+    /// The gate refused the attempt or reports that it failed; the response is not the back end's.
     Refused {
         /// The refusal.
         refusal: Refusal,
-        /// What the gate said with it.
+        /// The gate's feedback header, if present and valid.
         feedback: Option<Feedback>,
     },
-    /// No byte left the edge.
+    /// No connection to the gate could be opened, so nothing was sent.
     ConnectFailed,
-    /// The connection was lost before an answer.
+    /// The connection was lost before a valid response arrived.
     Lost,
-    /// The answer does not continue the broken one.
+    /// The response does not continue the interrupted answer.
     ResumeRefused {
-        /// What the gate said with it.
+        /// The gate's feedback header, if present and valid.
         feedback: Option<Feedback>,
     },
 }
 
 impl AttemptOutcome {
-    /// The outcome as the decision code takes it.
+    /// Converts the outcome to the input of the decision code.
     pub fn result(&self) -> (AttemptResult, Option<Feedback>) {
         match self {
             AttemptOutcome::Answered { response, feedback } => {
@@ -68,7 +68,7 @@
 }
 
 impl OutgoingRequest {
-    /// Prepares the attempts of a call with the given head; only what callers may set is sent on.
+    /// Creates the request from the caller's head; hop-by-hop and internal header fields are removed.
     pub fn new(edge: Arc<Edge>, mut head: Parts, path: PathAndQuery, body: RequestBody) -> Self {
         remove_hop_by_hop(&mut head.headers);
         remove_internal(&mut head.headers);
@@ -85,15 +85,15 @@
         &self.edge
     }
 
-    /// Sends an attempt to `target` and waits for the head of its answer.
+    /// Sends an attempt to `target` and waits for the head of the response.
     pub async fn send(&self, target: NodeId, context: &CallContext, range: Option<&RangeRequest>) -> AttemptOutcome {
         let Some(request) = self.request(target, context, range) else {
             return AttemptOutcome::ConnectFailed;
         };
         match request.send().await {
             Ok(response) => {
-                self.edge.unaccepted.note(target.address, response.headers(), &self.edge.counters);
-                judge(response, range)
+                self.edge.unaccepted.record(target.address, response.headers(), &self.edge.counters);
+                classify_response(response, range)
             }
             Err(error) if error.is_connect() || error.is_builder() => AttemptOutcome::ConnectFailed,
             Err(_) => AttemptOutcome::Lost,
@@ -124,37 +124,37 @@
     }
 }
 
-fn judge(response: reqwest::Response, range: Option<&RangeRequest>) -> AttemptOutcome {
+fn classify_response(response: reqwest::Response, range: Option<&RangeRequest>) -> AttemptOutcome {
     let feedback = response.headers().get(headers::FEEDBACK).and_then(call_header::open_feedback);
     if let Some(refusal) = read_refusal(response.headers()) {
         return AttemptOutcome::Refused { refusal, feedback };
     }
     if feedback.is_none() {
-        // Whatever listens there is no gate, and nobody can tell what it did with the request.
+        // Every gate sends feedback, so the peer is not a gate. It is unknown whether it ran the request.
         return AttemptOutcome::Lost;
     }
     match range {
-        Some(range) if !continues(&response, range) => AttemptOutcome::ResumeRefused { feedback },
+        Some(range) if !is_continuation(&response, range) => AttemptOutcome::ResumeRefused { feedback },
         _ => AttemptOutcome::Answered { response, feedback },
     }
 }
 
-/// Whether the answer is the rest of the broken one, from the wanted byte to its end, under the same validator.
-fn continues(response: &reqwest::Response, range: &RangeRequest) -> bool {
-    let same_validator = text(response.headers(), &ETAG) == Some(range.validator.0.as_str());
-    let content_range = text(response.headers(), &CONTENT_RANGE).and_then(parse_content_range);
+/// Whether the response contains the interrupted answer from the requested offset to its end, under the same validator.
+fn is_continuation(response: &reqwest::Response, range: &RangeRequest) -> bool {
+    let same_validator = header_text(response.headers(), &ETAG) == Some(range.validator.0.as_str());
+    let content_range = header_text(response.headers(), &CONTENT_RANGE).and_then(parse_content_range);
     let from_offset_to_end =
         content_range.is_some_and(|(first, last, total)| first == range.offset && last.checked_add(1) == Some(total));
     response.status() == StatusCode::PARTIAL_CONTENT && same_validator && from_offset_to_end
 }
 
-/// Reads `bytes first-last/total` (RFC 9110, section 14.4).
+/// Parses `bytes first-last/total` (RFC 9110, section 14.4) into `(first, last, total)`.
 pub fn parse_content_range(text: &str) -> Option<(u64, u64, u64)> {
     let (range, total) = text.strip_prefix("bytes ")?.split_once('/')?;
     let (first, last) = range.split_once('-')?;
     Some((first.parse().ok()?, last.parse().ok()?, total.parse().ok()?))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &hyper::header::HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &hyper::header::HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -1,4 +1,4 @@
-//! Runs one call: hands it to the decision code, sends its attempts and gives the caller the answer that was decided.
+//! Runs one call: passes it to the decision code, sends its attempts and returns the selected answer to the caller.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::http::problem::Rejection;
 use crate::http::Answer;
 
-/// Tells the decision code that the caller has gone, unless the call ended before.
+/// Reports to the decision code that the caller disconnected if it is dropped before the call has ended.
 pub struct CallGuard {
     driver: Arc<Driver>,
     call: CallId,
@@ -27,12 +27,13 @@
 }
 
 impl CallGuard {
-    /// The call.
+    /// The identifier of the call.
     pub fn call(&self) -> CallId {
         self.call
     }
 
-    /// The call has ended: its answer was given whole, refused, or broken off. Returns whether that is news.
+    /// Marks the call as ended: its answer was delivered completely, refused or aborted. Returns false if it had already
+    /// ended.
     pub fn end(&mut self) -> bool {
         !std::mem::replace(&mut self.ended, true)
     }
@@ -47,11 +48,11 @@
     }
 }
 
-/// Runs the call and returns the head of its answer, with a body that streams the rest.
+/// Runs the call and returns its answer, with a streaming body.
 ///
 /// # Errors
 ///
-/// Returns the refusal that the caller gets.
+/// Returns the refusal to send to the caller.
 pub async fn run(
     edge: Arc<Edge>,
     request: RequestDescription,
@@ -65,7 +66,14 @@
     let guard = CallGuard { driver: Arc::clone(&driver), call, ended: false };
     let outgoing = Arc::new(OutgoingRequest::new(edge, head, request.path, body));
     driver.edge_input(EdgeInput::Arrived(arrival));
-    let task = CallTask { driver, outgoing, commands, guard, in_flight: InFlight::default(), held: BTreeMap::new() };
+    let task = CallTask {
+        driver,
+        outgoing,
+        commands,
+        guard,
+        in_flight: InFlightAttempts::default(),
+        undecided_responses: BTreeMap::new(),
+    };
     task.run().await
 }
 
@@ -80,7 +88,7 @@
         service: request.service.clone(),
         class: request.class.clone(),
         key: request.key.clone(),
-        drawn_key: drawn_key(),
+        drawn_key: random_key(),
         digest,
         remaining: request.remaining,
         outgoing: edge.outgoing_only || request.context != ContextHeader::Absent,
@@ -89,7 +97,8 @@
     }
 }
 
-/// What the call inherits. A context that is unknown or malformed is no error; the call just gets no retry budget.
+/// The context that the call inherits from its parent call. An unknown or malformed context is not an error: the call
+/// inherits nothing and gets no retry budget.
 fn parent(edge: &Edge, request: &RequestDescription) -> Option<ParentContext> {
     let lent = match request.context {
         ContextHeader::Absent => return None,
@@ -102,7 +111,7 @@
     lent
 }
 
-fn drawn_key() -> RequestKey {
+fn random_key() -> RequestKey {
     let text = format!("{:032x}", rand::random::<u128>());
     // Hexadecimal digits are always a valid key.
     RequestKey::new(&text).unwrap_or_else(|_| unreachable!("{text} is a valid key"))
@@ -111,12 +120,12 @@
 type FinishedAttempt = (AttemptId, Option<AttemptOutcome>);
 
 #[derive(Default)]
-struct InFlight {
+struct InFlightAttempts {
     attempts: FuturesUnordered<futures::future::BoxFuture<'static, FinishedAttempt>>,
     handles: BTreeMap<AttemptId, AbortHandle>,
 }
 
-impl InFlight {
+impl InFlightAttempts {
     fn launch(
         &mut self,
         outgoing: Arc<OutgoingRequest>,
@@ -138,7 +147,7 @@
         }
     }
 
-    /// The next attempt that came out; waits for ever if there is none.
+    /// Waits for the next attempt to complete; never returns if none is in flight.
     async fn next(&mut self) -> FinishedAttempt {
         match self.attempts.next().await {
             Some(finished) => finished,
@@ -152,9 +161,9 @@
     outgoing: Arc<OutgoingRequest>,
     commands: mpsc::UnboundedReceiver<CallCommand>,
     guard: CallGuard,
-    in_flight: InFlight,
-    /// Answers whose relay is not decided yet.
-    held: BTreeMap<AttemptId, reqwest::Response>,
+    in_flight: InFlightAttempts,
+    /// Responses for which the decision code has not yet chosen whether to relay them.
+    undecided_responses: BTreeMap<AttemptId, reqwest::Response>,
 }
 
 impl CallTask {
@@ -167,24 +176,24 @@
                     }
                     Some(CallCommand::Cancel(attempt)) => {
                         self.in_flight.cancel(attempt);
-                        self.held.remove(&attempt);
+                        self.undecided_responses.remove(&attempt);
                     }
                     Some(CallCommand::Finish(decision)) => return self.finish(decision),
-                    Some(CallCommand::BreakOff) | None => return Err(self.refuse(lost())),
+                    Some(CallCommand::BreakOff) | None => return Err(self.refuse(outcome_unknown())),
                 },
-                (attempt, outcome) = self.in_flight.next() => self.attempt_ended(attempt, outcome),
+                (attempt, outcome) = self.in_flight.next() => self.handle_outcome(attempt, outcome),
             }
         }
     }
 
-    fn attempt_ended(&mut self, attempt: AttemptId, outcome: Option<AttemptOutcome>) {
+    fn handle_outcome(&mut self, attempt: AttemptId, outcome: Option<AttemptOutcome>) {
         self.in_flight.handles.remove(&attempt);
         let Some(outcome) = outcome else {
             return;
         };
         let (result, feedback) = outcome.result();
         if let AttemptOutcome::Answered { response, .. } = outcome {
-            self.held.insert(attempt, response);
+            self.undecided_responses.insert(attempt, response);
         }
         self.driver.edge_input(EdgeInput::AttemptAnswered { attempt, result, feedback });
     }
@@ -192,12 +201,12 @@
     fn finish(mut self, decision: Decision) -> Result<Answer, Rejection> {
         match decision {
             Decision::Refuse(refusal) => Err(self.refuse(refusal)),
-            Decision::Relay(attempt) => match self.held.remove(&attempt) {
+            Decision::Relay(attempt) => match self.undecided_responses.remove(&attempt) {
                 Some(response) => {
                     let CallTask { driver, outgoing, commands, guard, .. } = self;
                     Ok(relay::answer(relay::RelayContext { driver, outgoing, commands, guard, attempt, response }))
                 }
-                None => Err(self.refuse(lost())),
+                None => Err(self.refuse(outcome_unknown())),
             },
         }
     }
@@ -205,7 +214,7 @@
     fn refuse(&mut self, refusal: Refusal) -> Rejection {
         self.guard.end();
         let call = Some(self.guard.call());
-        if self.outgoing.body.size.exceeded() {
+        if self.outgoing.body.oversize.is_set() {
             let limit = self.outgoing.edge().limits.body_bytes.unwrap_or_default();
             return Rejection { refusal, call, ..body_too_large(limit) };
         }
@@ -213,7 +222,8 @@
     }
 }
 
-/// For decisions that contradict themselves: whether the call ran is not known then.
-fn lost() -> Refusal {
+/// The refusal for inconsistent outputs of the decision code, such as relaying an attempt without a response. It is unknown
+/// whether the call ran.
+fn outcome_unknown() -> Refusal {
     Refusal::unknown(quillhatch_types::RefusalReason::ConnectionLost)
 }
--- a/crates/quillhatch/src/edge/mod.rs
+++ b/crates/quillhatch/src/edge/mod.rs
@@ -1,7 +1,9 @@
-//! The listeners of callers and of the back end's own calls: takes calls, sends attempts to gates and streams answers back.
+//! Handles the listeners for callers and for the calls that the node's own back end makes: accepts calls, sends attempts to
+//! gates and streams answers back.
 //!
-//! A call passes through these phases: its head is read ([`request`]), its body is held or streamed ([`request_body`]),
-//! attempts are sent as the decision code says ([`call`], [`attempt`]), and the answer is relayed ([`relay`]).
+//! A call passes through these phases: its head is read ([`request`]), its body is buffered or streamed
+//! ([`request_body`]), attempts are sent as the decision code requests ([`call`], [`attempt`]), and the answer is relayed
+//! ([`relay`]).
 
 pub mod attempt;
 pub mod call;
@@ -23,32 +25,32 @@
 use crate::http::Answer;
 use crate::metrics::Counters;
 
-/// What a caller's request may use up.
+/// Size limits of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// The largest header, in bytes; a larger one is answered with 431.
+    /// The maximum header size in bytes; a larger header is answered with 431.
     pub header_bytes: u64,
-    /// The largest body, in bytes, if there is a limit; a larger one is answered with 413.
+    /// The maximum body size in bytes, if limited; a larger body is answered with 413.
     pub body_bytes: Option<u64>,
-    /// The largest body that is held so that it can be sent again, in bytes.
+    /// The maximum size in bytes of a body that is buffered so that a retry can send it again.
     pub retry_buffer_bytes: u64,
 }
 
-/// The edge of a node, as its listener sees it.
+/// The request handler of one edge listener.
 #[derive(Clone, Debug)]
 pub struct Edge {
     /// The driver of the decision code.
     pub driver: Arc<Driver>,
-    /// Whether every call here is one that the node's own back end makes. At the other listener only a call with a context
-    /// shows that it is one: on one machine, addresses tell nothing.
+    /// Whether only the node's own back end sends calls to this listener. At the callers' listener, the context header
+    /// identifies such calls: client addresses can't, since caller and back end may run on the same machine.
     pub outgoing_only: bool,
-    /// Connections to gates.
+    /// The HTTP client for requests to gates.
     pub client: reqwest::Client,
     /// The keys that authenticate attempts.
     pub keys: Arc<FleetKeys>,
-    /// What callers may use up.
+    /// Size limits of requests.
     pub limits: RequestLimits,
-    /// Gates that do not accept this node's attempts.
+    /// The gates that currently reject this node's attempts.
     pub unaccepted: Arc<unaccepted::UnacceptedAttempts>,
     /// The program's counters.
     pub counters: Arc<Counters>,
@@ -71,8 +73,8 @@
         let (head, body) = request.into_parts();
         request::check_sizes(&head, &self.limits)?;
         let configuration = self.driver.configuration();
-        let described = request::describe(&head, remote, configuration.as_deref())?;
-        let body = request_body::receive(&described, body, &head.headers, &self.limits).await?;
-        call::run(self, described, head, body).await
+        let description = request::describe(&head, remote, configuration.as_deref())?;
+        let body = request_body::receive(&description, body, &head.headers, &self.limits).await?;
+        call::run(self, description, head, body).await
     }
 }
--- a/crates/quillhatch/src/edge/relay.rs
+++ b/crates/quillhatch/src/edge/relay.rs
@@ -1,6 +1,6 @@
-//! Streams an answer to the caller, and continues it from another target when the source breaks off.
+//! Streams an answer to the caller, and resumes it from another target if the response from the gate is interrupted.
 //!
-//! Nothing is held: a chunk is read from the gate when the caller's connection takes the next one.
+//! Nothing is buffered here: a chunk is read from the gate only when the caller's connection requests the next one.
 
 use std::sync::Arc;
 
@@ -19,36 +19,36 @@
 use crate::http::headers::{expected_length, remove_hop_by_hop, remove_internal, OUTCOME};
 use crate::http::Answer;
 
-/// An answer whose relay was decided.
+/// The state needed to relay the answer that the decision code selected.
 pub struct RelayContext {
     /// The driver of the decision code.
     pub driver: Arc<Driver>,
-    /// What attempts of the call send.
+    /// The request that attempts of the call send.
     pub outgoing: Arc<OutgoingRequest>,
-    /// The commands about the call.
+    /// The commands for the call from the decision code.
     pub commands: mpsc::UnboundedReceiver<CallCommand>,
-    /// Tells when the caller leaves.
+    /// Reports when the caller disconnects.
     pub guard: CallGuard,
     /// The attempt whose answer is relayed.
     pub attempt: AttemptId,
-    /// The answer.
+    /// The response of the attempt.
     pub response: reqwest::Response,
 }
 
-/// The head of the caller's answer, with a body that streams the rest.
+/// Creates the caller's answer, with a streaming body.
 pub fn answer(relayed: RelayContext) -> Answer {
     let RelayContext { driver, outgoing, commands, guard, attempt, response } = relayed;
     let status = response.status();
     let mut headers = response.headers().clone();
     remove_hop_by_hop(&mut headers);
     remove_internal(&mut headers);
-    // What is known of a call is for nodes to say.
+    // Only nodes may set `Outcome`; a value that the back end sets is removed.
     headers.remove(OUTCOME);
     let validator = strong_validator(outgoing.method(), status, &headers);
     let length = expected_length(outgoing.method(), status, &headers);
-    let source = Some(source(response));
+    let source = Some(body_stream(response));
     let mut body = BodyRelay { driver, outgoing, commands, guard, attempt, source, received: 0, length, validator };
-    body.end_if_whole();
+    body.end_if_complete();
     let body = stream::unfold(body, |mut body| async move { body.next().await.map(|chunk| (chunk, body)) });
     let mut answer = Response::new(streamed(body.boxed()));
     *answer.status_mut() = status;
@@ -56,11 +56,11 @@
     answer
 }
 
-fn source(response: reqwest::Response) -> ByteStream {
+fn body_stream(response: reqwest::Response) -> ByteStream {
     response.bytes_stream().map_err(|_| BodyError::Upstream).boxed()
 }
 
-/// The validator under which the rest of the answer may come from another target.
+/// The strong validator that allows another target to send the rest of the answer; `None` if the answer can't be resumed.
 fn strong_validator(method: &Method, status: StatusCode, headers: &HeaderMap) -> Option<StrongValidator> {
     let whole = method == Method::GET && status == StatusCode::OK;
     let ranges = headers.get(ACCEPT_RANGES).is_some_and(|unit| unit == "bytes");
@@ -74,7 +74,7 @@
     commands: mpsc::UnboundedReceiver<CallCommand>,
     guard: CallGuard,
     attempt: AttemptId,
-    /// Absent after it broke off, until another takes its place.
+    /// `None` after the response was interrupted, until another target resumes it.
     source: Option<ByteStream>,
     received: u64,
     length: Option<u64>,
@@ -92,19 +92,19 @@
             match self.event().await {
                 Event::Chunk(Some(Ok(chunk))) if self.fits(&chunk) => {
                     self.received += chunk.len() as u64;
-                    self.end_if_whole();
+                    self.end_if_complete();
                     return Some(Ok(chunk));
                 }
-                Event::Chunk(None) if self.is_whole() => {
+                Event::Chunk(None) if self.is_complete() => {
                     self.end();
                     return None;
                 }
-                Event::Chunk(_) => self.source_broke(),
+                Event::Chunk(_) => self.handle_interruption(),
                 Event::Command(Some(CallCommand::Send { target, context, range })) => {
                     self.resume(target, &context, range.as_ref()).await;
                 }
                 Event::Command(Some(CallCommand::Cancel(attempt))) if attempt != self.attempt => {}
-                Event::Command(_) => return self.break_off(),
+                Event::Command(_) => return self.abort(),
             }
         }
     }
@@ -119,17 +119,18 @@
         }
     }
 
-    /// A source that gives more than it announced is as broken as one that gives less.
+    /// Whether the chunk fits the announced length. A source that sends more than announced counts as broken, like one that
+    /// sends less.
     fn fits(&self, chunk: &Bytes) -> bool {
         self.length.is_none_or(|length| self.received + chunk.len() as u64 <= length)
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.length.is_none_or(|length| self.received == length)
     }
 
-    /// Reports the end with the last byte: the server does not ask for more than the length announced.
-    fn end_if_whole(&mut self) {
+    /// Reports the end together with the last byte, since the server does not poll the body beyond the announced length.
+    fn end_if_complete(&mut self) {
         if self.length == Some(self.received) {
             self.end();
         }
@@ -141,7 +142,7 @@
         }
     }
 
-    fn source_broke(&mut self) {
+    fn handle_interruption(&mut self) {
         self.source = None;
         self.outgoing.edge().counters.broken_sources.inc();
         let broken = BodyState { received: self.received, length: self.length, validator: self.validator.clone() };
@@ -153,27 +154,27 @@
         let sending = self.outgoing.send(target, context, range);
         let outcome = tokio::select! {
             outcome = sending => outcome,
-            // Any command about a call that waits for its rest means that the rest is not wanted.
-            command = self.commands.recv() => return self.stop_waiting(command),
+            // Any command that arrives while the call waits to be resumed means that it must not be resumed.
+            command = self.commands.recv() => return self.abandon_resume(command),
         };
         let (result, feedback) = outcome.result();
         if let AttemptOutcome::Answered { response, .. } = outcome {
             self.attempt = attempt;
-            self.source = Some(source(response));
+            self.source = Some(body_stream(response));
         }
         self.driver.edge_input(EdgeInput::AttemptAnswered { attempt, result, feedback });
     }
 
-    fn stop_waiting(&mut self, command: Option<CallCommand>) {
+    fn abandon_resume(&mut self, command: Option<CallCommand>) {
         self.source = None;
         if let Some(CallCommand::Cancel(_)) = command {
-            // What follows from it comes as the next command.
+            // The next command tells how the call continues.
             return;
         }
         self.commands.close();
     }
 
-    fn break_off(&mut self) -> Option<Result<Bytes, BodyError>> {
+    fn abort(&mut self) -> Option<Result<Bytes, BodyError>> {
         self.source = None;
         self.guard.end();
         self.outgoing.edge().counters.broken_answers.inc();
--- a/crates/quillhatch/src/edge/request.rs
+++ b/crates/quillhatch/src/edge/request.rs
@@ -1,4 +1,4 @@
-//! Reads the head of a caller's request: service, class, key, deadline and parent.
+//! Parses the head of a caller's request: service, class, idempotency key, deadline and parent call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,53 +16,53 @@
 use crate::http::headers::{content_length, header_size, CONTEXT, DEADLINE, IDEMPOTENCY_KEY};
 use crate::http::problem::Rejection;
 
-/// The longest deadline that a caller may ask for; a longer one is a mistake in its unit.
+/// The maximum deadline that a caller may request; a longer one is most likely given in the wrong unit.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// The context header of a request.
+/// The value of the context header of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContextHeader {
-    /// The request is a root call.
+    /// The header is absent.
     Absent,
-    /// The request is made below this call.
+    /// The request is made on behalf of this call.
     Parent(CallId),
-    /// The header is no context of a call.
+    /// The header does not contain a call identifier.
     Malformed,
 }
 
-/// What the head of a request says.
+/// The call that the head of a request describes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestDescription {
-    /// Who calls.
+    /// The caller, identified by its IP address.
     pub caller: CallerName,
     /// The service called.
     pub service: ServiceName,
     /// The class of the call.
     pub class: ClassName,
-    /// The time after which a caller of the class is assumed to have given up.
+    /// The deadline of the class: callers are assumed to have given up after this time.
     pub class_deadline: Duration,
-    /// The retry tokens that a root call of the class gets.
+    /// The number of retry tokens that a root call of the class gets.
     pub retry_budget: u16,
-    /// The path and query below the service's own prefix.
+    /// The path and query to send to the back end.
     pub path: PathAndQuery,
-    /// The caller's key, if it gave one.
+    /// The caller's idempotency key, if present.
     pub key: Option<RequestKey>,
-    /// The time the caller still waits, if it said so.
+    /// The time that the caller will still wait, if it sent a deadline.
     pub remaining: Option<Duration>,
-    /// The call that makes this one.
+    /// The context header, which identifies the parent call.
     pub context: ContextHeader,
 }
 
-/// Checks the sizes that the head announces.
+/// Checks the size of the header and the announced size of the body.
 ///
 /// # Errors
 ///
-/// Returns the answer to a request that is too large.
+/// Returns the rejection of a request that is too large.
 pub fn check_sizes(head: &Parts, limits: &RequestLimits) -> Result<(), Rejection> {
     let size = header_size(&head.headers) + head.uri.path_and_query().map_or(0, |path| path.as_str().len() as u64);
     if size > limits.header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        let detail = format!("the header has {size} bytes; {} are allowed", limits.header_bytes);
+        let detail = format!("the request header has {size} bytes; at most {} are allowed", limits.header_bytes);
         return Err(Rejection::not_run(status, RefusalReason::BadRequest, detail));
     }
     let announced = content_length(&head.headers).unwrap_or(0);
@@ -72,17 +72,17 @@
     }
 }
 
-/// The answer to a request whose body is larger than `limit` bytes and was not sent on.
+/// The rejection of a request whose body is larger than `limit` bytes and was not forwarded.
 pub fn body_too_large(limit: u64) -> Rejection {
-    let detail = format!("the body has more than the {limit} bytes allowed");
+    let detail = format!("the request body is larger than the allowed {limit} bytes");
     Rejection::not_run(StatusCode::PAYLOAD_TOO_LARGE, RefusalReason::BadRequest, detail)
 }
 
-/// Reads the head of the request of the client at `remote`.
+/// Parses the head of a request from the client at `remote`.
 ///
 /// # Errors
 ///
-/// Returns the answer to a request that is malformed, or that no service or class matches.
+/// Returns the rejection of a request that is malformed or that matches no service or class.
 pub fn describe(
     head: &Parts,
     remote: SocketAddr,
@@ -105,8 +105,8 @@
     })
 }
 
-/// `Host` selects the service, and then the path is passed on as it is; otherwise the first path segment selects it and is
-/// taken off, so that a back end sees the same paths either way.
+/// Finds the service and the path to send to its back end. If the host selects the service, the path is unchanged; otherwise
+/// the first path segment selects the service and is removed, so that the back end sees the same paths either way.
 fn find_service<'a>(
     head: &Parts,
     configuration: &'a Configuration,
@@ -121,12 +121,13 @@
     }
     let (first, rest) = split_first_segment(whole.as_str());
     let service = configuration.services.values().find(|service| service.name.as_str() == first);
-    let service = service.ok_or_else(|| no_route("no service has this Host or this first path segment"))?;
-    let rest = PathAndQuery::try_from(rest).map_err(|_| Rejection::bad_request("the path is malformed"))?;
+    let service = service.ok_or_else(|| no_route("no service matches the host or the first path segment"))?;
+    let rest = PathAndQuery::try_from(rest).map_err(|_| Rejection::bad_request("the request path is malformed"))?;
     Ok((service, rest))
 }
 
-/// The host that the request is for, without its port: of an absolute target, or else of the `Host` field.
+/// The host of the request without its port: from an absolute request target if there is one, otherwise from the `Host`
+/// field.
 fn host(head: &Parts) -> Option<String> {
     if let Some(host) = head.uri.host() {
         return Some(host.to_owned());
@@ -137,9 +138,9 @@
 }
 
 fn split_first_segment(path: &str) -> (&str, String) {
-    let below = path.strip_prefix('/').unwrap_or(path);
-    let end = below.find(['/', '?']).unwrap_or(below.len());
-    let (first, rest) = below.split_at(end);
+    let relative = path.strip_prefix('/').unwrap_or(path);
+    let end = relative.find(['/', '?']).unwrap_or(relative.len());
+    let (first, rest) = relative.split_at(end);
     let rest = if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") };
     (first, rest)
 }
@@ -157,39 +158,41 @@
     Rejection::not_run(StatusCode::NOT_FOUND, RefusalReason::NoRoute, detail)
 }
 
-/// The characters of an address that a name may not have are replaced.
+/// The client's IP address as a caller name; characters that names may not contain are replaced by `-`.
 fn caller_name(remote: SocketAddr) -> Result<CallerName, Rejection> {
     let text = remote.ip().to_canonical().to_string().replace([':', '%'], "-");
     CallerName::new(&text).map_err(|error| Rejection::bad_request(error.to_string()))
 }
 
-/// The one value of a field; more than one is an error, since nobody can tell which is meant.
-fn single<'a>(head: &'a Parts, name: &HeaderName) -> Result<Option<&'a str>, Rejection> {
+/// The value of a field that may occur once. Repeated fields are an error because it is unclear which value is meant.
+fn single_value<'a>(head: &'a Parts, name: &HeaderName) -> Result<Option<&'a str>, Rejection> {
     let mut values = head.headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        return Err(Rejection::bad_request(format!("the field {name} is there more than once")));
+        return Err(Rejection::bad_request(format!("the field {name} occurs more than once")));
     }
     let text = first.map(|value| value.to_str()).transpose();
     text.map_err(|_| Rejection::bad_request(format!("the field {name} must consist of printable ASCII characters")))
 }
 
 fn read_key(head: &Parts) -> Result<Option<RequestKey>, Rejection> {
-    let text = single(head, &IDEMPOTENCY_KEY)?;
+    let text = single_value(head, &IDEMPOTENCY_KEY)?;
     let key = text.map(RequestKey::new).transpose();
     key.map_err(|error| Rejection::bad_request(format!("{IDEMPOTENCY_KEY}: {error}")))
 }
 
 fn read_deadline(head: &Parts) -> Result<Option<Duration>, Rejection> {
-    let Some(text) = single(head, &DEADLINE)? else {
+    let Some(text) = single_value(head, &DEADLINE)? else {
         return Ok(None);
     };
-    // A sign, which `parse` would accept, is refused: a negative time is a fault of the caller.
-    let digits = text.bytes().all(|byte| byte.is_ascii_digit());
-    let milliseconds = text.parse().ok().filter(|_| digits);
-    let span = milliseconds.map(Duration::from_millis).filter(|span| *span <= MAX_DEADLINE);
-    let longest = MAX_DEADLINE.as_millis();
-    span.map(Some).ok_or_else(|| Rejection::bad_request(format!("{DEADLINE} must be milliseconds from 0 to {longest}")))
+    // `parse` would accept a leading plus sign; only digits are allowed.
+    let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    let milliseconds = text.parse().ok().filter(|_| only_digits);
+    let deadline = milliseconds.map(Duration::from_millis).filter(|deadline| *deadline <= MAX_DEADLINE);
+    let maximum = MAX_DEADLINE.as_millis();
+    deadline.map(Some).ok_or_else(|| {
+        Rejection::bad_request(format!("{DEADLINE} must be a number of milliseconds from 0 to {maximum}"))
+    })
 }
 
 fn read_context(head: &Parts) -> ContextHeader {
@@ -202,7 +205,7 @@
     }
 }
 
-/// The text of a context is the call's number in hexadecimal, as [`CallId`] displays it.
+/// Parses a context: the call's identifier as 32 hexadecimal digits, as [`CallId`] displays it.
 fn parse_context(value: &[u8]) -> Option<CallId> {
     const DIGITS: usize = 32;
     let text = std::str::from_utf8(value).ok()?;
--- a/crates/quillhatch/src/edge/request_body.rs
+++ b/crates/quillhatch/src/edge/request_body.rs
@@ -1,4 +1,5 @@
-//! Receives the body of a caller's request: held in memory up to a bound, so that it can be sent again, else streamed.
+//! Receives the body of a caller's request. A body up to a size limit is buffered in memory so that retries can send it
+//! again; a larger body is streamed.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -14,31 +15,31 @@
 use crate::http::headers::content_length;
 use crate::http::problem::Rejection;
 
-/// The body of a request on its way to gates.
+/// The body of a request that is sent to gates.
 pub struct RequestBody {
     source: Source,
-    /// The length that the head announced.
+    /// The length announced by `Content-Length`, if any.
     pub length: Option<u64>,
-    /// Whether the body was cut because it is too large.
-    pub size: OversizeFlag,
+    /// Set when the body was truncated because it is larger than allowed.
+    pub oversize: OversizeFlag,
 }
 
 enum Source {
-    Held(Bytes),
-    /// Empty once an attempt has taken it.
+    Buffered(Bytes),
+    /// `None` after an attempt has taken the stream.
     Streamed(Mutex<Option<ByteStream>>),
 }
 
 impl RequestBody {
-    /// Whether the body can be sent again.
+    /// Whether the body is buffered, so that it can be sent again.
     pub fn replayable(&self) -> bool {
-        matches!(self.source, Source::Held(_))
+        matches!(self.source, Source::Buffered(_))
     }
 
-    /// The body for one attempt; `None` if it cannot be sent again and was sent before.
+    /// Returns the body for one attempt; `None` if it is streamed and an earlier attempt took it.
     pub fn take(&self) -> Option<reqwest::Body> {
         match &self.source {
-            Source::Held(bytes) => Some(reqwest::Body::from(bytes.clone())),
+            Source::Buffered(bytes) => Some(reqwest::Body::from(bytes.clone())),
             Source::Streamed(stream) => {
                 let stream = stream.lock().unwrap_or_else(PoisonError::into_inner).take();
                 stream.map(reqwest::Body::wrap_stream)
@@ -46,10 +47,11 @@
         }
     }
 
-    /// The digest of a request with this body, to tell a repeat from another request under the same key.
+    /// The digest of method, path and body, which distinguishes a retry from a different request under the same key; `None`
+    /// if the body is streamed.
     pub fn digest(&self, method: &str, path: &str) -> Option<Digest> {
         match &self.source {
-            Source::Held(bytes) => {
+            Source::Buffered(bytes) => {
                 let head = format!("{method}\n{path}\n");
                 Some(hash::digest(&[head.as_bytes(), bytes].concat()))
             }
@@ -62,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// Returns the answer to a request whose body is too large, breaks off, or takes longer than the call may.
+/// Returns the rejection of a request whose body is too large, is incomplete, or does not arrive before the deadline.
 pub async fn receive(
     request: &RequestDescription,
     body: Incoming,
@@ -70,34 +72,38 @@
     limits: &RequestLimits,
 ) -> Result<RequestBody, Rejection> {
     let length = content_length(headers);
-    let size = OversizeFlag::default();
+    let oversize = OversizeFlag::default();
     if body.is_end_stream() {
-        return Ok(RequestBody { source: Source::Held(Bytes::new()), length, size });
+        return Ok(RequestBody { source: Source::Buffered(Bytes::new()), length, oversize });
     }
-    let stream = limited(incoming(body), limits.body_bytes, size.clone());
-    let too_large_to_hold = length.is_some_and(|length| length > limits.retry_buffer_bytes);
-    if too_large_to_hold && request.key.is_none() {
-        return Ok(RequestBody { source: Source::Streamed(Mutex::new(Some(stream))), length, size });
+    let stream = limited(incoming(body), limits.body_bytes, oversize.clone());
+    let too_large_to_buffer = length.is_some_and(|length| length > limits.retry_buffer_bytes);
+    if too_large_to_buffer && request.key.is_none() {
+        return Ok(RequestBody { source: Source::Streamed(Mutex::new(Some(stream))), length, oversize });
     }
-    let source = hold(request, stream, limits).await?;
-    Ok(RequestBody { source, length, size })
+    let source = receive_source(request, stream, limits).await?;
+    Ok(RequestBody { source, length, oversize })
 }
 
-async fn hold(request: &RequestDescription, stream: ByteStream, limits: &RequestLimits) -> Result<Source, Rejection> {
-    let patience = request.remaining.unwrap_or(request.class_deadline);
-    let reading = tokio::time::timeout(patience, buffer_body(stream, limits.retry_buffer_bytes)).await;
+async fn receive_source(
+    request: &RequestDescription,
+    stream: ByteStream,
+    limits: &RequestLimits,
+) -> Result<Source, Rejection> {
+    let timeout = request.remaining.unwrap_or(request.class_deadline);
+    let reading = tokio::time::timeout(timeout, buffer_body(stream, limits.retry_buffer_bytes)).await;
     let beginning = reading.map_err(|_| Rejection::from(Refusal::not_run(RefusalReason::DeadlinePassed)))?;
     match beginning {
-        Ok(BufferedBody::Complete(bytes)) => Ok(Source::Held(bytes)),
-        // The digest of a keyed request needs the whole body, and nothing is held without a bound.
+        Ok(BufferedBody::Complete(bytes)) => Ok(Source::Buffered(bytes)),
+        // A keyed request needs the digest of its whole body, and at most `retry_buffer_bytes` are buffered.
         Ok(BufferedBody::OverLimit(_)) if request.key.is_some() => Err(keyed_too_large(limits.retry_buffer_bytes)),
         Ok(BufferedBody::OverLimit(stream)) => Ok(Source::Streamed(Mutex::new(Some(stream)))),
         Err(BodyError::TooLarge) => Err(body_too_large(limits.body_bytes.unwrap_or_default())),
-        Err(BodyError::Upstream) => Err(Rejection::bad_request("the body of the request broke off")),
+        Err(BodyError::Upstream) => Err(Rejection::bad_request("the request body is incomplete")),
     }
 }
 
 fn keyed_too_large(limit: u64) -> Rejection {
-    let detail = format!("the body of a request with a key may have at most {limit} bytes");
+    let detail = format!("the body of a request with an idempotency key may have at most {limit} bytes");
     Rejection::not_run(StatusCode::PAYLOAD_TOO_LARGE, RefusalReason::BadRequest, detail)
 }
--- a/crates/quillhatch/src/edge/unaccepted.rs
+++ b/crates/quillhatch/src/edge/unaccepted.rs
@@ -1,6 +1,6 @@
-//! Notices gates that do not accept this node's attempts, which mostly means that their fleet keys differ.
+//! Counts and logs attempts that gates reject because they can't authenticate them, usually because of different fleet keys.
 //!
-//! To a call such a gate is one more target that cannot be used, so that nothing else would tell an operator.
+//! A call treats such a gate like any other unusable target, so nothing else would show the problem to an operator.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,55 +13,55 @@
 use crate::http::headers::UNACCEPTED;
 use crate::metrics::{Counters, UnacceptedLabels};
 
-/// The largest number of gates that are remembered; of more, the log says nothing.
-const MAXIMUM_GATES: usize = 1024;
+/// The maximum number of rejecting gates that are tracked; further gates are counted but not logged.
+const MAX_GATES: usize = 1024;
 
-/// The gates that did not accept the last attempt.
+/// The gates that rejected this node's last attempt.
 #[derive(Debug, Default)]
 pub struct UnacceptedAttempts {
     gates: Mutex<BTreeSet<NodeAddress>>,
-    /// Whether there are any, so that the lock is not needed while all is well.
+    /// Whether `gates` is not empty; avoids the lock in the common case that it is.
     any: AtomicBool,
 }
 
 impl UnacceptedAttempts {
-    /// Counts an answer of the gate at `gate` that says that it does not accept the attempt, and logs when that begins and
-    /// when it ends.
-    pub fn note(&self, gate: NodeAddress, headers: &HeaderMap, counters: &Counters) {
+    /// Checks whether a response of `gate` rejects the attempt. Counts each rejection, and logs the first one and the first
+    /// accepted attempt after it.
+    pub fn record(&self, gate: NodeAddress, headers: &HeaderMap, counters: &Counters) {
         match headers.get(UNACCEPTED) {
-            Some(word) => {
-                let reason = reason(word.as_bytes());
+            Some(value) => {
+                let reason = reason_label(value.as_bytes());
                 counters.unaccepted_attempts.get_or_create(&UnacceptedLabels { reason }).inc();
-                self.begins(gate, reason);
+                self.mark_rejecting(gate, reason);
             }
-            None if self.any.load(Ordering::Acquire) => self.ends(gate),
+            None if self.any.load(Ordering::Acquire) => self.mark_accepting(gate),
             None => {}
         }
     }
 
-    fn begins(&self, gate: NodeAddress, reason: &str) {
+    fn mark_rejecting(&self, gate: NodeAddress, reason: &str) {
         let mut gates = self.gates.lock().unwrap_or_else(PoisonError::into_inner);
-        let news = gates.len() < MAXIMUM_GATES && gates.insert(gate);
+        let changed = gates.len() < MAX_GATES && gates.insert(gate);
         self.any.store(true, Ordering::Release);
-        if news {
+        if changed {
             let gate = gate.to_string();
-            log::warn!(gate = gate.as_str(), reason; "a gate does not accept this node's attempts");
+            log::warn!(gate = gate.as_str(), reason; "the gate rejects this node's attempts");
         }
     }
 
-    fn ends(&self, gate: NodeAddress) {
+    fn mark_accepting(&self, gate: NodeAddress) {
         let mut gates = self.gates.lock().unwrap_or_else(PoisonError::into_inner);
-        let news = gates.remove(&gate);
+        let changed = gates.remove(&gate);
         self.any.store(!gates.is_empty(), Ordering::Release);
-        if news {
+        if changed {
             let gate = gate.to_string();
             log::info!(gate = gate.as_str(); "the gate accepts this node's attempts again");
         }
     }
 }
 
-/// The word is another node's, or a stranger's: only those known here become labels.
-fn reason(word: &[u8]) -> &'static str {
+/// The metric label for a reason that a gate sent. The value comes from the network, so that only known codes become labels.
+fn reason_label(value: &[u8]) -> &'static str {
     let known = CallHeaderError::ALL.map(CallHeaderError::code);
-    known.into_iter().find(|code| code.as_bytes() == word).unwrap_or("other")
+    known.into_iter().find(|code| code.as_bytes() == value).unwrap_or("other")
 }
--- a/crates/quillhatch/src/http/body.rs
+++ b/crates/quillhatch/src/http/body.rs
@@ -58,17 +58,17 @@
 
 impl OversizeFlag {
     /// Whether the body was cut.
-    pub fn exceeded(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 
-    fn exceed(&self) {
+    fn set(&self) {
         self.0.store(true, Ordering::Release);
     }
 }
 
 /// The same bytes, cut with an error after `limit` bytes.
-pub fn limited(body: ByteStream, limit: Option<u64>, verdict: OversizeFlag) -> ByteStream {
+pub fn limited(body: ByteStream, limit: Option<u64>, oversize: OversizeFlag) -> ByteStream {
     let Some(limit) = limit else {
         return body;
     };
@@ -77,7 +77,7 @@
         let chunk = chunk?;
         let size = chunk.len() as u64;
         if size > left {
-            verdict.exceed();
+            oversize.set();
             return Err(BodyError::TooLarge);
         }
         left -= size;
