--- a/crates/quillhatch/src/edge/request.rs
+++ b/crates/quillhatch/src/edge/request.rs
@@ -185,12 +185,12 @@
     let Some(text) = single_value(head, &DEADLINE)? else {
         return Ok(None);
     };
-    // `parse` would accept a leading plus sign; only digits are allowed.
+    // Signs are rejected: `parse` would accept a leading plus sign, and a negative time is the caller's mistake.
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     let milliseconds = text.parse().ok().filter(|_| only_digits);
-    let deadline = milliseconds.map(Duration::from_millis).filter(|deadline| *deadline <= MAX_DEADLINE);
+    let requested = milliseconds.map(Duration::from_millis).filter(|requested| *requested <= MAX_DEADLINE);
     let maximum = MAX_DEADLINE.as_millis();
-    deadline.map(Some).ok_or_else(|| {
+    requested.map(Some).ok_or_else(|| {
         Rejection::bad_request(format!("{DEADLINE} must be a number of milliseconds from 0 to {maximum}"))
     })
 }
--- a/crates/quillhatch/src/edge/request_body.rs
+++ b/crates/quillhatch/src/edge/request_body.rs
@@ -90,8 +90,8 @@
     stream: ByteStream,
     limits: &RequestLimits,
 ) -> Result<Source, Rejection> {
-    let timeout = request.remaining.unwrap_or(request.class_deadline);
-    let reading = tokio::time::timeout(timeout, buffer_body(stream, limits.retry_buffer_bytes)).await;
+    let max_wait = request.remaining.unwrap_or(request.class_deadline);
+    let reading = tokio::time::timeout(max_wait, buffer_body(stream, limits.retry_buffer_bytes)).await;
     let beginning = reading.map_err(|_| Rejection::from(Refusal::not_run(RefusalReason::DeadlinePassed)))?;
     match beginning {
         Ok(BufferedBody::Complete(bytes)) => Ok(Source::Buffered(bytes)),
--- a/crates/quillhatch/src/gate/attempt.rs
+++ b/crates/quillhatch/src/gate/attempt.rs
@@ -1,4 +1,4 @@
-//! Runs one attempt at the gate: waits for the decision, then refuses, replays or hands it to the back end.
+//! Runs one attempt at the gate: waits for the decision, then refuses it, replays an answer or sends it to the back end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,14 +24,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Tells the decision code how an attempt ended, whatever becomes of its task.
+/// Reports to the decision code how an attempt ended, even if its task is dropped.
 pub struct AttemptGuard {
     driver: Arc<Driver>,
     attempt: AttemptId,
     commands: mpsc::UnboundedReceiver<AttemptCommand>,
     phase: Phase,
-    /// Whether the decision code knows that the edge has gone.
-    told_gone: bool,
+    /// Whether the edge's disconnect was reported to the decision code.
+    disconnect_reported: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,21 +42,21 @@
 }
 
 impl AttemptGuard {
-    /// Hands an attempt that arrived to the decision code; `None` if the same attempt is here already.
+    /// Passes a new attempt to the decision code; `None` if the same attempt is already in progress.
     pub fn arrived(driver: &Arc<Driver>, context: &CallContext) -> Option<Self> {
         let attempt = context.attempt_id();
         let commands = driver.open_attempt(attempt, context.service.clone())?;
         let driver = Arc::clone(driver);
         driver.gate_input(GateInput::Arrived(Box::new(context.clone())));
-        Some(AttemptGuard { driver, attempt, commands, phase: Phase::Waiting, told_gone: false })
+        Some(AttemptGuard { driver, attempt, commands, phase: Phase::Waiting, disconnect_reported: false })
     }
 
-    /// The next command about the attempt. After the dispatch the only one is to stop.
-    pub async fn command(&mut self) -> Option<AttemptCommand> {
+    /// Waits for the next command for the attempt. After the dispatch, the only possible command is to cancel.
+    pub async fn next_command(&mut self) -> Option<AttemptCommand> {
         self.commands.recv().await
     }
 
-    /// The back end's part has ended.
+    /// Reports that the back end's part of the attempt has ended.
     pub fn end(&mut self, end: AnswerEnd) {
         if self.phase == Phase::Ended {
             return;
@@ -65,23 +65,23 @@
         self.driver.gate_input(GateInput::AnswerEnded { attempt: self.attempt, end });
     }
 
-    /// The edge has gone. Returns whether the back end's run goes on, which is for the decision code to say: it stops a
-    /// run that may be repeated, and lets one that may not come to its end.
+    /// Reports that the edge has disconnected. Returns whether the request at the back end continues; the decision code
+    /// cancels a repeatable request and lets one that is not repeatable complete.
     pub fn continues_without_edge(&mut self) -> bool {
         if self.phase != Phase::Dispatched {
             return false;
         }
-        self.tell_gone();
-        // Outputs are handed on before the input returns, so the command to stop would be here by now.
-        let stopped = self.commands.try_recv().is_ok();
-        if stopped {
+        self.report_disconnect();
+        // Outputs are delivered before the input returns, so a cancel command would already be in the channel.
+        let cancelled = self.commands.try_recv().is_ok();
+        if cancelled {
             self.end(AnswerEnd::Cancelled);
         }
-        !stopped
+        !cancelled
     }
 
-    fn tell_gone(&mut self) {
-        if self.phase != Phase::Ended && !std::mem::replace(&mut self.told_gone, true) {
+    fn report_disconnect(&mut self) {
+        if self.phase != Phase::Ended && !std::mem::replace(&mut self.disconnect_reported, true) {
             self.driver.gate_input(GateInput::Cancelled { attempt: self.attempt });
         }
     }
@@ -89,16 +89,17 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.tell_gone();
+        self.report_disconnect();
         match self.phase {
             Phase::Waiting => {
-                // A dispatch that no task took up: the decision code counts the attempt as running, and would for ever.
-                let dispatch = |command| matches!(command, AttemptCommand::Dispatch { .. });
-                if self.commands.try_recv().is_ok_and(dispatch) {
+                // The attempt was dispatched, but its task was dropped before it received the command. Without this report
+                // the decision code would count the attempt as running forever.
+                let is_dispatch = |command| matches!(command, AttemptCommand::Dispatch { .. });
+                if self.commands.try_recv().is_ok_and(is_dispatch) {
                     self.end(AnswerEnd::ConnectFailed);
                 }
             }
-            // The request to the back end is dropped together with this guard, which closes its connection.
+            // The request to the back end is dropped together with this guard, which closes the connection.
             Phase::Dispatched => self.end(AnswerEnd::Cancelled),
             Phase::Ended => {}
         }
@@ -106,27 +107,28 @@
     }
 }
 
-/// What the task of an attempt works with.
+/// The state of an attempt's task.
 pub struct AttemptTask {
     /// The gate.
     pub gate: Arc<Gate>,
-    /// What the edge said.
+    /// The context that the edge sent.
     pub context: CallContext,
-    /// Tells when the edge leaves, and takes commands.
+    /// Receives commands and reports the end of the attempt.
     pub guard: AttemptGuard,
 }
 
-/// Runs the attempt and returns the head of its answer, with a body that streams the rest.
+/// Runs the attempt and returns its answer, with a streaming body.
 ///
 /// # Errors
 ///
-/// Returns the refusal of an attempt that does not belong here.
+/// Returns the refusal of an attempt for a service that this node does not serve, or of an attempt that is already in
+/// progress.
 pub async fn run(gate: Arc<Gate>, context: CallContext, head: Parts, body: Incoming) -> Result<Answer, Rejection> {
-    let serves = gate.backend.as_ref().is_some_and(|backend| backend.service == context.service);
-    if !serves {
+    let serves_service = gate.backend.as_ref().is_some_and(|backend| backend.service == context.service);
+    if !serves_service {
         return Err(Refusal::not_run(RefusalReason::NoTarget).into());
     }
-    // The same attempt twice is a replayed request; the first one goes on undisturbed.
+    // A second request with the same attempt is a replay of the first, which continues unaffected.
     let guard = AttemptGuard::arrived(&gate.driver, &context);
     let guard = guard.ok_or_else(|| Rejection::from(Refusal::unknown(RefusalReason::KeyInProgress)))?;
     let task = AttemptTask { gate, context, guard };
@@ -135,11 +137,11 @@
 
 impl AttemptTask {
     async fn run(mut self, head: Parts, body: Incoming) -> Answer {
-        match self.guard.command().await {
+        match self.guard.next_command().await {
             Some(AttemptCommand::Dispatch { remaining }) => self.dispatch(head, body, remaining).await,
             Some(AttemptCommand::Refuse { refusal, feedback }) => self.refuse(refusal, feedback),
             Some(AttemptCommand::Replay { answer, feedback }) => self.replay(&answer, &feedback),
-            Some(AttemptCommand::Cancel) | None => self.cancelled(),
+            Some(AttemptCommand::Cancel) | None => self.answer_cancelled(),
         }
     }
 
@@ -155,14 +157,14 @@
         });
         match HeadWait::new(self, method, sending).wait().await {
             HeadOutcome::Answer(body) => relay::answer(*body),
-            HeadOutcome::Ended(task, end) => task.ended_without_answer(end),
+            HeadOutcome::Ended(task, end) => task.answer_failure(end),
         }
     }
 
-    /// What the outcome of a request means: an answer to read, or the end of the attempt.
-    pub fn judge(self, method: &Method, outcome: BackendOutcome) -> HeadOutcome {
+    /// Interprets the outcome of a request: an answer to read, or the end of the attempt.
+    pub fn interpret_outcome(self, method: &Method, outcome: BackendOutcome) -> HeadOutcome {
         match outcome {
-            BackendOutcome::Answered(response) if self.refused_before_running(response.status()) => {
+            BackendOutcome::Answered(response) if self.is_refusal_status(response.status()) => {
                 let status = response.status().as_u16();
                 HeadOutcome::Ended(Box::new(self), AnswerEnd::RefusedBeforeRunning { status })
             }
@@ -177,35 +179,36 @@
         }
     }
 
-    fn refused_before_running(&self, status: StatusCode) -> bool {
+    fn is_refusal_status(&self, status: StatusCode) -> bool {
         let configuration = self.gate.driver.configuration();
         let service =
             configuration.as_ref().and_then(|configuration| configuration.services.get(&self.context.service));
         service.is_some_and(|service| service.refused_before_running.contains(&status.as_u16()))
     }
 
-    /// Reports the end, and answers as the decision code says; if it says nothing, with what the end proves.
-    fn ended_without_answer(mut self, end: AnswerEnd) -> Answer {
-        let proven = match end {
+    /// Reports the end of an attempt without an answer and returns the refusal that the decision code issues, or, if it
+    /// issues none, the refusal that follows from `end`.
+    fn answer_failure(mut self, end: AnswerEnd) -> Answer {
+        let fallback = match end {
             AnswerEnd::ConnectFailed => Refusal::not_run(RefusalReason::ConnectFailed),
             AnswerEnd::RefusedBeforeRunning { .. } => Refusal::not_run(RefusalReason::Overloaded),
-            // Before the back end's answer, nobody knows how far it came.
+            // Without an answer from the back end, it is unknown how far the request got.
             AnswerEnd::Cancelled => Refusal::unknown(RefusalReason::Cancelled),
             _ => Refusal::unknown(RefusalReason::ConnectionLost),
         };
         self.guard.end(end);
-        // Outputs are handed on before the input returns, so a refusal would be here by now.
+        // Outputs are delivered before the input returns, so a refusal would already be in the channel.
         while let Ok(command) = self.guard.commands.try_recv() {
             if let AttemptCommand::Refuse { refusal, feedback } = command {
                 return self.refuse(refusal, feedback);
             }
         }
         let feedback = self.feedback();
-        self.refuse(proven, feedback)
+        self.refuse(fallback, feedback)
     }
 
-    /// The attempt was stopped before the back end saw it.
-    fn cancelled(self) -> Answer {
+    /// The answer to an attempt that was cancelled before it was sent to the back end.
+    fn answer_cancelled(self) -> Answer {
         refusal_answer(&Refusal::not_run(RefusalReason::Cancelled).into())
     }
 
@@ -226,13 +229,13 @@
         answer
     }
 
-    /// What the edge is told with the attempt's answer.
+    /// The feedback to send to the edge with the attempt's answer.
     pub fn feedback(&self) -> Feedback {
         self.gate.driver.feedback(Some(self.guard.attempt))
     }
 }
 
-/// Writes what the edge is told into the head of `answer`.
+/// Adds the feedback header to `answer`.
 pub fn write_feedback(answer: &mut Answer, feedback: &Feedback) {
     if let Some(value) = call_header::seal_feedback(feedback) {
         answer.headers_mut().insert(FEEDBACK, value);
--- a/crates/quillhatch/src/gate/attempt/tests.rs
+++ b/crates/quillhatch/src/gate/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the decision code hears of an attempt whose task is dropped.
+//! Tests of the inputs that the decision code receives when the task of an attempt is dropped.
 
 use std::sync::Mutex;
 
@@ -11,11 +11,11 @@
 use crate::decisions::{Decisions, NodeInput, NodeOutput, Statistic};
 use crate::driver::NullMessageSink;
 
-/// Dispatches at once, and stops a dispatched attempt only if it may be repeated.
+/// Dispatches every attempt at once and records all inputs.
 #[derive(Clone, Default)]
-struct Noted(Arc<Mutex<Vec<GateInput>>>);
+struct InputRecorder(Arc<Mutex<Vec<GateInput>>>);
 
-impl Decisions for Noted {
+impl Decisions for InputRecorder {
     fn step(&mut self, _now: Timestamp, input: NodeInput, outputs: &mut Vec<NodeOutput>) {
         let NodeInput::Gate(input) = input else {
             return;
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn a_dispatch_that_no_task_took_up_ends_as_not_run() {
-    let noted = Noted::default();
-    let driver = Driver::new(Box::new(noted.clone()), Box::new(NullMessageSink));
+fn a_dispatch_that_no_task_received_ends_as_not_run() {
+    let recorder = InputRecorder::default();
+    let driver = Driver::new(Box::new(recorder.clone()), Box::new(NullMessageSink));
     let guard = AttemptGuard::arrived(&driver, &context()).expect("the first of its kind");
     assert!(AttemptGuard::arrived(&driver, &context()).is_none());
     drop(guard);
@@ -84,6 +84,6 @@
         GateInput::Cancelled { attempt },
         GateInput::AnswerEnded { attempt, end: AnswerEnd::ConnectFailed },
     ];
-    assert_eq!(*noted.0.lock().expect("inputs"), expected);
+    assert_eq!(*recorder.0.lock().expect("inputs"), expected);
     assert!(driver.active_requests().is_empty());
 }
--- a/crates/quillhatch/src/gate/backend.rs
+++ b/crates/quillhatch/src/gate/backend.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the back end beside the node.
+//! Sends requests to the node's back end.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 use crate::http::body::incoming;
 use crate::http::headers::{content_length, milliseconds, remove_hop_by_hop, remove_internal, CONTEXT, DEADLINE};
 
-/// The back end beside a node.
+/// The back end that runs next to a node.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Where it accepts connections.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
-    /// The service that it belongs to.
+    /// The service that it implements.
     pub service: ServiceName,
-    /// Connections to it.
+    /// The HTTP client for requests to it.
     pub client: reqwest::Client,
 }
 
-/// What became of a request, as far as the head of the answer.
+/// The outcome of sending a request and waiting for the head of the answer.
 #[derive(Debug)]
 pub enum BackendOutcome {
     /// The head of the answer arrived.
     Answered(reqwest::Response),
-    /// No byte reached the back end.
+    /// No connection could be opened, so nothing reached the back end.
     ConnectFailed,
-    /// The connection broke after bytes had reached the back end.
+    /// The connection was lost after the back end may have received bytes.
     Broken,
 }
 
 impl Backend {
     /// Sends the request of `call` and waits for the head of the answer.
     ///
-    /// The back end is told that `remaining` is left. How long it may take in fact is for the decision code to say, which
-    /// stops the attempt: a call that may not be repeated goes on for a while after its caller's deadline.
+    /// `remaining` is sent to the back end as its deadline but does not bound the wait here. The decision code bounds it by
+    /// cancelling the attempt: a call that is not repeatable may continue for a while after its caller's deadline.
     pub async fn send(&self, call: CallId, mut head: Parts, body: Incoming, remaining: Duration) -> BackendOutcome {
         let length = content_length(&head.headers);
         remove_hop_by_hop(&mut head.headers);
--- a/crates/quillhatch/src/gate/background.rs
+++ b/crates/quillhatch/src/gate/background.rs
@@ -1,7 +1,7 @@
-//! Keeps the runs of back ends that go on although the edge has gone.
+//! Runs requests at the back end that continue after the edge has disconnected.
 //!
-//! Use it where the decision code lets a run go on: a call that may not be repeated is read to its end, so that a repeat
-//! under its key gets the answer. The runs belong to the node, not to a connection, and end with the node.
+//! The decision code lets a call continue if it is not repeatable: its answer is read to the end, so that a retry with the
+//! same key gets the answer. These tasks belong to the node, not to a connection, and end with the node.
 
 use std::future::Future;
 use std::sync::{Mutex, PoisonError};
@@ -10,11 +10,11 @@
 use tokio::runtime::Handle;
 use tokio::task::JoinSet;
 
-/// The longest time that an answer is read for nobody. The decision code ends most runs earlier; it has no bound for a
-/// large answer that has begun, which only its reader may give up.
+/// The maximum time for which an answer is read after its edge has disconnected. The decision code ends most requests
+/// earlier, but it sets no time limit for a large answer that has started; only the reader may abandon such an answer.
 pub const MAX_BACKGROUND_RUN: Duration = Duration::from_secs(300);
 
-/// The runs that go on without a reader.
+/// The tasks of requests whose edge has disconnected.
 #[derive(Debug)]
 pub struct BackgroundRuns(Mutex<Option<JoinSet<()>>>);
 
@@ -25,7 +25,7 @@
 }
 
 impl BackgroundRuns {
-    /// Lets `run` go on. After [`BackgroundRuns::shutdown`], and outside a runtime, it is dropped instead.
+    /// Spawns `run` as a task. After [`BackgroundRuns::shutdown`], and outside a runtime, `run` is dropped instead.
     pub fn spawn(&self, run: impl Future<Output = ()> + Send + 'static) {
         let Ok(runtime) = Handle::try_current() else {
             return;
@@ -34,12 +34,12 @@
         let Some(runs) = runs.as_mut() else {
             return;
         };
-        // Those that have ended must not pile up.
+        // Removes finished tasks, which would otherwise accumulate.
         while runs.try_join_next().is_some() {}
         runs.spawn_on(run, &runtime);
     }
 
-    /// Ends all runs at once and takes no more.
+    /// Aborts all tasks and accepts no more.
     pub async fn shutdown(&self) {
         let runs = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(mut runs) = runs {
--- a/crates/quillhatch/src/gate/head_wait.rs
+++ b/crates/quillhatch/src/gate/head_wait.rs
@@ -1,4 +1,5 @@
-//! Waits for the head of a back end's answer, and goes on waiting in the background if the run must come to its end.
+//! Waits for the head of a back end's answer. If the edge disconnects and the request must be completed, the wait continues
+//! in the background.
 
 use std::sync::Arc;
 
@@ -11,80 +12,81 @@
 use super::background::MAX_BACKGROUND_RUN;
 use super::relay::BackendBody;
 
-/// A request at the back end whose answer has not begun.
-struct Sending {
+/// A request to the back end whose answer has not started.
+struct PendingRequest {
     task: AttemptTask,
     method: Method,
     request: BoxFuture<'static, BackendOutcome>,
 }
 
-/// How the wait came out.
+/// The outcome of waiting for the head.
 pub enum HeadOutcome {
-    /// There is an answer to read.
+    /// The head arrived, and the body can be read.
     Answer(Box<BackendBody>),
     /// The attempt ended without an answer.
     Ended(Box<AttemptTask>, AnswerEnd),
 }
 
-impl Sending {
+impl PendingRequest {
     async fn wait(&mut self) -> Option<BackendOutcome> {
         tokio::select! {
             outcome = &mut self.request => Some(outcome),
-            // The only command after the dispatch is to stop.
-            _ = self.task.guard.command() => None,
+            // After the dispatch, the only possible command is to cancel.
+            _ = self.task.guard.next_command() => None,
         }
     }
 
-    fn judge(self, outcome: Option<BackendOutcome>) -> HeadOutcome {
+    fn into_head_outcome(self, outcome: Option<BackendOutcome>) -> HeadOutcome {
         match outcome {
-            Some(outcome) => self.task.judge(&self.method, outcome),
+            Some(outcome) => self.task.interpret_outcome(&self.method, outcome),
             None => HeadOutcome::Ended(Box::new(self.task), AnswerEnd::Cancelled),
         }
     }
 
-    /// Lets the run come to its end without a reader.
-    async fn run_on(mut self) {
-        // What is not at its end by then is dropped, and its guard reports it as stopped.
+    /// Completes the request after the edge has disconnected; the answer is read but not relayed.
+    async fn finish_in_background(mut self) {
+        // A request that has not completed by then is dropped, and its guard reports it as cancelled.
         let Ok(outcome) = tokio::time::timeout(MAX_BACKGROUND_RUN, self.wait()).await else {
             return;
         };
-        match self.judge(outcome) {
+        match self.into_head_outcome(outcome) {
             HeadOutcome::Answer(body) => body.read_to_end().await,
             HeadOutcome::Ended(mut task, end) => task.guard.end(end),
         }
     }
 }
 
-/// Waits for the head of an answer on behalf of an edge.
-pub struct HeadWait(Option<Sending>);
+/// A wait for the head of an answer while the edge is connected.
+pub struct HeadWait(Option<PendingRequest>);
 
 impl HeadWait {
-    /// Waits for `request`, a request with `method` that `task` dispatched.
+    /// Creates the wait for `request`, which has the method `method` and was dispatched by `task`.
     pub fn new(task: AttemptTask, method: Method, request: BoxFuture<'static, BackendOutcome>) -> Self {
-        HeadWait(Some(Sending { task, method, request }))
+        HeadWait(Some(PendingRequest { task, method, request }))
     }
 
-    /// Waits; if the returned future is dropped, the decision code says whether the run goes on.
+    /// Waits for the head. If the returned future is dropped, the decision code decides whether the request continues in the
+    /// background.
     pub async fn wait(mut self) -> HeadOutcome {
         let outcome = match &mut self.0 {
-            Some(sending) => sending.wait().await,
+            Some(pending) => pending.wait().await,
             None => None,
         };
         match self.0.take() {
-            Some(sending) => sending.judge(outcome),
-            None => unreachable!("only this function and the drop take the request"),
+            Some(pending) => pending.into_head_outcome(outcome),
+            None => unreachable!("only this function and `drop` take the request"),
         }
     }
 }
 
 impl Drop for HeadWait {
     fn drop(&mut self) {
-        let Some(mut sending) = self.0.take() else {
+        let Some(mut pending) = self.0.take() else {
             return;
         };
-        if sending.task.guard.continues_without_edge() {
-            let background = Arc::clone(&sending.task.gate.background);
-            background.spawn(sending.run_on());
+        if pending.task.guard.continues_without_edge() {
+            let background = Arc::clone(&pending.task.gate.background);
+            background.spawn(pending.finish_in_background());
         }
     }
 }
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -1,8 +1,8 @@
-//! The peers' listener: checks and runs attempts of calls, and takes control frames.
+//! Handles the listener for peers: authenticates and runs attempts of calls, and receives control frames.
 //!
-//! An attempt's header is opened, the decision code decides when it is dispatched ([`attempt`]), the request goes to the
-//! back end ([`backend`]), its head is awaited ([`head_wait`]), and the answer streams back with the gate's feedback
-//! ([`relay`]). A run that goes on after its edge has gone does so in the [`background`].
+//! An attempt's header is verified, the decision code decides when to dispatch it ([`attempt`]), the request is sent to the
+//! back end ([`backend`]), the head of the answer is awaited ([`head_wait`]), and the answer streams back with the gate's
+//! feedback ([`relay`]). A request that must be completed after its edge has disconnected continues in the [`background`].
 
 pub mod attempt;
 pub mod backend;
@@ -28,10 +28,10 @@
 use crate::metrics::Counters;
 use crate::peers::{FrameReceiver, FRAMES_PATH};
 
-/// The peers' listener of a node.
+/// The request handler of a node's listener for peers.
 #[derive(Debug)]
 pub struct Gate {
-    /// The node's own run.
+    /// This node's address and incarnation.
     pub node: NodeId,
     /// The driver of the decision code.
     pub driver: Arc<Driver>,
@@ -39,9 +39,9 @@
     pub backend: Option<backend::Backend>,
     /// The keys that authenticate attempts.
     pub keys: Arc<FleetKeys>,
-    /// Runs that go on without a reader.
+    /// Requests that continue after their edge has disconnected.
     pub background: Arc<background::BackgroundRuns>,
-    /// Takes control frames.
+    /// The receiver of control frames.
     pub frames: FrameReceiver,
     /// The program's counters.
     pub counters: Arc<Counters>,
@@ -55,32 +55,37 @@
         if is_frames {
             return self.frames.receive(request.into_body()).await;
         }
-        match self.open(&request) {
-            Ok(context) => match self.attempt(context, request).await {
+        match self.open_header(&request) {
+            Ok(context) => match self.run_attempt(context, request).await {
                 Ok(answer) => answer,
                 Err(rejection) => refusal_answer(&rejection),
             },
-            Err(error) => self.unaccepted(error),
+            Err(error) => self.reject_header(error),
         }
     }
 }
 
 impl Gate {
-    fn open(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
+    fn open_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
         let signed = SignedRequest { receiver: self.node, method: request.method().as_str(), path };
         call_header::open(&self.keys, signed, request.headers().get(CALL))
     }
 
-    async fn attempt(self: Arc<Self>, context: CallContext, request: Request<Incoming>) -> Result<Answer, Rejection> {
+    async fn run_attempt(
+        self: Arc<Self>,
+        context: CallContext,
+        request: Request<Incoming>,
+    ) -> Result<Answer, Rejection> {
         let (head, body) = request.into_parts();
         attempt::run(self, context, head, body).await
     }
 
-    /// The edge is told why in words of its own: to the caller it is one more target that cannot be used.
-    fn unaccepted(&self, error: CallHeaderError) -> Answer {
+    /// The answer to an attempt whose header is not accepted. Its outcome is an unusable target, which is all that the
+    /// caller needs; a separate header field tells the edge why.
+    fn reject_header(&self, error: CallHeaderError) -> Answer {
         self.counters.rejected_call_headers.inc();
-        let detail = format!("the call's context is not accepted: {error}");
+        let detail = format!("the gate rejected the call header: {error}");
         let rejection = Rejection::not_run(StatusCode::UNAUTHORIZED, RefusalReason::NoTarget, detail);
         let mut answer = refusal_answer(&rejection);
         answer.headers_mut().insert(UNACCEPTED, HeaderValue::from_static(error.code()));
@@ -88,7 +93,7 @@
     }
 }
 
-/// A gate's own answer: like the one that a caller gets, with the words that the edge reads.
+/// The gate's own answer for a rejection: the answer that a caller gets, with the refusal header that the edge reads.
 pub(crate) fn refusal_answer(rejection: &Rejection) -> Answer {
     let mut answer = rejection.answer();
     write_refusal(answer.headers_mut(), &rejection.refusal);
--- a/crates/quillhatch/src/gate/relay.rs
+++ b/crates/quillhatch/src/gate/relay.rs
@@ -1,4 +1,4 @@
-//! Streams a back end's answer to the edge, and keeps a copy of a small answer for replay.
+//! Streams a back end's answer to the edge, and records a copy of a small answer for replay.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::http::headers::{expected_length, recordable_fields, remove_hop_by_hop, remove_internal, OUTCOME};
 use crate::http::Answer;
 
-/// The head of the answer for the edge, with a body that streams the rest.
+/// Creates the answer for the edge, with a streaming body.
 pub fn answer(body: BackendBody) -> Answer {
     let feedback = body.task.feedback();
     let (status, headers) = (body.status, body.headers.clone());
@@ -30,21 +30,21 @@
     answer
 }
 
-/// A copy of an answer on its way, as long as it is small enough to be kept.
-struct Record {
+/// Records a copy of an answer while it is relayed; discards the copy if the answer exceeds the replay limit.
+struct AnswerRecorder {
     headers: Vec<HeaderField>,
     body: Option<Vec<u8>>,
     limit: usize,
 }
 
-impl Record {
+impl AnswerRecorder {
     fn new(task: &AttemptTask, method: &Method, headers: Vec<HeaderField>) -> Self {
         let configuration = task.gate.driver.configuration();
         let service =
             configuration.as_ref().and_then(|configuration| configuration.services.get(&task.context.service));
         let limit = service.map_or(0, |service| service.replay_limit_bytes as usize);
-        let wanted = !task.context.repeatable && *method != Method::HEAD;
-        Record { headers, body: wanted.then(Vec::new), limit }
+        let recorded = !task.context.repeatable && *method != Method::HEAD;
+        AnswerRecorder { headers, body: recorded.then(Vec::new), limit }
     }
 
     fn append(&mut self, chunk: &Bytes) {
@@ -72,34 +72,34 @@
     headers: HeaderMap,
     bytes: u64,
     length: Option<u64>,
-    record: Record,
+    recorder: AnswerRecorder,
 }
 
 impl BackendBody {
-    /// The answer whose head is that of `response`.
+    /// Creates the body of `response`, whose head was just received.
     pub fn new(task: AttemptTask, method: &Method, response: reqwest::Response) -> Self {
         let status = response.status();
         let mut headers = response.headers().clone();
         remove_hop_by_hop(&mut headers);
-        // Only nodes say what became of a call: a back end may have copied these from an answer to a call of its own.
+        // Only nodes may set these fields; a back end may have copied them from the answer to one of its own calls.
         remove_internal(&mut headers);
         headers.remove(OUTCOME);
-        let record = Record::new(&task, method, recordable_fields(&headers));
+        let recorder = AnswerRecorder::new(&task, method, recordable_fields(&headers));
         let length = expected_length(method, status, &headers);
         let source = response.bytes_stream().map_err(|_| BodyError::Upstream).boxed();
-        let mut body = BackendBody { task, source, status, headers, bytes: 0, length, record };
-        body.end_if_whole();
+        let mut body = BackendBody { task, source, status, headers, bytes: 0, length, recorder };
+        body.end_if_complete();
         body
     }
 
-    /// Reads the rest for nobody but the record, for a bounded time.
+    /// Reads the rest of the answer, for a bounded time, only to record it.
     pub async fn read_to_end(mut self) {
-        // What is not at its end by then is dropped, and its guard reports it as stopped.
+        // An answer that has not ended by then is dropped, and its guard reports it as cancelled.
         let _ = tokio::time::timeout(MAX_BACKGROUND_RUN, async { while self.next().await.is_some() {} }).await;
     }
 
-    /// Reports the end with the last byte: the server does not ask for more than the length announced.
-    fn end_if_whole(&mut self) {
+    /// Reports the end together with the last byte, since the server does not poll the body beyond the announced length.
+    fn end_if_complete(&mut self) {
         if self.length == Some(self.bytes) {
             self.end();
         }
@@ -107,20 +107,20 @@
 
     fn end(&mut self) {
         let status = self.status.as_u16();
-        let record = self.record.finish(status);
+        let record = self.recorder.finish(status);
         self.task.guard.end(AnswerEnd::Whole { status, bytes: self.bytes, record });
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         let chunk = tokio::select! {
             chunk = self.source.next() => chunk,
-            _ = self.task.guard.command() => return Some(Err(self.stopped())),
+            _ = self.task.guard.next_command() => return Some(Err(self.cancel())),
         };
         match chunk {
             Some(Ok(chunk)) => {
                 self.bytes += chunk.len() as u64;
-                self.record.append(&chunk);
-                self.end_if_whole();
+                self.recorder.append(&chunk);
+                self.end_if_complete();
                 Some(Ok(chunk))
             }
             Some(Err(error)) => {
@@ -137,15 +137,16 @@
         }
     }
 
-    /// The only command after the dispatch is to stop.
-    fn stopped(&mut self) -> BodyError {
+    /// Handles the command to cancel, the only possible one after the dispatch.
+    fn cancel(&mut self) -> BodyError {
         self.source = stream::empty().boxed();
         self.task.guard.end(AnswerEnd::Cancelled);
         BodyError::Upstream
     }
 }
 
-/// A body on its way to the edge; it is read on in the background if the edge goes and the run is to come to its end.
+/// A body that is relayed to the edge. If the edge disconnects and the request must be completed, the body is read to its
+/// end in the background.
 struct RelayedBody(Option<BackendBody>);
 
 impl Drop for RelayedBody {
