--- a/crates/quillhatch/src/driver/channels.rs
+++ b/crates/quillhatch/src/driver/channels.rs
@@ -1,4 +1,4 @@
-//! Which task waits for the outputs about which call, attempt or operator's request.
+//! Maps calls, attempts and operator requests to the channels of the tasks that receive their outputs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,62 +12,62 @@
 
 use super::FIRST_REQUEST;
 
-/// The part of an answer that a resumed attempt asks for.
+/// The part of an answer that an attempt requests to resume it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeRequest {
-    /// The first byte wanted.
+    /// The offset of the first byte to send.
     pub offset: u64,
-    /// The validator that the rest must carry.
+    /// The validator that the response must have.
     pub validator: StrongValidator,
 }
 
-/// What the task of a call is to do.
+/// A command to the task of a call at the edge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallCommand {
     /// Send an attempt.
     Send {
         /// The node of the gate.
         target: NodeId,
-        /// What the gate is told.
+        /// The context to send to the gate.
         context: Box<CallContext>,
-        /// The part wanted, if the attempt continues a broken answer.
+        /// The part to request if the attempt resumes an interrupted answer.
         range: Option<RangeRequest>,
     },
-    /// Stop an attempt.
+    /// Cancel an attempt.
     Cancel(AttemptId),
     /// Answer the caller.
     Finish(Answer),
-    /// End the caller's stream visibly broken.
+    /// Abort the answer so that the caller can tell that it is incomplete.
     BreakOff,
 }
 
-/// What the task of an attempt at the gate is to do.
+/// A command to the task of an attempt at the gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptCommand {
-    /// Hand the attempt to the back end.
+    /// Send the request to the back end.
     Dispatch {
         /// The time left for the back end.
         remaining: Duration,
     },
-    /// Answer the edge in the place of the back end.
+    /// Refuse the attempt.
     Refuse {
         /// The refusal.
         refusal: Refusal,
-        /// What the edge is told with it.
+        /// The feedback to send with the answer.
         feedback: Feedback,
     },
     /// Answer the edge with a recorded answer.
     Replay {
         /// The recorded answer.
         answer: RecordedAnswer,
-        /// What the edge is told with it.
+        /// The feedback to send with the answer.
         feedback: Feedback,
     },
-    /// Stop the back end's work.
+    /// Cancel the request to the back end.
     Cancel,
 }
 
-/// Something that has not ended.
+/// A call or attempt that has not ended.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ActiveRequest {
     /// A call at the edge.
@@ -88,22 +88,22 @@
     },
 }
 
-struct Entry<Command> {
+struct ChannelEntry<Command> {
     sender: mpsc::UnboundedSender<Command>,
     service: ServiceName,
 }
 
-/// The channels to all tasks. Each carries the few commands of one call, so they need no bound of their own.
-pub(super) struct Channels {
-    calls: BTreeMap<CallId, Entry<CallCommand>>,
-    attempts: BTreeMap<AttemptId, Entry<AttemptCommand>>,
+/// The channels to all tasks. Each carries only the few commands of one call or attempt, so the channels are unbounded.
+pub(super) struct TaskChannels {
+    calls: BTreeMap<CallId, ChannelEntry<CallCommand>>,
+    attempts: BTreeMap<AttemptId, ChannelEntry<AttemptCommand>>,
     requests: BTreeMap<RequestNumber, oneshot::Sender<OperatorReply>>,
     next_request: RequestNumber,
 }
 
-impl Default for Channels {
+impl Default for TaskChannels {
     fn default() -> Self {
-        Channels {
+        TaskChannels {
             calls: BTreeMap::new(),
             attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -112,10 +112,10 @@
     }
 }
 
-impl Channels {
+impl TaskChannels {
     pub(super) fn open_call(&mut self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.calls.insert(call, Entry { sender, service });
+        self.calls.insert(call, ChannelEntry { sender, service });
         receiver
     }
 
@@ -132,7 +132,7 @@
             return None;
         }
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.attempts.insert(attempt, Entry { sender, service });
+        self.attempts.insert(attempt, ChannelEntry { sender, service });
         Some(receiver)
     }
 
@@ -144,29 +144,29 @@
         let request = self.next_request;
         self.next_request = RequestNumber(request.0 + 1);
         let (sender, receiver) = oneshot::channel();
-        // Operators who no longer wait must not pile up.
-        self.requests.retain(|_, waiting| !waiting.is_closed());
+        // Removes requests whose operator has disconnected, which would otherwise accumulate.
+        self.requests.retain(|_, sender| !sender.is_closed());
         self.requests.insert(request, sender);
         (request, receiver)
     }
 
-    pub(super) fn to_call(&self, call: CallId, command: CallCommand) {
+    pub(super) fn send_to_call(&self, call: CallId, command: CallCommand) {
         if let Some(entry) = self.calls.get(&call) {
-            // A task that has ended has no use for the command.
+            // Sending fails only if the task has ended, and then the command has no effect.
             let _ = entry.sender.send(command);
         }
     }
 
-    pub(super) fn to_attempt(&self, attempt: AttemptId, command: AttemptCommand) {
+    pub(super) fn send_to_attempt(&self, attempt: AttemptId, command: AttemptCommand) {
         if let Some(entry) = self.attempts.get(&attempt) {
-            // A task that has ended has no use for the command.
+            // Sending fails only if the task has ended, and then the command has no effect.
             let _ = entry.sender.send(command);
         }
     }
 
     pub(super) fn reply(&mut self, request: RequestNumber, reply: OperatorReply) {
         if let Some(sender) = self.requests.remove(&request) {
-            // The operator may have gone.
+            // Sending fails if the operator has disconnected.
             let _ = sender.send(reply);
         }
     }
--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -1,7 +1,8 @@
-//! Drives the decision code: one lock around it, a timer, and channels to the tasks that carry outputs out.
+//! Drives the decision code: guards it with a lock, runs its timer and sends its outputs to the tasks that execute
+//! them.
 //!
-//! Use [`Driver::input`] for every event. Outputs are handed on under the same lock, so that two outputs about the same
-//! call always arrive in the order in which they were decided; handing on never waits.
+//! Use [`Driver::input`] for every event. Outputs are delivered under the same lock, so that the outputs for one call
+//! always arrive in the order in which they were decided. Delivery never waits.
 
 mod channels;
 mod timer;
@@ -21,22 +22,23 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 
 use crate::decisions::{Decisions, NodeEvent, NodeInput, NodeOutput, Statistic};
-use channels::Channels;
+use channels::TaskChannels;
 
 pub use channels::{ActiveRequest, AttemptCommand, CallCommand, RangeRequest};
 
-/// Takes messages to other nodes; must not wait.
+/// Sends messages to other nodes; its methods must not wait.
 pub trait MessageSink: Send + Sync + 'static {
     /// Queues `payload` for the node at `to`.
     fn send(&self, to: NodeAddress, incarnation: Option<Incarnation>, payload: Payload);
 
-    /// Tells the configuration revision now in force, which every message carries.
+    /// Sets the configuration revision now in force, which every message carries.
     fn set_revision(&self, _revision: Revision) {}
 }
 
 struct State {
     decisions: Box<dyn Decisions>,
-    channels: Channels,
+    channels: TaskChannels,
+    /// A buffer that is empty between steps and reused by each.
     outputs: Vec<NodeOutput>,
 }
 
@@ -44,18 +46,19 @@
 pub struct Driver {
     state: Mutex<State>,
     start: Instant,
+    /// Notifies the timer that the next wake may have changed.
     timer: Notify,
     ready_to_exit: watch::Sender<bool>,
     messages: Box<dyn MessageSink>,
 }
 
 impl Driver {
-    /// A driver around `decisions` that hands messages to other nodes to `messages`.
+    /// Creates a driver for `decisions` that sends messages to other nodes through `messages`.
     ///
-    /// Run [`Driver::run_timer`] next to it.
+    /// [`Driver::run_timer`] must run concurrently.
     pub fn new(decisions: Box<dyn Decisions>, messages: Box<dyn MessageSink>) -> Arc<Self> {
         Arc::new(Driver {
-            state: Mutex::new(State { decisions, channels: Channels::default(), outputs: Vec::new() }),
+            state: Mutex::new(State { decisions, channels: TaskChannels::default(), outputs: Vec::new() }),
             start: Instant::now(),
             timer: Notify::new(),
             ready_to_exit: watch::Sender::new(false),
@@ -68,38 +71,39 @@
         Timestamp(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Steps the decision code and hands on what it wants done.
+    /// Steps the decision code with `input` and delivers its outputs.
     pub fn input(&self, input: NodeInput) {
         let mut state = self.lock();
         self.step(&mut state, input);
     }
 
-    /// Hands an event to the edge.
+    /// Passes an event to the edge.
     pub fn edge_input(&self, input: EdgeInput) {
         self.input(NodeInput::Edge(input));
     }
 
-    /// Hands an event to the gate.
+    /// Passes an event to the gate.
     pub fn gate_input(&self, input: GateInput) {
         self.input(NodeInput::Gate(input));
     }
 
-    /// Queues a message to another node, as an output of the decision code does.
+    /// Queues a message to another node, like [`NodeOutput::Send`].
     pub fn send(&self, to: NodeAddress, incarnation: Option<Incarnation>, payload: Payload) {
         self.messages.send(to, incarnation, payload);
     }
 
-    /// Registers a call of the edge; its commands arrive at the receiver.
+    /// Registers a call at the edge and returns the receiver of its commands.
     pub fn open_call(&self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
         self.lock().channels.open_call(call, service)
     }
 
-    /// Forgets a call of the edge.
+    /// Removes a call at the edge.
     pub fn close_call(&self, call: CallId) {
         self.lock().channels.close_call(call);
     }
 
-    /// Registers an attempt at the gate; `None` if the same attempt is here already.
+    /// Registers an attempt at the gate and returns the receiver of its commands; `None` if the same attempt is already
+    /// registered.
     pub fn open_attempt(
         &self,
         attempt: AttemptId,
@@ -108,12 +112,12 @@
         self.lock().channels.open_attempt(attempt, service)
     }
 
-    /// Forgets an attempt at the gate.
+    /// Removes an attempt at the gate.
     pub fn close_attempt(&self, attempt: AttemptId) {
         self.lock().channels.close_attempt(attempt);
     }
 
-    /// Asks the node on behalf of an operator; the reply arrives at the receiver.
+    /// Passes an operator's request to the decision code and returns the receiver of the reply.
     pub fn operator_request(&self, body: OperatorRequest) -> oneshot::Receiver<OperatorReply> {
         let mut state = self.lock();
         let (request, receiver) = state.channels.open_request();
@@ -121,13 +125,13 @@
         receiver
     }
 
-    /// What the gate tells the edge with the answer to `attempt`.
+    /// The feedback that the gate sends to the edge with the answer to `attempt`.
     pub fn feedback(&self, attempt: Option<AttemptId>) -> Feedback {
         let mut state = self.lock();
         state.decisions.feedback(self.now(), attempt)
     }
 
-    /// What a call made below `parent` inherits; see [`Decisions::lend_tokens`].
+    /// The context that a child call of `parent` inherits; see [`Decisions::lend_tokens`].
     pub fn lend_tokens(&self, parent: CallId, wanted: u16) -> Option<ParentContext> {
         let mut state = self.lock();
         let lent = state.decisions.lend_tokens(self.now(), parent, wanted);
@@ -140,12 +144,12 @@
         self.lock().decisions.configuration()
     }
 
-    /// Whether the node takes calls.
+    /// Whether the node has finished starting and accepts calls.
     pub fn is_ready(&self) -> bool {
         self.lock().decisions.is_ready()
     }
 
-    /// Counts and levels of the decision code.
+    /// The counters and gauges of the decision code.
     pub fn statistics(&self) -> Vec<Statistic> {
         self.lock().decisions.statistics()
     }
@@ -155,13 +159,13 @@
         self.lock().channels.active_requests()
     }
 
-    /// Turns true when the node has stopped.
+    /// Returns a receiver whose value becomes true when the decision code is ready for the process to exit.
     pub fn ready_to_exit(&self) -> watch::Receiver<bool> {
         self.ready_to_exit.subscribe()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic in one call's step must not take the whole node down with it.
+        // Ignores poisoning: a panic in the step of one call must not stop the whole node.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -170,28 +174,28 @@
         let scheduled = decisions.next_wake();
         decisions.step(self.now(), input, outputs);
         for output in outputs.drain(..) {
-            self.carry_out(channels, output);
+            self.deliver(channels, output);
         }
         if decisions.next_wake() != scheduled {
             self.timer.notify_one();
         }
     }
 
-    fn carry_out(&self, channels: &mut Channels, output: NodeOutput) {
+    fn deliver(&self, channels: &mut TaskChannels, output: NodeOutput) {
         match output {
-            NodeOutput::Edge(output) => carry_out_edge(channels, output),
-            NodeOutput::Gate(output) => carry_out_gate(channels, output),
+            NodeOutput::Edge(output) => deliver_to_call(channels, output),
+            NodeOutput::Gate(output) => deliver_to_attempt(channels, output),
             NodeOutput::Send { to, incarnation, payload } => self.messages.send(to, incarnation, payload),
             NodeOutput::Operator { request, reply } => channels.reply(request, *reply),
-            NodeOutput::Event(event) => self.event(&event),
-            NodeOutput::Ready => log::info!("the node takes calls"),
+            NodeOutput::Event(event) => self.handle_event(&event),
+            NodeOutput::Ready => log::info!("the node is ready and accepts calls"),
             NodeOutput::ReadyToExit => {
                 self.ready_to_exit.send_replace(true);
             }
         }
     }
 
-    fn event(&self, event: &NodeEvent) {
+    fn handle_event(&self, event: &NodeEvent) {
         log::info!(target: "quillhatch::state", "{event}");
         if let NodeEvent::Control(ControlEvent::ConfigurationAccepted { revision }) = event {
             self.messages.set_revision(*revision);
@@ -199,38 +203,38 @@
     }
 }
 
-fn carry_out_edge(channels: &mut Channels, output: EdgeOutput) {
+fn deliver_to_call(channels: &mut TaskChannels, output: EdgeOutput) {
     match output {
         EdgeOutput::Send { target, context } => {
             let call = context.call;
-            channels.to_call(call, CallCommand::Send { target, context, range: None });
+            channels.send_to_call(call, CallCommand::Send { target, context, range: None });
         }
         EdgeOutput::Resume { target, context, offset, validator } => {
             let call = context.call;
             let range = Some(RangeRequest { offset, validator });
-            channels.to_call(call, CallCommand::Send { target, context, range });
+            channels.send_to_call(call, CallCommand::Send { target, context, range });
         }
-        EdgeOutput::CancelAttempt { attempt } => channels.to_call(attempt.call, CallCommand::Cancel(attempt)),
-        EdgeOutput::Finish { call, answer } => channels.to_call(call, CallCommand::Finish(answer)),
-        EdgeOutput::BreakOff { call } => channels.to_call(call, CallCommand::BreakOff),
-        // These two are for other parts of the node and end inside the decision code.
+        EdgeOutput::CancelAttempt { attempt } => channels.send_to_call(attempt.call, CallCommand::Cancel(attempt)),
+        EdgeOutput::Finish { call, answer } => channels.send_to_call(call, CallCommand::Finish(answer)),
+        EdgeOutput::BreakOff { call } => channels.send_to_call(call, CallCommand::BreakOff),
+        // The decision code handles these outputs itself.
         EdgeOutput::ReturnTokens { .. } | EdgeOutput::FetchTable { .. } => {}
     }
 }
 
-fn carry_out_gate(channels: &mut Channels, output: GateOutput) {
+fn deliver_to_attempt(channels: &mut TaskChannels, output: GateOutput) {
     match output {
         GateOutput::Dispatch { attempt, remaining } => {
-            channels.to_attempt(attempt, AttemptCommand::Dispatch { remaining });
+            channels.send_to_attempt(attempt, AttemptCommand::Dispatch { remaining });
         }
         GateOutput::Refuse { attempt, refusal, feedback } => {
-            channels.to_attempt(attempt, AttemptCommand::Refuse { refusal, feedback });
+            channels.send_to_attempt(attempt, AttemptCommand::Refuse { refusal, feedback });
         }
         GateOutput::Replay { attempt, answer, feedback } => {
-            channels.to_attempt(attempt, AttemptCommand::Replay { answer, feedback });
+            channels.send_to_attempt(attempt, AttemptCommand::Replay { answer, feedback });
         }
-        GateOutput::CancelDispatched { attempt } => channels.to_attempt(attempt, AttemptCommand::Cancel),
-        // These are for other parts of the node and end inside the decision code.
+        GateOutput::CancelDispatched { attempt } => channels.send_to_attempt(attempt, AttemptCommand::Cancel),
+        // The decision code handles these outputs itself.
         GateOutput::RequestClaim(_)
         | GateOutput::ClaimFinished { .. }
         | GateOutput::ClaimReleased { .. }
@@ -244,7 +248,7 @@
     }
 }
 
-/// Drops every message: for nodes and tests without peers.
+/// A sink that discards every message, for nodes and tests without peers.
 #[derive(Clone, Copy, Debug)]
 pub struct NullMessageSink;
 
@@ -252,5 +256,5 @@
     fn send(&self, _to: NodeAddress, _incarnation: Option<Incarnation>, _payload: Payload) {}
 }
 
-/// The first number given to an operator's request.
+/// The number of the first operator request.
 const FIRST_REQUEST: RequestNumber = RequestNumber(1);
--- a/crates/quillhatch/src/driver/timer.rs
+++ b/crates/quillhatch/src/driver/timer.rs
@@ -1,4 +1,4 @@
-//! Steps the decision code when it asked to be woken.
+//! Steps the decision code at the times that it requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,11 +7,13 @@
 
 use super::Driver;
 
-/// The pause after a tick that asked to be woken in the past, so that it cannot keep a processor busy.
-const PAUSE_WHEN_OVERDUE: Duration = Duration::from_micros(200);
+/// The pause after a tick, so that decision code that keeps requesting a wake time in the past can't occupy a
+/// processor.
+const PAUSE_AFTER_TICK: Duration = Duration::from_micros(200);
 
 impl Driver {
-    /// Steps the node with [`NodeInput::Tick`] whenever its next wake has come; runs until it is dropped.
+    /// Steps the node with [`NodeInput::Tick`] whenever its next wake time is reached; runs until the future is
+    /// dropped.
     pub async fn run_timer(self: Arc<Self>) {
         loop {
             let wake = self.lock().decisions.next_wake();
@@ -22,10 +24,10 @@
             let pause = self.now().until(wake);
             if pause.is_zero() {
                 self.input(NodeInput::Tick);
-                tokio::time::sleep(PAUSE_WHEN_OVERDUE).await;
+                tokio::time::sleep(PAUSE_AFTER_TICK).await;
                 continue;
             }
-            // A notification means that the next wake may have changed.
+            // A notification means that the next wake time may have changed.
             tokio::select! {
                 () = self.timer.notified() => {}
                 () = tokio::time::sleep(pause) => {}
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -32,8 +32,8 @@
         self.call
     }
 
-    /// Marks the call as ended: its answer was delivered completely, refused or aborted. Returns false if it had already
-    /// ended.
+    /// Marks the call as ended: its answer was delivered completely, refused or aborted. Returns false if it had
+    /// already ended.
     pub fn end(&mut self) -> bool {
         !std::mem::replace(&mut self.ended, true)
     }
@@ -222,8 +222,8 @@
     }
 }
 
-/// The refusal for inconsistent outputs of the decision code, such as relaying an attempt without a response. It is unknown
-/// whether the call ran.
+/// The refusal for inconsistent outputs of the decision code, such as relaying an attempt without a response. It is
+/// unknown whether the call ran.
 fn outcome_unknown() -> Refusal {
     Refusal::unknown(quillhatch_types::RefusalReason::ConnectionLost)
 }
--- a/crates/quillhatch/src/edge/mod.rs
+++ b/crates/quillhatch/src/edge/mod.rs
@@ -1,9 +1,9 @@
-//! Handles the listeners for callers and for the calls that the node's own back end makes: accepts calls, sends attempts to
-//! gates and streams answers back.
+//! Handles the listeners for callers and for the calls that the node's own back end makes: accepts calls, sends
+//! attempts to gates and streams answers back.
 //!
 //! A call passes through these phases: its head is read ([`request`]), its body is buffered or streamed
-//! ([`request_body`]), attempts are sent as the decision code requests ([`call`], [`attempt`]), and the answer is relayed
-//! ([`relay`]).
+//! ([`request_body`]), attempts are sent as the decision code requests ([`call`], [`attempt`]), and the answer is
+//! relayed ([`relay`]).
 
 pub mod attempt;
 pub mod call;
--- a/crates/quillhatch/src/edge/relay.rs
+++ b/crates/quillhatch/src/edge/relay.rs
@@ -60,7 +60,8 @@
     response.bytes_stream().map_err(|_| BodyError::Upstream).boxed()
 }
 
-/// The strong validator that allows another target to send the rest of the answer; `None` if the answer can't be resumed.
+/// The strong validator that allows another target to send the rest of the answer; `None` if the answer can't be
+/// resumed.
 fn strong_validator(method: &Method, status: StatusCode, headers: &HeaderMap) -> Option<StrongValidator> {
     let whole = method == Method::GET && status == StatusCode::OK;
     let ranges = headers.get(ACCEPT_RANGES).is_some_and(|unit| unit == "bytes");
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Whether the chunk fits the announced length. A source that sends more than announced counts as broken, like one that
-    /// sends less.
+    /// Whether the chunk fits the announced length. A source that sends more than announced counts as broken, like one
+    /// that sends less.
     fn fits(&self, chunk: &Bytes) -> bool {
         self.length.is_none_or(|length| self.received + chunk.len() as u64 <= length)
     }
@@ -129,7 +130,8 @@
         self.length.is_none_or(|length| self.received == length)
     }
 
-    /// Reports the end together with the last byte, since the server does not poll the body beyond the announced length.
+    /// Reports the end together with the last byte, since the server does not poll the body beyond the announced
+    /// length.
     fn end_if_complete(&mut self) {
         if self.length == Some(self.received) {
             self.end();
--- a/crates/quillhatch/src/edge/request.rs
+++ b/crates/quillhatch/src/edge/request.rs
@@ -105,8 +105,9 @@
     })
 }
 
-/// Finds the service and the path to send to its back end. If the host selects the service, the path is unchanged; otherwise
-/// the first path segment selects the service and is removed, so that the back end sees the same paths either way.
+/// Finds the service and the path to send to its back end. If the host selects the service, the path is unchanged;
+/// otherwise the first path segment selects the service and is removed, so that the back end sees the same paths either
+/// way.
 fn find_service<'a>(
     head: &Parts,
     configuration: &'a Configuration,
--- a/crates/quillhatch/src/edge/request_body.rs
+++ b/crates/quillhatch/src/edge/request_body.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The digest of method, path and body, which distinguishes a retry from a different request under the same key; `None`
-    /// if the body is streamed.
+    /// The digest of method, path and body, which distinguishes a retry from a different request under the same key;
+    /// `None` if the body is streamed.
     pub fn digest(&self, method: &str, path: &str) -> Option<Digest> {
         match &self.source {
             Source::Buffered(bytes) => {
--- a/crates/quillhatch/src/edge/unaccepted.rs
+++ b/crates/quillhatch/src/edge/unaccepted.rs
@@ -1,4 +1,5 @@
-//! Counts and logs attempts that gates reject because they can't authenticate them, usually because of different fleet keys.
+//! Counts and logs attempts that gates reject because they can't authenticate them, usually because of different fleet
+//! keys.
 //!
 //! A call treats such a gate like any other unusable target, so nothing else would show the problem to an operator.
 
@@ -25,8 +26,8 @@
 }
 
 impl UnacceptedAttempts {
-    /// Checks whether a response of `gate` rejects the attempt. Counts each rejection, and logs the first one and the first
-    /// accepted attempt after it.
+    /// Checks whether a response of `gate` rejects the attempt. Counts each rejection, and logs the first one and the
+    /// first accepted attempt after it.
     pub fn record(&self, gate: NodeAddress, headers: &HeaderMap, counters: &Counters) {
         match headers.get(UNACCEPTED) {
             Some(value) => {
@@ -60,7 +61,8 @@
     }
 }
 
-/// The metric label for a reason that a gate sent. The value comes from the network, so that only known codes become labels.
+/// The metric label for a reason that a gate sent. The value comes from the network, so that only known codes become
+/// labels.
 fn reason_label(value: &[u8]) -> &'static str {
     let known = CallHeaderError::ALL.map(CallHeaderError::code);
     known.into_iter().find(|code| code.as_bytes() == value).unwrap_or("other")
--- a/crates/quillhatch/src/gate/attempt.rs
+++ b/crates/quillhatch/src/gate/attempt.rs
@@ -1,4 +1,5 @@
-//! Runs one attempt at the gate: waits for the decision, then refuses it, replays an answer or sends it to the back end.
+//! Runs one attempt at the gate: waits for the decision, then refuses it, replays an answer or sends it to the back
+//! end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -92,8 +93,8 @@
         self.report_disconnect();
         match self.phase {
             Phase::Waiting => {
-                // The attempt was dispatched, but its task was dropped before it received the command. Without this report
-                // the decision code would count the attempt as running forever.
+                // The attempt was dispatched, but its task was dropped before it received the command. Without this
+                // report the decision code would count the attempt as running forever.
                 let is_dispatch = |command| matches!(command, AttemptCommand::Dispatch { .. });
                 if self.commands.try_recv().is_ok_and(is_dispatch) {
                     self.end(AnswerEnd::ConnectFailed);
--- a/crates/quillhatch/src/gate/backend.rs
+++ b/crates/quillhatch/src/gate/backend.rs
@@ -36,8 +36,9 @@
 impl Backend {
     /// Sends the request of `call` and waits for the head of the answer.
     ///
-    /// `remaining` is sent to the back end as its deadline but does not bound the wait here. The decision code bounds it by
-    /// cancelling the attempt: a call that is not repeatable may continue for a while after its caller's deadline.
+    /// `remaining` is sent to the back end as its deadline but does not bound the wait here. The decision code bounds
+    /// it by cancelling the attempt: a call that is not repeatable may continue for a while after its caller's
+    /// deadline.
     pub async fn send(&self, call: CallId, mut head: Parts, body: Incoming, remaining: Duration) -> BackendOutcome {
         let length = content_length(&head.headers);
         remove_hop_by_hop(&mut head.headers);
--- a/crates/quillhatch/src/gate/background.rs
+++ b/crates/quillhatch/src/gate/background.rs
@@ -1,7 +1,7 @@
 //! Runs requests at the back end that continue after the edge has disconnected.
 //!
-//! The decision code lets a call continue if it is not repeatable: its answer is read to the end, so that a retry with the
-//! same key gets the answer. These tasks belong to the node, not to a connection, and end with the node.
+//! The decision code lets a call continue if it is not repeatable: its answer is read to the end, so that a retry with
+//! the same key gets the answer. These tasks belong to the node, not to a connection, and end with the node.
 
 use std::future::Future;
 use std::sync::{Mutex, PoisonError};
--- a/crates/quillhatch/src/gate/head_wait.rs
+++ b/crates/quillhatch/src/gate/head_wait.rs
@@ -1,5 +1,5 @@
-//! Waits for the head of a back end's answer. If the edge disconnects and the request must be completed, the wait continues
-//! in the background.
+//! Waits for the head of a back end's answer. If the edge disconnects and the request must be completed, the wait
+//! continues in the background.
 
 use std::sync::Arc;
 
@@ -65,8 +65,8 @@
         HeadWait(Some(PendingRequest { task, method, request }))
     }
 
-    /// Waits for the head. If the returned future is dropped, the decision code decides whether the request continues in the
-    /// background.
+    /// Waits for the head. If the returned future is dropped, the decision code decides whether the request continues
+    /// in the background.
     pub async fn wait(mut self) -> HeadOutcome {
         let outcome = match &mut self.0 {
             Some(pending) => pending.wait().await,
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -1,8 +1,9 @@
 //! Handles the listener for peers: authenticates and runs attempts of calls, and receives control frames.
 //!
-//! An attempt's header is verified, the decision code decides when to dispatch it ([`attempt`]), the request is sent to the
-//! back end ([`backend`]), the head of the answer is awaited ([`head_wait`]), and the answer streams back with the gate's
-//! feedback ([`relay`]). A request that must be completed after its edge has disconnected continues in the [`background`].
+//! An attempt's header is verified, the decision code decides when to dispatch it ([`attempt`]), the request is sent to
+//! the back end ([`backend`]), the head of the answer is awaited ([`head_wait`]), and the answer streams back with the
+//! gate's feedback ([`relay`]). A request that must be completed after its edge has disconnected continues in the
+//! [`background`].
 
 pub mod attempt;
 pub mod backend;
--- a/crates/quillhatch/src/gate/relay.rs
+++ b/crates/quillhatch/src/gate/relay.rs
@@ -98,7 +98,8 @@
         let _ = tokio::time::timeout(MAX_BACKGROUND_RUN, async { while self.next().await.is_some() {} }).await;
     }
 
-    /// Reports the end together with the last byte, since the server does not poll the body beyond the announced length.
+    /// Reports the end together with the last byte, since the server does not poll the body beyond the announced
+    /// length.
     fn end_if_complete(&mut self) {
         if self.length == Some(self.bytes) {
             self.end();
@@ -145,8 +146,8 @@
     }
 }
 
-/// A body that is relayed to the edge. If the edge disconnects and the request must be completed, the body is read to its
-/// end in the background.
+/// A body that is relayed to the edge. If the edge disconnects and the request must be completed, the body is read to
+/// its end in the background.
 struct RelayedBody(Option<BackendBody>);
 
 impl Drop for RelayedBody {
--- a/crates/quillhatch/src/peers/receiver.rs
+++ b/crates/quillhatch/src/peers/receiver.rs
@@ -1,4 +1,4 @@
-//! Takes frames of other nodes, checks them and hands their payloads to the decision code.
+//! Receives frames from other nodes, authenticates them and passes their payloads to the decision code.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,17 +8,17 @@
 use quillhatch_messages::{FrameOpener, ProtocolVersion};
 use quillhatch_types::NodeAddress;
 
-use super::{split, MAXIMUM_BATCH_BYTES};
+use super::{split_frames, MAX_BATCH_BYTES};
 use crate::decisions::NodeInput;
 use crate::driver::Driver;
 use crate::http::body::{buffer_body, incoming, BufferedBody};
 use crate::http::{body, Answer};
 use crate::metrics::Counters;
 
-/// The newest protocol version that each peer was heard to read.
+/// The newest protocol version that each peer announced in its frames.
 pub type PeerVersions = Arc<Mutex<BTreeMap<NodeAddress, ProtocolVersion>>>;
 
-/// Takes frames of other nodes.
+/// Receives frames from other nodes.
 #[derive(Debug)]
 pub struct FrameReceiver {
     opener: Mutex<FrameOpener>,
@@ -28,15 +28,17 @@
 }
 
 impl FrameReceiver {
-    /// A receiver that checks frames with `opener` and notes the versions of their senders.
+    /// Creates a receiver that opens frames with `opener` and records the protocol versions of their senders in
+    /// `versions`.
     pub fn new(opener: FrameOpener, versions: PeerVersions, driver: Arc<Driver>, counters: Arc<Counters>) -> Self {
         FrameReceiver { opener: Mutex::new(opener), versions, driver, counters }
     }
 
-    /// Takes the body of a request: 204 if it could be read, whatever became of each frame.
+    /// Receives the body of a request. Responds with 204 if it could be split_frames into frames, even if frames were
+    /// rejected.
     pub async fn receive(&self, request: Incoming) -> Answer {
-        let status = match buffer_body(incoming(request), MAXIMUM_BATCH_BYTES as u64).await {
-            Ok(BufferedBody::Complete(batch)) => self.take(&batch),
+        let status = match buffer_body(incoming(request), MAX_BATCH_BYTES as u64).await {
+            Ok(BufferedBody::Complete(batch)) => self.process_batch(&batch),
             Ok(BufferedBody::OverLimit(_)) => StatusCode::PAYLOAD_TOO_LARGE,
             Err(_) => StatusCode::BAD_REQUEST,
         };
@@ -45,18 +47,18 @@
         answer
     }
 
-    fn take(&self, batch: &[u8]) -> StatusCode {
-        let Some(frames) = split(batch) else {
+    fn process_batch(&self, batch: &[u8]) -> StatusCode {
+        let Some(frames) = split_frames(batch) else {
             self.counters.rejected_frames.inc();
             return StatusCode::BAD_REQUEST;
         };
         for frame in frames {
-            self.open(frame);
+            self.process_frame(frame);
         }
         StatusCode::NO_CONTENT
     }
 
-    fn open(&self, frame: &[u8]) {
+    fn process_frame(&self, frame: &[u8]) {
         let opened = self.opener.lock().unwrap_or_else(PoisonError::into_inner).open(frame);
         match opened {
             Ok(opened) => {
--- a/crates/quillhatch/src/peers/tests.rs
+++ b/crates/quillhatch/src/peers/tests.rs
@@ -1,25 +1,25 @@
-//! Tests of batches of frames.
+//! Tests of encoding and splitting batches of frames.
 
 use super::*;
 
 #[test]
-fn a_batch_gives_its_frames_back() {
+fn a_batch_splits_into_its_frames() {
     let mut batch = Vec::new();
     for frame in [b"first".as_slice(), b"", b"third"] {
-        append(&mut batch, frame);
+        append_frame(&mut batch, frame);
     }
-    assert_eq!(split(&batch), Some(vec![b"first".as_slice(), b"", b"third"]));
-    assert_eq!(split(&[]), Some(Vec::new()));
+    assert_eq!(split_frames(&batch), Some(vec![b"first".as_slice(), b"", b"third"]));
+    assert_eq!(split_frames(&[]), Some(Vec::new()));
 }
 
 #[test]
-fn a_cut_batch_is_refused_whole() {
+fn a_truncated_batch_is_rejected_completely() {
     let mut batch = Vec::new();
-    append(&mut batch, b"first");
-    append(&mut batch, b"second");
+    append_frame(&mut batch, b"first");
+    append_frame(&mut batch, b"second");
     for end in 1..batch.len() {
         let whole = end == LENGTH_BYTES + b"first".len();
-        assert_eq!(split(&batch[..end]).is_some(), whole, "cut at {end}");
+        assert_eq!(split_frames(&batch[..end]).is_some(), whole, "cut at {end}");
     }
-    assert_eq!(split(&[0xff; 16]), None);
+    assert_eq!(split_frames(&[0xff; 16]), None);
 }
