--- a/crates/settings/src/configuration/read.rs
+++ b/crates/settings/src/configuration/read.rs
@@ -1,4 +1,4 @@
-//! Reads the tree of a configuration document into the configuration.
+//! Converts the parsed tree of a configuration document to a [`Configuration`].
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use super::service::{read_service, ServiceContext};
 use super::sites::read_sites;
 use super::MAX_SAFE_INTEGER;
-use crate::document::Node;
+use crate::document::ValueNode;
 use crate::report::Report;
 use crate::section::{Field, Section};
 
 const FORMATIONS: [(&str, Formation); 2] = [("new", Formation::New), ("existing", Formation::Existing)];
 
-/// Reads the configuration; `None` if a key without default is missing or wrong, which is reported.
-pub(super) fn read(report: &mut Report<'_>, node: &Node) -> Option<Configuration> {
+/// Reads the configuration. Returns `None` if a key without default is missing or invalid, which is reported.
+pub(super) fn read(report: &mut Report<'_>, node: &ValueNode) -> Option<Configuration> {
     let mut root = Section::open(report, &Field::root(node))?;
     let deployment = root.require(report, "deployment").and_then(|field| field.name(report, DeploymentName::new));
     let revision = root.require(report, "revision").and_then(|field| field.integer(report, 1..=MAX_SAFE_INTEGER));
@@ -40,11 +40,11 @@
 ) -> Option<BTreeMap<ServiceName, ServiceConfiguration>> {
     let field = root.require(report, "services")?;
     let mut services = BTreeMap::new();
-    for (name, name_spot, member) in field.members(report) {
+    for (name, name_location, member) in field.members(report) {
         let checked = ServiceName::new(name);
         if let Err(error) = &checked {
             let problem = format!("{name:?} is not accepted as the name of a service: {error}");
-            report.error(&name_spot, problem, "choose another name");
+            report.error(&name_location, problem, "choose another name");
         }
         let service = read_service(report, &member, checked.ok(), context);
         services.extend(service.map(|service| (service.name.clone(), service)));
@@ -52,7 +52,7 @@
     Some(services)
 }
 
-/// The epoch in `key`, or zero.
+/// Reads the epoch in `key`; zero if the key is missing.
 pub(super) fn read_epoch(report: &mut Report<'_>, section: &mut Section<'_>, key: &'static str) -> Epoch {
     Epoch(section.optional(report, key, 0, |field, report| field.integer(report, 0..=MAX_SAFE_INTEGER)))
 }
--- a/crates/settings/src/configuration/render.rs
+++ b/crates/settings/src/configuration/render.rs
@@ -1,4 +1,4 @@
-//! Writes a configuration as a document.
+//! Renders a configuration as a JSON document.
 
 use std::collections::BTreeMap;
 
@@ -48,10 +48,10 @@
     large_answers: bool,
 }
 
-/// Writes `configuration` as a document that [`parse_configuration`](super::parse_configuration) reads as the same value.
+/// Renders `configuration` as a document.
 ///
-/// This holds for every value that came from `parse_configuration`. Another one may break a rule that the document has
-/// to keep; it is written all the same, and reading it tells what is wrong.
+/// A value that [`parse_configuration`](super::parse_configuration) returned is parsed back to the same value. Another
+/// value may violate a rule of the document; it is rendered unchecked, and parsing the document reports the errors.
 pub fn render_configuration(configuration: &Configuration) -> String {
     let services = configuration.services.iter().map(|(name, service)| (name.as_str(), service_document(service)));
     let document = ConfigurationDocument {
@@ -61,7 +61,7 @@
         sites: &configuration.sites,
         services: services.collect(),
     };
-    let mut text = serde_json::to_string_pretty(&document).expect("texts, numbers and lists always serialize");
+    let mut text = serde_json::to_string_pretty(&document).expect("strings, numbers and arrays always serialize");
     text.push('\n');
     text
 }
--- a/crates/settings/src/configuration/service.rs
+++ b/crates/settings/src/configuration/service.rs
@@ -1,4 +1,4 @@
-//! Services, their targets and the checks between their parts.
+//! Reads services with their classes and targets, and checks that the parts are consistent.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -10,23 +10,23 @@
 
 use super::class::{read_class, LocatedClass};
 use super::read::read_epoch;
-use super::sites::Sites;
+use super::sites::DeclaredSites;
 use super::MAX_SLOT_COUNT;
-use crate::report::{Report, Spot};
+use crate::report::{Report, ValueLocation};
 use crate::section::{Field, Section};
 
-/// How long a claim is kept if the service does not say.
+/// The default retention time of a claim.
 pub(super) const DEFAULT_CLAIM_RETENTION: Duration = Duration::from_secs(3600);
-/// How many claims a voter keeps if the service does not say.
+/// The default maximum number of claims that a voter retains.
 pub(super) const DEFAULT_CLAIM_CAPACITY: u32 = 100_000;
-/// The largest recorded answer if the service does not say, in bytes.
+/// The default maximum size of an answer that is recorded for replay, in bytes.
 pub(super) const DEFAULT_REPLAY_LIMIT_BYTES: u32 = 16 << 10;
-/// The shortest time of an answer if the service does not say.
+/// The default minimum time that a service needs to respond; calls with less time left are refused.
 pub(super) const DEFAULT_MINIMUM_TIME: Duration = Duration::from_millis(1);
-/// The longest wait in a queue if the service does not say.
+/// The default maximum time that a call waits in a queue.
 pub(super) const DEFAULT_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-const RETENTIONS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(7 * 24 * 3600);
+const CLAIM_RETENTIONS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(7 * 24 * 3600);
 const CLAIM_CAPACITIES: RangeInclusive<u64> = 1..=10_000_000;
 const REPLAY_LIMITS: RangeInclusive<u64> = 0..=1 << 20;
 const MINIMUM_TIMES: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
@@ -34,24 +34,26 @@
 const REFUSAL_CODES: RangeInclusive<u64> = 400..=599;
 const TARGET_SLOTS: RangeInclusive<u64> = 1..=100_000;
 const TARGET_CONNECTIONS: RangeInclusive<u64> = 1..=1_000_000;
-const WHOLE_SHARE: u64 = 100;
+const TOTAL_SHARE_PERCENT: u64 = 100;
 
-/// What the services of one document share: the sites, and what only one service may have.
+/// The state shared by the services of one document: the sites, and the nodes and hosts that may be used only once.
 #[derive(Debug)]
 pub(super) struct ServiceContext<'sites> {
-    sites: &'sites Sites,
-    nodes: BTreeMap<NodeAddress, String>,
-    hosts: BTreeMap<String, String>,
+    sites: &'sites DeclaredSites,
+    /// The path of the target at each node.
+    target_paths: BTreeMap<NodeAddress, String>,
+    /// The path at which each host was given.
+    host_paths: BTreeMap<String, String>,
 }
 
 impl<'sites> ServiceContext<'sites> {
-    /// The context before the first service.
-    pub(super) fn new(sites: &'sites Sites) -> Self {
-        ServiceContext { sites, nodes: BTreeMap::new(), hosts: BTreeMap::new() }
+    /// Creates the context for the first service.
+    pub(super) fn new(sites: &'sites DeclaredSites) -> Self {
+        ServiceContext { sites, target_paths: BTreeMap::new(), host_paths: BTreeMap::new() }
     }
 }
 
-/// Reads one service; `None` if a key without default is missing or wrong, which is reported.
+/// Reads one service. Returns `None` if a key without default is missing or invalid, which is reported.
 pub(super) fn read_service(
     report: &mut Report<'_>,
     field: &Field<'_>,
@@ -64,8 +66,9 @@
         let count = field.integer(report, 1..=u64::from(MAX_SLOT_COUNT))?;
         u16::try_from(count).ok()
     });
-    let claim_retention = section
-        .optional(report, "claim_retention", DEFAULT_CLAIM_RETENTION, |field, report| field.time(report, RETENTIONS));
+    let claim_retention = section.optional(report, "claim_retention", DEFAULT_CLAIM_RETENTION, |field, report| {
+        field.duration(report, CLAIM_RETENTIONS)
+    });
     let claim_capacity = section.optional(report, "claim_capacity", DEFAULT_CLAIM_CAPACITY, |field, report| {
         u32::try_from(field.integer(report, CLAIM_CAPACITIES)?).ok()
     });
@@ -74,9 +77,10 @@
     });
     let refused_before_running = read_refusal_codes(report, &mut section);
     let minimum_time = section
-        .optional(report, "minimum_time", DEFAULT_MINIMUM_TIME, |field, report| field.time(report, MINIMUM_TIMES));
-    let queue_timeout = section
-        .optional(report, "queue_timeout", DEFAULT_QUEUE_TIMEOUT, |field, report| field.time(report, QUEUE_TIMEOUTS));
+        .optional(report, "minimum_time", DEFAULT_MINIMUM_TIME, |field, report| field.duration(report, MINIMUM_TIMES));
+    let queue_timeout = section.optional(report, "queue_timeout", DEFAULT_QUEUE_TIMEOUT, |field, report| {
+        field.duration(report, QUEUE_TIMEOUTS)
+    });
     let minimum_epoch = read_epoch(report, &mut section, "minimum_epoch");
     let classes = read_classes(report, &mut section);
     let targets = read_targets(report, &mut section, context);
@@ -106,18 +110,22 @@
 fn read_hosts(report: &mut Report<'_>, section: &mut Section<'_>, context: &mut ServiceContext<'_>) -> Vec<String> {
     let mut hosts = Vec::new();
     for item in section.list(report, "hosts") {
-        let Some(host) = item.text(report) else {
+        let Some(host) = item.string(report) else {
             continue;
         };
         let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-._:[]".contains(&byte);
         if host.is_empty() || !host.bytes().all(allowed) {
-            let problem = format!("{host:?} is no host in lower case");
-            report.error(&item.spot, problem, "write a host as callers name it, such as \"giving.example.org\"");
+            let problem = format!("{host:?} is not a Host value in lower case");
+            report.error(
+                &item.location,
+                problem,
+                "write the Host value that callers send, such as \"giving.example.org\"",
+            );
             continue;
         }
-        if let Some(other) = context.hosts.insert(host.to_string(), item.spot.path.clone()) {
+        if let Some(other) = context.host_paths.insert(host.to_string(), item.location.path.clone()) {
             let problem = format!("the host {host} is already given by {other}");
-            report.error(&item.spot, problem, "let each host select one service");
+            report.error(&item.location, problem, "use each host for one service only");
             continue;
         }
         hosts.push(host.to_string());
@@ -132,7 +140,7 @@
             continue;
         };
         if codes.contains(&code) {
-            report.error(&item.spot, format!("the status code {code} is given twice"), "remove one of the two");
+            report.error(&item.location, format!("the status code {code} is given twice"), "remove one of the two");
             continue;
         }
         codes.push(code);
@@ -146,7 +154,11 @@
     };
     let items = field.items(report);
     if items.is_empty() {
-        report.error(&field.spot, "the service has no class", "give at least one class; a call without one is refused");
+        report.error(
+            &field.location,
+            "the service has no class",
+            "give at least one class; a call without one is refused",
+        );
     }
     let mut classes: Vec<LocatedClass> = Vec::new();
     for item in &items {
@@ -154,23 +166,23 @@
             continue;
         };
         for other in &classes {
-            check_pair(report, &class, other);
+            check_distinct_classes(report, &class, other);
         }
         classes.push(class);
     }
     classes
 }
 
-/// Reports two classes that can't be told apart.
-fn check_pair(report: &mut Report<'_>, class: &LocatedClass, other: &LocatedClass) {
+/// Reports two classes that have the same name or match the same requests.
+fn check_distinct_classes(report: &mut Report<'_>, class: &LocatedClass, other: &LocatedClass) {
     let (ours, theirs) = (&class.configuration, &other.configuration);
     if ours.name == theirs.name {
         let problem = format!("the class {} is given twice", ours.name);
-        report.error(&class.spots.name, problem, "give each class its own name");
+        report.error(&class.locations.name, problem, "give each class its own name");
     }
     if ours.path_prefix == theirs.path_prefix && methods_overlap(ours, theirs) {
         let problem = format!("the class {} matches the same requests as the class {}", ours.name, theirs.name);
-        report.error(&class.spots.path_prefix, problem, "give each its own methods or another path_prefix");
+        report.error(&class.locations.path_prefix, problem, "give each its own methods or another path_prefix");
     }
 }
 
@@ -189,7 +201,7 @@
     };
     let items = field.items(report);
     if items.is_empty() {
-        report.warning(&field.spot, "the service has no target", "every call is refused until there is one");
+        report.warning(&field.location, "the service has no target", "every call is refused until there is one");
     }
     items.iter().filter_map(|item| read_target(report, item, context)).collect()
 }
@@ -207,13 +219,13 @@
     let connections =
         section.require(report, "connections").and_then(|field| field.integer(report, TARGET_CONNECTIONS));
     if let Some(site) = &site {
-        context.sites.check_site(report, &section.spot("site"), site);
+        context.sites.check_site(report, &section.location_of("site"), site);
         if let Some(zone) = &zone {
-            context.sites.check_zone(report, &section.spot("zone"), site, zone);
+            context.sites.check_zone(report, &section.location_of("zone"), site, zone);
         }
     }
     if let Some(node) = node {
-        check_node(report, &section.spot("node"), node, &section.spot, context);
+        check_node(report, &section.location_of("node"), node, &section.location, context);
     }
     if let (Some(slots), Some(connections)) = (slots, connections) {
         check_connections(report, &section, slots, connections);
@@ -228,81 +240,85 @@
     })
 }
 
-/// Reports a node that is a target already: a node stands beside one back end of one service.
+/// Reports a node that is already a target: a node serves one back end of one service.
 fn check_node(
     report: &mut Report<'_>,
-    spot: &Spot,
+    location: &ValueLocation,
     node: NodeAddress,
-    target: &Spot,
+    target: &ValueLocation,
     context: &mut ServiceContext<'_>,
 ) {
-    let Some(other) = context.nodes.get(&node) else {
-        context.nodes.insert(node, target.path.clone());
+    let Some(other) = context.target_paths.get(&node) else {
+        context.target_paths.insert(node, target.path.clone());
         return;
     };
     let problem = format!("the node {node} is already the target {other}");
-    report.error(spot, problem, "give each target the peer address of its own node");
+    report.error(location, problem, "give each target the peer address of its own node");
 }
 
 fn check_connections(report: &mut Report<'_>, section: &Section<'_>, slots: u64, connections: u64) {
     if connections < slots {
         let problem = format!("{connections} connections can't carry {slots} calls at once");
-        report.warning(&section.spot("connections"), problem, "raise connections or lower slots");
+        report.warning(&section.location_of("connections"), problem, "raise connections or lower slots");
     }
 }
 
 fn read_site_shares(
     report: &mut Report<'_>,
     section: &mut Section<'_>,
-    sites: &Sites,
+    sites: &DeclaredSites,
     targets: &[TargetConfiguration],
 ) -> BTreeMap<SiteName, u8> {
     let Some(field) = section.take("site_shares") else {
-        return default_shares(report, section, sites);
+        return default_site_shares(report, section, sites);
     };
     let mut shares = BTreeMap::new();
     let mut sum = 0;
     let mut complete = true;
-    for (name, name_spot, member) in field.members(report) {
+    for (name, name_location, member) in field.members(report) {
         let site = SiteName::new(name).ok();
-        let share = member.integer(report, 0..=WHOLE_SHARE);
+        let share = member.integer(report, 0..=TOTAL_SHARE_PERCENT);
         complete &= share.is_some();
         sum += share.unwrap_or(0);
         let Some(site) = site else {
-            report.error(&name_spot, format!("there is no site {name:?}"), "name one of the document's sites");
+            report.error(&name_location, format!("there is no site {name:?}"), "use one of the document's sites");
             continue;
         };
-        let known = sites.check_site(report, &name_spot, &site);
+        let known = sites.check_site(report, &name_location, &site);
         let Some(share) = share.and_then(|share| u8::try_from(share).ok()) else {
             continue;
         };
         if known && share > 0 && !targets.is_empty() && !targets.iter().any(|target| target.site == site) {
-            let problem = format!("the service has no target at {site}, which is to have {share} percent");
-            report.error(&member.spot, problem, "add a target there or give the share to another site");
+            let problem = format!("the service has no target at {site}, whose share is {share} percent");
+            report.error(&member.location, problem, "add a target there or give the share to another site");
         }
         shares.insert(site, share);
     }
-    if complete && sum != WHOLE_SHARE {
+    if complete && sum != TOTAL_SHARE_PERCENT {
         let problem = format!("the shares sum to {sum} percent");
-        report.error(&field.spot, problem, "make them sum to 100");
+        report.error(&field.location, problem, "make them sum to 100");
     }
     shares
 }
 
-/// The whole share for the only site; with several sites nobody can guess.
-fn default_shares(report: &mut Report<'_>, section: &Section<'_>, sites: &Sites) -> BTreeMap<SiteName, u8> {
+/// The default is 100 percent for the only site. With several sites there is no default, which is reported.
+fn default_site_shares(
+    report: &mut Report<'_>,
+    section: &Section<'_>,
+    sites: &DeclaredSites,
+) -> BTreeMap<SiteName, u8> {
     let names: Vec<&SiteName> = sites.names().collect();
     if names.len() > 1 {
         let problem = "the key is missing, and there are several sites";
-        report.error(&section.spot("site_shares"), problem, "add site_shares, percentages that sum to 100");
+        report.error(&section.location_of("site_shares"), problem, "add site_shares, percentages that sum to 100");
     }
     names.into_iter().take(1).map(|name| (name.clone(), 100)).collect()
 }
 
 fn check_deadlines(report: &mut Report<'_>, classes: &[LocatedClass], minimum_time: Duration) {
     for class in classes.iter().filter(|class| class.configuration.deadline <= minimum_time) {
-        let problem = "the deadline is not longer than the service's minimum_time, so that every call is refused";
-        report.error(&class.spots.deadline, problem, "lengthen the deadline or shorten minimum_time");
+        let problem = "the deadline is not longer than the service's minimum_time, so every call is refused";
+        report.error(&class.locations.deadline, problem, "lengthen the deadline or shorten minimum_time");
     }
 }
 
@@ -314,22 +330,31 @@
 ) {
     if let Some(class) = classes.iter().find(|class| class.configuration.deadline <= queue_timeout) {
         let problem = format!("calls of the class {} can reach their deadline in the queue", class.configuration.name);
-        report.warning(&section.spot("queue_timeout"), problem, "make queue_timeout shorter than every deadline");
+        report.warning(
+            &section.location_of("queue_timeout"),
+            problem,
+            "make queue_timeout shorter than every deadline",
+        );
     }
 }
 
-/// A claim that is forgotten while its caller still repeats the request would let the request run a second time.
+/// Reports a retention shorter than a deadline: if a claim expired while its caller still retries the request, the
+/// request could run a second time.
 fn check_retention(report: &mut Report<'_>, section: &Section<'_>, classes: &[LocatedClass], retention: Duration) {
-    let keyed = classes.iter().map(|class| &class.configuration).filter(|class| !class.repeatable);
-    if let Some(class) = keyed.into_iter().find(|class| class.deadline > retention) {
-        let problem = format!("claims are forgotten before calls of the class {} reach their deadline", class.name);
-        report.error(&section.spot("claim_retention"), problem, "keep claims for at least the longest deadline");
+    let not_repeatable = classes.iter().map(|class| &class.configuration).filter(|class| !class.repeatable);
+    if let Some(class) = not_repeatable.into_iter().find(|class| class.deadline > retention) {
+        let problem = format!("claims expire before calls of the class {} reach their deadline", class.name);
+        report.error(
+            &section.location_of("claim_retention"),
+            problem,
+            "retain claims for at least the longest deadline",
+        );
     }
 }
 
 fn check_slot_count(report: &mut Report<'_>, section: &Section<'_>, slot_count: Option<u16>, targets: usize) {
     if slot_count.is_some_and(|count| usize::from(count) < targets) {
-        let problem = format!("there are fewer slots than the {targets} targets, so that some never own one");
-        report.warning(&section.spot("slot_count"), problem, "choose several slots for each target");
+        let problem = format!("there are fewer slots than the {targets} targets, so some targets never own a slot");
+        report.warning(&section.location_of("slot_count"), problem, "configure several slots for each target");
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,10 @@
-//! Reads the settings file and the platform configuration document and reports every finding with its place.
+//! Parses and validates the settings file of a node and the configuration document of the platform.
+//!
+//! Parsing doesn't stop at the first mistake: every error and warning is returned as a finding with its line and column.
 //!
 //! Use [`node_settings`] for the file that a node is started with, [`configuration`] for the document that the platform
-//! hands out, and [`presentation`] to show what is wrong with either. Nothing here opens a file: callers hand in the text
-//! together with the name under which findings speak of it.
+//! serves, and [`presentation`] to print the findings. This crate opens no files: callers pass the text and the source
+//! name that findings refer to, such as the path of the file.
 
 pub mod configuration;
 pub mod node_settings;
--- a/crates/settings/src/node_settings/mod.rs
+++ b/crates/settings/src/node_settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings that a node is started with.
+//! Parses and checks the settings that a node is started with.
 //!
-//! Use [`parse_node_settings`] with the text of the settings file and the flags that override it. The result is complete:
-//! keys that the file leaves out have their defaults.
+//! Pass the text of the settings file and the flags that override it to [`parse_node_settings`]. The result is complete:
+//! keys that the file omits have their default values.
 
 mod checks;
 mod overrides;
@@ -21,35 +21,35 @@
 };
 
 use crate::document::toml;
-use crate::document::Origin;
-use crate::report::{Report, Spot};
+use crate::document::ValueOrigin;
+use crate::report::{Report, ValueLocation};
 
 /// All settings of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
     /// The deployment that the node belongs to.
     pub deployment: DeploymentName,
-    /// The site that the node is at.
+    /// The site where the node runs.
     pub site: SiteName,
-    /// The zone that the node is in.
+    /// The zone where the node runs.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// The listen address for callers.
     pub caller_address: SocketAddr,
-    /// Where other nodes connect; this is the node's identity too.
+    /// The listen address for other nodes, which also identifies the node.
     pub peer_address: NodeAddress,
-    /// Where operators connect.
+    /// The listen address for operators.
     pub operator_address: SocketAddr,
-    /// The bearer token that operators must present; never absent if the operator listener is bound beyond loopback.
+    /// The bearer token that operators must send; required if the operator listener isn't on a loopback address.
     pub operator_token: Option<Secret>,
-    /// The keys with which nodes authenticate to each other.
+    /// The keys with which nodes authenticate each other's frames.
     pub fleet_keys: FleetKeys,
-    /// Where and how often the platform is asked.
+    /// Where and how often the node polls the platform for the configuration.
     pub platform: PlatformSettings,
-    /// Nodes to ask first for the membership of the fleet.
+    /// The nodes to contact first to join the membership of the fleet.
     pub seed_peers: Vec<NodeAddress>,
-    /// The back end beside the node; a node without one is an edge only.
+    /// The local back end; a node without one is only an edge.
     pub backend: Option<BackendSettings>,
-    /// What a caller may use up.
+    /// Limits on requests and connections of callers.
     pub limits: LimitSettings,
     /// How the node stops.
     pub stop: StopSettings,
@@ -59,14 +59,14 @@
     pub control: ControlTimings,
 }
 
-/// Reads the settings file `text`, which findings call `source`, with `overrides` in place of what it says.
+/// Parses the settings file `text`, which findings name `source`; `overrides` take precedence over the file.
 ///
-/// Returns the settings together with the warnings, of which there may be none.
+/// Returns the settings and the warnings, if any.
 ///
 /// # Errors
 ///
-/// Returns all findings, warnings among them, if one of them is an error. A text that is no TOML has one finding only,
-/// at the first place that shows it.
+/// Returns all findings, including warnings, if at least one is an error. If the text is not valid TOML, the only finding
+/// is the first syntax error.
 pub fn parse_node_settings(
     source: &str,
     text: &str,
@@ -80,9 +80,13 @@
         }
         Err(error) => {
             let offset = error.span().map_or(0, |span| span.start);
-            let spot = Spot { path: String::new(), origin: Origin::Offset(offset) };
+            let location = ValueLocation { path: String::new(), origin: ValueOrigin::Offset(offset) };
             let problem = error.message().trim().replace('\n', ", ");
-            report.error(&spot, format!("the file is no TOML: {problem}"), "mend the syntax here and check again");
+            report.error(
+                &location,
+                format!("the file is not valid TOML: {problem}"),
+                "fix the syntax here and check again",
+            );
             None
         }
     };
--- a/crates/settings/src/node_settings/overrides.rs
+++ b/crates/settings/src/node_settings/overrides.rs
@@ -1,13 +1,13 @@
-//! Flags that take the place of what the settings file says.
+//! Command line flags that override values of the settings file.
 
-use crate::document::Node;
+use crate::document::ValueNode;
 
-/// The values of the flags that were given, as they were written; they are checked like the file's own.
+/// The unparsed values of the flags that were given. They are checked like the values in the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FlagOverrides {
-    /// `--site`: the node's site.
+    /// `--site`: the site of the node.
     pub site: Option<String>,
-    /// `--zone`: the node's zone.
+    /// `--zone`: the zone of the node.
     pub zone: Option<String>,
     /// `--callers`: the address of the caller listener.
     pub callers: Option<String>,
@@ -15,13 +15,13 @@
     pub peers: Option<String>,
     /// `--operators`: the address of the operator listener.
     pub operators: Option<String>,
-    /// `--backend`: the address of the back end; the file must have the section `backend`.
+    /// `--backend`: the address of the back end. The other keys of the section `backend` come from the file.
     pub backend: Option<String>,
 }
 
 impl FlagOverrides {
-    /// Puts the flags' values into the tree of the settings file.
-    pub(super) fn apply(&self, root: &mut Node) {
+    /// Replaces values in the tree of the settings file by the values of the flags.
+    pub(super) fn apply(&self, root: &mut ValueNode) {
         let values: [(&'static str, &[&str], &Option<String>); 6] = [
             ("site", &["site"], &self.site),
             ("zone", &["zone"], &self.zone),
--- a/crates/settings/src/node_settings/read.rs
+++ b/crates/settings/src/node_settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads the tree of a settings file into the settings.
+//! Converts the parsed tree of a settings file to [`NodeSettings`].
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -13,21 +13,21 @@
     StopSettings, MIN_SECRET_BYTES,
 };
 use super::NodeSettings;
-use crate::document::Node;
+use crate::document::ValueNode;
 use crate::report::Report;
 use crate::section::{Field, Section};
 
-/// The largest number of fleet keys accepted at a time.
-const MAXIMUM_FLEET_KEYS: usize = 2;
-/// A key with fewer different bytes than this was not drawn at random.
-const MINIMUM_DISTINCT_BYTES: usize = 8;
-/// The shortest operator token, in characters.
-const MINIMUM_TOKEN_LENGTH: usize = 16;
+/// The maximum number of fleet keys accepted at a time.
+const MAX_FLEET_KEYS: usize = 2;
+/// The minimum number of distinct bytes of a fleet key; a key with fewer was hardly generated at random.
+const MIN_DISTINCT_BYTES: usize = 8;
+/// The minimum length of the operator token, in characters.
+const MIN_TOKEN_LENGTH: usize = 16;
 
 const POLL_INTERVALS: RangeInclusive<Duration> = Duration::from_millis(50)..=Duration::from_secs(60);
 const PLATFORM_TIMEOUTS: RangeInclusive<Duration> = Duration::from_millis(50)..=Duration::from_secs(60);
-const GRACE_TIMES: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(24 * 3600);
-const CONTROL_TIMES: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(60);
+const GRACE_PERIODS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(24 * 3600);
+const CONTROL_DURATIONS: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(60);
 const HEADER_SIZES: RangeInclusive<u64> = 1 << 10..=1 << 20;
 const BODY_SIZES: RangeInclusive<u64> = 1..=1 << 50;
 const RETRY_BUFFER_SIZES: RangeInclusive<u64> = 0..=16 << 20;
@@ -43,8 +43,8 @@
 ];
 const FORMATS: [(&str, LogFormat); 2] = [("json", LogFormat::Json), ("text", LogFormat::Text)];
 
-/// Reads the settings; `None` if a key without default is missing or wrong, which is reported.
-pub(super) fn read(report: &mut Report<'_>, node: &Node) -> Option<NodeSettings> {
+/// Reads the settings. Returns `None` if a key without default is missing or invalid, which is reported.
+pub(super) fn read(report: &mut Report<'_>, node: &ValueNode) -> Option<NodeSettings> {
     let mut root = Section::open(report, &Field::root(node))?;
     let deployment = root.require(report, "deployment").and_then(|field| field.name(report, DeploymentName::new));
     let site = root.require(report, "site").and_then(|field| field.name(report, SiteName::new));
@@ -70,7 +70,7 @@
         peer_address: NodeAddress(listeners.peers?.value),
         operator_address: listeners.operators?.value,
         operator_token: operator_token.and_then(|token| token.value),
-        fleet_keys: FleetKeys { sending_key_id: fleet_keys.send?, accepted: fleet_keys.into_accepted() },
+        fleet_keys: FleetKeys { sending_key_id: fleet_keys.sending_key_id?, accepted: fleet_keys.into_accepted() },
         platform: platform?,
         seed_peers,
         backend: backend.map_or(Some(None), |backend| backend.settings.map(Some))?,
@@ -81,35 +81,39 @@
     })
 }
 
-fn read_listeners(report: &mut Report<'_>, root: &mut Section<'_>) -> checks::Listeners {
+fn read_listeners(report: &mut Report<'_>, root: &mut Section<'_>) -> checks::ListenerAddresses {
     let mut section = root.subsection(report, "listeners");
     let callers = section.require(report, "callers").and_then(|field| checks::Located::address(report, &field));
     let peers = section.require(report, "peers").and_then(|field| checks::Located::reachable_address(report, &field));
     let operators = section.require(report, "operators").and_then(|field| checks::Located::address(report, &field));
     section.finish(report);
-    checks::Listeners { callers, peers, operators }
+    checks::ListenerAddresses { callers, peers, operators }
 }
 
-/// The operator token, if the key is given; without value if it is wrong.
+/// Reads the operator token. Returns `None` if the key is missing, and a location without value if the token is invalid.
 fn read_operator_token(report: &mut Report<'_>, root: &mut Section<'_>) -> Option<checks::Located<Option<Secret>>> {
     let mut section = root.subsection(report, "operators");
     let token = section.take("token").map(|field| {
-        let value = field.text(report).and_then(|text| checked_token(report, &field, text));
-        checks::Located { value, spot: field.spot.clone() }
+        let value = field.string(report).and_then(|text| parse_token(report, &field, text));
+        checks::Located { value, location: field.location.clone() }
     });
     section.finish(report);
     token
 }
 
-fn checked_token(report: &mut Report<'_>, field: &Field<'_>, text: &str) -> Option<Secret> {
-    // RFC 6750, section 2.1 allows fewer characters; these are the ones that no header encoding touches.
+fn parse_token(report: &mut Report<'_>, field: &Field<'_>, text: &str) -> Option<Secret> {
+    // RFC 6750, section 2.1 allows fewer characters. Printable ASCII is what passes through a header unchanged.
     if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
-        report.error(&field.spot, "the token has a character that is not printable ASCII", "draw another token");
+        report.error(
+            &field.location,
+            "the token has a character that is not printable ASCII",
+            "generate another token",
+        );
         return None;
     }
-    if text.len() < MINIMUM_TOKEN_LENGTH {
+    if text.len() < MIN_TOKEN_LENGTH {
         let problem = format!("the token is {} characters long", text.len());
-        report.error(&field.spot, problem, format!("use at least {MINIMUM_TOKEN_LENGTH} random characters"));
+        report.error(&field.location, problem, format!("use at least {MIN_TOKEN_LENGTH} random characters"));
         return None;
     }
     Some(Secret::new(text.as_bytes().to_vec()))
@@ -123,15 +127,15 @@
     let send_field = section.take("send");
     let send = send_field.as_ref().and_then(|field| field.integer(report, 0..=u64::from(u32::MAX)));
     let keys = checks::LocatedFleetKeys {
-        send: send.and_then(|send| u32::try_from(send).ok()),
-        send_given: send_field.is_some(),
-        send_spot: section.spot("send"),
+        sending_key_id: send.and_then(|send| u32::try_from(send).ok()),
+        sending_key_given: send_field.is_some(),
+        sending_key_location: section.location_of("send"),
         accepted,
     };
     if let Some(field) = keys_field {
-        if items.is_empty() || items.len() > MAXIMUM_FLEET_KEYS {
+        if items.is_empty() || items.len() > MAX_FLEET_KEYS {
             let problem = format!("there are {} keys", items.len());
-            report.error(&field.spot, problem, "give one key, or two while the old one is being replaced");
+            report.error(&field.location, problem, "give one key, or two while the old one is being replaced");
         }
     }
     section.finish(report);
@@ -142,36 +146,36 @@
     let mut section = Section::open(report, item)?;
     let id = section.require(report, "id").and_then(|field| field.integer(report, 0..=u64::from(u32::MAX)));
     let secret = section.require(report, "secret").and_then(|field| {
-        let text = field.text(report)?;
-        checked_fleet_secret(report, &field, text)
+        let text = field.string(report)?;
+        parse_fleet_secret(report, &field, text)
     });
-    let spot = section.spot("secret");
+    let location = section.location_of("secret");
     section.finish(report);
     let id = u32::try_from(id?).ok()?;
-    Some(checks::Located { value: FleetKey { id, secret: secret? }, spot })
+    Some(checks::Located { value: FleetKey { id, secret: secret? }, location })
 }
 
-fn checked_fleet_secret(report: &mut Report<'_>, field: &Field<'_>, text: &str) -> Option<Secret> {
-    let advice = format!("draw {MIN_SECRET_BYTES} random bytes and write them as hexadecimal digits");
-    let Some(bytes) = decode_hexadecimal(text) else {
-        report.error(&field.spot, "the secret is not an even number of hexadecimal digits", advice);
+fn parse_fleet_secret(report: &mut Report<'_>, field: &Field<'_>, text: &str) -> Option<Secret> {
+    let advice = format!("generate {MIN_SECRET_BYTES} random bytes and write them as hexadecimal digits");
+    let Some(bytes) = decode_hex(text) else {
+        report.error(&field.location, "the secret is not an even number of hexadecimal digits", advice);
         return None;
     };
     if bytes.len() < MIN_SECRET_BYTES {
-        report.error(&field.spot, format!("the secret is {} bytes long", bytes.len()), advice);
+        report.error(&field.location, format!("the secret is {} bytes long", bytes.len()), advice);
         return None;
     }
     let mut distinct = bytes.clone();
     distinct.sort_unstable();
     distinct.dedup();
-    if distinct.len() < MINIMUM_DISTINCT_BYTES {
-        report.error(&field.spot, "the secret repeats a few bytes and is easily guessed", advice);
+    if distinct.len() < MIN_DISTINCT_BYTES {
+        report.error(&field.location, "the secret repeats a few bytes and is easily guessed", advice);
         return None;
     }
     Some(Secret::new(bytes))
 }
 
-fn decode_hexadecimal(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if text.len() % 2 != 0 {
         return None;
     }
@@ -185,13 +189,13 @@
     let items = urls_field.as_ref().map(|field| field.items(report)).unwrap_or_default();
     let urls: Vec<String> = items.iter().filter_map(|item| checks::base_url(report, item)).collect();
     if let Some(field) = urls_field.filter(|_| items.is_empty()) {
-        report.error(&field.spot, "there is no URL", "give at least one base URL of the platform");
+        report.error(&field.location, "there is no URL", "give at least one base URL of the platform");
     }
     let poll_interval = PlatformSettings::DEFAULT_POLL_INTERVAL;
-    let poll_interval =
-        section.optional(report, "poll_interval", poll_interval, |field, report| field.time(report, POLL_INTERVALS));
+    let poll_interval = section
+        .optional(report, "poll_interval", poll_interval, |field, report| field.duration(report, POLL_INTERVALS));
     let timeout = section.optional(report, "timeout", PlatformSettings::DEFAULT_TIMEOUT, |field, report| {
-        field.time(report, PLATFORM_TIMEOUTS)
+        field.duration(report, PLATFORM_TIMEOUTS)
     });
     section.finish(report);
     Some(PlatformSettings { urls, poll_interval, timeout })
@@ -205,7 +209,7 @@
             continue;
         };
         if seeds.contains(&address) {
-            report.warning(&item.spot, format!("{address} is listed twice"), "remove one of the two");
+            report.warning(&item.location, format!("{address} is listed twice"), "remove one of the two");
             continue;
         }
         seeds.push(address);
@@ -227,8 +231,8 @@
         });
     let load_path = section.take("load_path").and_then(|field| checks::endpoint_path(report, &field));
     let poll_interval = BackendSettings::DEFAULT_POLL_INTERVAL;
-    let poll_interval =
-        section.optional(report, "poll_interval", poll_interval, |field, report| field.time(report, POLL_INTERVALS));
+    let poll_interval = section
+        .optional(report, "poll_interval", poll_interval, |field, report| field.duration(report, POLL_INTERVALS));
     section.finish(report);
     let settings = address.as_ref().zip(service).map(|(address, service)| BackendSettings {
         address: address.value,
@@ -263,7 +267,8 @@
 fn read_stop(report: &mut Report<'_>, root: &mut Section<'_>) -> StopSettings {
     let mut section = root.subsection(report, "stop");
     let default = StopSettings::default().grace_period;
-    let grace_period = section.optional(report, "grace", default, |field, report| field.time(report, GRACE_TIMES));
+    let grace_period =
+        section.optional(report, "grace", default, |field, report| field.duration(report, GRACE_PERIODS));
     section.finish(report);
     StopSettings { grace_period }
 }
@@ -280,17 +285,17 @@
 fn read_control(report: &mut Report<'_>, root: &mut Section<'_>) -> ControlTimings {
     let default = ControlTimings::default();
     let mut section = root.subsection(report, "control");
-    let mut time = |key: &'static str, default: Duration| {
-        section.optional(report, key, default, |field, report| field.time(report, CONTROL_TIMES))
+    let mut duration = |key: &'static str, default: Duration| {
+        section.optional(report, key, default, |field, report| field.duration(report, CONTROL_DURATIONS))
     };
     let timings = ControlTimings {
-        probe_interval: time("probe_interval", default.probe_interval),
-        acknowledge_timeout: time("acknowledge_timeout", default.acknowledge_timeout),
-        suspicion_timeout: time("suspicion_timeout", default.suspicion_timeout),
-        heartbeat_interval: time("heartbeat_interval", default.heartbeat_interval),
-        lease: time("lease", default.lease),
-        election_timeout_minimum: time("election_timeout_minimum", default.election_timeout_minimum),
-        election_timeout_maximum: time("election_timeout_maximum", default.election_timeout_maximum),
+        probe_interval: duration("probe_interval", default.probe_interval),
+        acknowledge_timeout: duration("acknowledge_timeout", default.acknowledge_timeout),
+        suspicion_timeout: duration("suspicion_timeout", default.suspicion_timeout),
+        heartbeat_interval: duration("heartbeat_interval", default.heartbeat_interval),
+        lease: duration("lease", default.lease),
+        election_timeout_minimum: duration("election_timeout_minimum", default.election_timeout_minimum),
+        election_timeout_maximum: duration("election_timeout_maximum", default.election_timeout_maximum),
     };
     checks::check_timings(report, &section, &timings);
     section.finish(report);
--- a/crates/settings/src/node_settings/secret.rs
+++ b/crates/settings/src/node_settings/secret.rs
@@ -1,18 +1,18 @@
-//! A value that must not appear in logs.
+//! A secret that must not appear in logs.
 
-/// Secret bytes; `Debug` shows their number only, and comparing two takes a time that depends on their content.
+/// Secret bytes. `Debug` prints only their number.
 ///
-/// Compare with a constant-time comparison wherever the other value comes from outside.
+/// `==` is not constant-time. To compare a secret with a value from outside the process, use a constant-time comparison.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Secret(Vec<u8>);
 
 impl Secret {
-    /// Takes `bytes` as a secret.
+    /// Wraps `bytes` as a secret.
     pub fn new(bytes: Vec<u8>) -> Self {
         Secret(bytes)
     }
 
-    /// The secret itself.
+    /// Returns the secret bytes.
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
--- a/crates/settings/src/node_settings/sections.rs
+++ b/crates/settings/src/node_settings/sections.rs
@@ -1,4 +1,4 @@
-//! The sections of the settings and their defaults.
+//! The sections of the node settings and their default values.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 /// One key shared by all nodes of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetKey {
-    /// The number that frames name the key by.
+    /// The key number, by which frames refer to the key.
     pub id: u32,
     /// The key, at least [`MIN_SECRET_BYTES`] bytes.
     pub secret: Secret,
 }
 
-/// The shortest fleet key, in bytes: the length of the tag of HMAC-SHA-256 (RFC 2104, section 3).
+/// The minimum length of a fleet key, in bytes: the length of the tag of HMAC-SHA-256 (RFC 2104, section 3).
 pub const MIN_SECRET_BYTES: usize = 32;
 
-/// The keys that the node accepts, and the one that it sends with.
+/// The fleet keys that the node accepts, and the one that it signs its own frames with.
 ///
-/// Two keys are accepted so that a key can be replaced without a moment at which two nodes have none in common.
+/// Two keys can be accepted at a time, so that during a key rotation any two nodes always have a key in common.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetKeys {
-    /// The number of the key that the node sends with; one of `accepted`.
+    /// The number of the key that signs outgoing frames; one of `accepted`.
     pub sending_key_id: u32,
     /// The keys that the node accepts: one or two.
     pub accepted: Vec<FleetKey>,
 }
 
 impl FleetKeys {
-    /// The key that the node sends with.
+    /// The key that signs outgoing frames.
     pub fn sending_key(&self) -> Option<&FleetKey> {
         self.get(self.sending_key_id)
     }
@@ -44,58 +44,58 @@
     }
 }
 
-/// Where and how often the platform is asked.
+/// Where and how often the node polls the platform for the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Base URLs without a slash at the end, tried in order; at least one.
+    /// Base URLs without a trailing slash, tried in order; at least one.
     pub urls: Vec<String>,
-    /// The time between two reads.
+    /// The time between two polls.
     pub poll_interval: Duration,
-    /// The longest time that one read may take.
+    /// The timeout of one poll.
     pub timeout: Duration,
 }
 
 impl PlatformSettings {
-    /// The default time between two reads.
+    /// The default time between two polls.
     pub const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(1);
-    /// The default longest time of one read.
+    /// The default timeout of one poll.
     pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 }
 
-/// The back end beside the node.
+/// The local back end of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendSettings {
-    /// Where it accepts connections.
+    /// The address at which the back end accepts connections.
     pub address: SocketAddr,
-    /// The service that it belongs to.
+    /// The service that the back end belongs to.
     pub service: ServiceName,
-    /// Where the node listens for the calls that the back end makes, if it has an own listener for them.
+    /// The address of a separate listener for the back end's own outgoing calls, if any.
     pub outgoing_address: Option<SocketAddr>,
-    /// The path of its health endpoint.
+    /// The path of the health endpoint.
     pub health_path: String,
-    /// The path of its load endpoint, if it has one.
+    /// The path of the load endpoint, if there is one.
     pub load_path: Option<String>,
-    /// The time between two looks at these endpoints.
+    /// The time between two polls of these endpoints.
     pub poll_interval: Duration,
 }
 
 impl BackendSettings {
     /// The default path of the health endpoint.
     pub const DEFAULT_HEALTH_PATH: &'static str = "/health";
-    /// The default time between two looks at the endpoints.
+    /// The default time between two polls of the endpoints.
     pub const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 }
 
-/// What a caller may use up.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// The largest request header, in bytes; a larger one is answered with 431.
+    /// The maximum size of a request header, in bytes; a larger one is answered with status 431.
     pub max_header_bytes: u64,
-    /// The largest request body, in bytes, or any size; a larger one is answered with 413.
+    /// The maximum size of a request body, in bytes; a larger one is answered with status 413. `None` for no limit.
     pub max_body_bytes: Option<u64>,
-    /// The largest request body that is kept in memory so that it can be sent again, in bytes.
+    /// The maximum size of a request body that is buffered in memory for retries, in bytes.
     pub retry_buffer_bytes: u64,
-    /// The largest number of connections of callers at a time.
+    /// The maximum number of simultaneous connections of callers.
     pub max_connections: u64,
 }
 
@@ -110,10 +110,10 @@
     }
 }
 
-/// How the node stops.
+/// How the node shuts down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopSettings {
-    /// The longest time that a planned stop waits for calls in flight.
+    /// The maximum time that a graceful shutdown waits for calls in flight.
     pub grace_period: Duration,
 }
 
@@ -123,23 +123,23 @@
     }
 }
 
-/// How a log line is written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object on each line.
+    /// One JSON object per line.
     #[display("json")]
     Json,
-    /// Text for people.
+    /// Human-readable text.
     #[display("text")]
     Text,
 }
 
-/// What is logged and how; lines go to the standard error stream, since machines have no disk to rely on.
+/// What is logged and how. Log lines go to standard error, because nodes can't rely on a disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least important lines that are written.
+    /// The most verbose level that is logged.
     pub level: LevelFilter,
-    /// How lines are written.
+    /// The format of log lines.
     pub format: LogFormat,
 }
 
@@ -149,22 +149,23 @@
     }
 }
 
-/// The timings of failure detection and agreement; all nodes of a deployment should have the same.
+/// The timings of failure detection and of agreement in groups; they should be equal on all nodes of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlTimings {
     /// The time between two probes of a peer.
     pub probe_interval: Duration,
-    /// The time after which a direct probe without an answer has failed.
+    /// The time after which an unanswered direct probe has failed.
     pub acknowledge_timeout: Duration,
-    /// The time that a suspected peer has to refute the suspicion.
+    /// The time in which a suspected peer can refute the suspicion.
     pub suspicion_timeout: Duration,
     /// The time between two heartbeats of a group's leader.
     pub heartbeat_interval: Duration,
-    /// The time for which an owner may act after a majority last confirmed it.
+    /// The time for which an owner may act after its last confirmation by a majority.
     pub lease: Duration,
-    /// The shortest time without a heartbeat after which a voter calls an election.
+    /// The minimum time without a heartbeat after which a voter starts an election.
     pub election_timeout_minimum: Duration,
-    /// The longest such time; each voter draws its own between the two.
+    /// The maximum time without a heartbeat after which a voter starts an election. Each voter chooses its election timeout
+    /// at random between the two.
     pub election_timeout_maximum: Duration,
 }
 
--- a/crates/settings/src/presentation.rs
+++ b/crates/settings/src/presentation.rs
@@ -1,16 +1,16 @@
-//! Shows findings to people, one line each, and to programs, as one JSON document.
+//! Formats findings as text, one line each, or as a JSON document for programs.
 
 use quillhatch_types::{Finding, Findings, Severity};
 use serde::Serialize;
 
-/// The findings of one or several inputs, as `--json` prints them.
+/// The findings of one or several inputs in the form that `--json` prints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FindingsDocument {
     /// The number of findings that make an input unusable.
     pub errors: usize,
     /// The number of other findings.
     pub warnings: usize,
-    /// The findings, sorted by place.
+    /// The findings, sorted by location.
     pub findings: Vec<Finding>,
 }
 
@@ -22,21 +22,21 @@
     }
 }
 
-/// The same findings, sorted by place.
+/// Returns the findings sorted by location.
 pub fn sorted(mut findings: Findings) -> Findings {
     findings.0.sort();
     findings
 }
 
-/// One line for each finding, sorted by place: `file:line:column: path: error: problem; advice`.
+/// Formats the findings as one line each, sorted by location: `file:line:column: path: error: problem; advice`.
 pub fn render_text(findings: &Findings) -> String {
     sorted(findings.clone()).0.iter().map(|finding| render_finding(finding) + "\n").collect()
 }
 
-/// One line for one finding, without its line break.
+/// Formats a finding as one line, without a line break.
 ///
-/// The line and column are left out for an input without lines, such as a flag, and the path for a finding about a
-/// whole input.
+/// Line and column are omitted if the source has no lines, such as a flag. The path is omitted if the finding concerns
+/// the whole input.
 pub fn render_finding(finding: &Finding) -> String {
     let place = &finding.place;
     let position = if place.line == 0 { String::new() } else { format!(":{}:{}", place.line, place.column) };
--- a/crates/settings/tests/settings/documentation.rs
+++ b/crates/settings/tests/settings/documentation.rs
@@ -1,4 +1,4 @@
-//! The page of settings names every key that the parsers know.
+//! The settings page documents every key that the parsers accept.
 
 use crate::support::NODE;
 use quillhatch_settings::{parse_configuration, parse_node_settings, FlagOverrides};
@@ -6,9 +6,9 @@
 
 const PAGE: &str = include_str!("../../../../docs/SETTINGS.md");
 
-/// The keys that `findings` list as known, where a key that is not known was put into every table.
+/// The known keys that the advice of `findings` lists. The input must have an unknown key in every table.
 fn known_keys(findings: &Findings) -> Vec<&str> {
-    let lists = findings.0.iter().filter_map(|finding| finding.advice.split_once("known here: "));
+    let lists = findings.0.iter().filter_map(|finding| finding.advice.split_once("known keys: "));
     lists.flat_map(|(_, list)| list.split(", ")).collect()
 }
 
@@ -17,20 +17,20 @@
     assert_eq!(unknown, tables, "{findings}");
     for key in known_keys(findings) {
         let documented = [format!("| `{key}` |"), format!("[].{key}` |"), format!("`[{key}]`")];
-        assert!(documented.iter().any(|row| PAGE.contains(row)), "{key} is not in the page");
+        assert!(documented.iter().any(|row| PAGE.contains(row)), "{key} is not documented on the page");
     }
 }
 
 #[test]
 fn every_key_of_the_settings_file_is_documented() {
-    let stranger = "unheard_of_key = 1\n";
+    let unknown_key = "unheard_of_key = 1\n";
     let in_sections = NODE.lines().map(|line| {
         let header = line.starts_with('[');
-        format!("{line}\n{}", if header { stranger } else { "" })
+        format!("{line}\n{}", if header { unknown_key } else { "" })
     });
-    let text = format!("{stranger}{}", in_sections.collect::<String>());
+    let text = format!("{unknown_key}{}", in_sections.collect::<String>());
     let findings = parse_node_settings("node.toml", &text, &FlagOverrides::default()).unwrap_err();
-    let tables = text.matches(stranger).count();
+    let tables = text.matches(unknown_key).count();
     assert_documented(&findings, tables);
 }
 
--- a/crates/settings/tests/settings/main.rs
+++ b/crates/settings/tests/settings/main.rs
@@ -1,4 +1,4 @@
-//! The tests of the crate's public interface.
+//! Tests of the crate's public interface.
 
 mod configuration;
 mod documentation;
--- a/crates/settings/tests/settings/node_settings.rs
+++ b/crates/settings/tests/settings/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is accepted, and that every mistake is reported at its place.
+//! The settings file: what is accepted, and that every mistake is reported with its path and line.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_example_has_no_finding_and_the_defaults_it_states() {
+fn the_example_has_no_findings_and_states_the_defaults() {
     let (settings, findings) = parse(NODE).unwrap();
     assert_eq!(findings, Findings::default());
     assert_eq!(settings.limits, LimitSettings::default());
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn a_file_with_three_mistakes_names_all_three_with_lines() {
+fn three_mistakes_in_a_file_are_all_reported_with_their_lines() {
     let text = replaced(NODE, "callers = \"127.0.0.1:8103\"", "calers = \"127.0.0.1:8103\"");
     let text = replaced(&text, "# grace = \"2 min\"", "grace = 30");
     let text = replaced(&text, "# lease = \"500 ms\"", "lease = \"3 s\"");
     let findings = parse(&text).unwrap_err();
-    // The misspelt key is missing under its right name too.
+    // A misspelt required key is also reported as missing.
     let expected = ["listeners.callers", "listeners.calers", "stop.grace", "control.election_timeout_minimum"];
     let mut found = paths(&findings);
     found.sort_unstable();
@@ -61,7 +61,7 @@
         "node.toml:{typo}:1: listeners.calers: error: the key \"calers\" is not known; did you mean \"callers\"?\n"
     )));
     assert!(shown.contains(&format!(
-        "node.toml:{grace}:9: stop.grace: error: expected a time with a unit, found a number; write a number and its \
+        "node.toml:{grace}:9: stop.grace: error: expected a duration with a unit, found a number; write a number and its \
          unit between quotes, such as \"250 ms\" or \"2 s\"\n"
     )));
     assert!(shown.contains("election_timeout_minimum is 600ms and must be longer than lease, which is 3s"));
@@ -69,26 +69,26 @@
 }
 
 #[test_case("zone = \"hall-a\"", "", "zone", "missing"; "a missing key")]
-#[test_case("site = \"old\"", "site = \"o ld\"", "site", "not allowed"; "a character that no name has")]
+#[test_case("site = \"old\"", "site = \"o ld\"", "site", "not allowed"; "a character that is not allowed in a name")]
 #[test_case("127.0.0.1:9103", "127.0.0.1:8103", "listeners.operators", "already taken by listeners.callers"; "an address twice")]
 #[test_case("127.0.0.1:9103", "0.0.0.0:8103", "listeners.operators", "already taken"; "a wildcard over an address")]
 #[test_case("127.0.0.1:6103", "127.0.0.1:8103", "backend.address", "already taken by listeners.callers"; "a back end that is the node itself")]
-#[test_case("load_path = ", "outgoing = \"127.0.0.1:9103\"\nload_path = ", "backend.outgoing", "already taken by listeners.operators"; "outgoing calls at a listener that is taken")]
-#[test_case("load_path = ", "outgoing = \"nowhere\"\nload_path = ", "backend.outgoing", "nowhere"; "outgoing calls without an address")]
+#[test_case("load_path = ", "outgoing = \"127.0.0.1:9103\"\nload_path = ", "backend.outgoing", "already taken by listeners.operators"; "an address of another listener for outgoing calls")]
+#[test_case("load_path = ", "outgoing = \"nowhere\"\nload_path = ", "backend.outgoing", "nowhere"; "an invalid address for outgoing calls")]
 #[test_case("127.0.0.1:8103", "127.0.0.1:0", "listeners.callers", "port must not be zero"; "port zero")]
-#[test_case("peers = \"127.0.0.1", "peers = \"0.0.0.0", "listeners.peers", "no address at which"; "an identity that nobody reaches")]
+#[test_case("peers = \"127.0.0.1", "peers = \"0.0.0.0", "listeners.peers", "not an address at which"; "a wildcard address for peers")]
 #[test_case("token = \"example-token-draw-your-own\"", "token = \"short\"", "operators.token", "5 characters"; "a short token")]
 #[test_case("secret = \"", "secret = \"0g", "fleet.keys[0].secret", "hexadecimal"; "a secret that is not hexadecimal")]
-#[test_case("send = 1", "send = 2", "fleet.send", "no key with the number 2"; "a sending key that there is not")]
-#[test_case("# grace = \"2 min\"", "grace = \"0 s\"", "stop.grace", "out of range"; "a zero time")]
+#[test_case("send = 1", "send = 2", "fleet.send", "no key with the number 2"; "an unknown sending key")]
+#[test_case("# grace = \"2 min\"", "grace = \"0 s\"", "stop.grace", "out of range"; "a zero duration")]
 #[test_case("# header_size = \"32 KiB\"", "header_size = \"32\"", "limits.header_size", "no unit"; "a size without unit")]
 #[test_case("# header_size = \"32 KiB\"", "header_size = \"2 GiB\"", "limits.header_size", "from 1 KiB to 1 MiB"; "a size out of range")]
 #[test_case("# level = \"info\"", "level = \"inof\"", "log.level", "did you mean \"info\""; "a misspelt level")]
 #[test_case("# format = \"json\"", "file = \"node.log\"", "log.file", "not known"; "a log file")]
-#[test_case("http://127.0.0.1:8090", "https://127.0.0.1:8090", "platform.urls[0]", "not http"; "a scheme that is not served")]
-#[test_case("load_path = \"/load\"", "load_path = \"load\"", "backend.load_path", "no path"; "a path without slash")]
+#[test_case("http://127.0.0.1:8090", "https://127.0.0.1:8090", "platform.urls[0]", "not http"; "an unsupported scheme")]
+#[test_case("load_path = \"/load\"", "load_path = \"load\"", "backend.load_path", "not an endpoint path"; "a path without slash")]
 #[test_case("# acknowledge_timeout = \"150 ms\"", "acknowledge_timeout = \"600 ms\"", "control.probe_interval", "longer than acknowledge_timeout"; "probes that overlap")]
-#[test_case("# heartbeat_interval = \"100 ms\"", "heartbeat_interval = \"300 ms\"", "control.lease", "2 times heartbeat_interval"; "a lease of one heartbeat")]
+#[test_case("# heartbeat_interval = \"100 ms\"", "heartbeat_interval = \"300 ms\"", "control.lease", "2 times heartbeat_interval"; "a lease shorter than two heartbeats")]
 fn one_mistake_is_one_finding(old: &str, new: &str, path: &str, part: &str) {
     let findings = parse(&replaced(NODE, old, new)).unwrap_err();
     assert_eq!(paths(&findings), [path], "{findings}");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_back_ends_calls_may_have_their_own_listener() {
+fn outgoing_calls_of_the_back_end_can_have_their_own_listener() {
     let backend = |text: &str| parse(text).unwrap().0.backend.unwrap();
     assert_eq!(backend(NODE).outgoing_address, None);
     let text = replaced(NODE, "load_path = ", "outgoing = \"127.0.0.1:5103\"\nload_path = ");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_operator_listener_beyond_loopback_needs_a_token() {
+fn an_operator_listener_not_on_loopback_requires_a_token() {
     let without = replaced(NODE, "token = \"example-token-draw-your-own\"", "");
     assert!(parse(&without).is_ok());
     let open = replaced(&without, "127.0.0.1:9103", "192.0.2.1:9103");
@@ -112,7 +112,7 @@
     assert!(parse(&replaced(NODE, "127.0.0.1:9103", "192.0.2.1:9103")).is_ok());
 }
 
-/// Adds keys after the first one of the example; `SECRET` stands for its secret.
+/// Adds `keys` after the first key of the example; `SECRET` in `keys` is replaced by the secret of that key.
 fn with_more_keys(keys: &str) -> String {
     let line = NODE.lines().find(|line| line.starts_with("secret = ")).unwrap();
     let secret = line.split('"').nth(1).unwrap();
@@ -122,14 +122,14 @@
 const OTHER_SECRET: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
 #[test]
-fn two_fleet_keys_are_accepted_and_reuse_is_not() {
+fn two_valid_fleet_keys_are_accepted_and_invalid_ones_are_rejected() {
     let key = |id: u32, secret: &str| format!("[[fleet.keys]]\nid = {id}\nsecret = \"{secret}\"\n");
     let (settings, _) = parse(&with_more_keys(&key(2, OTHER_SECRET))).unwrap();
     assert_eq!(settings.fleet_keys.accepted.len(), 2);
     assert_eq!(settings.fleet_keys.sending_key().map(|key| key.id), Some(1));
 
-    let reused = parse(&with_more_keys(&key(2, "SECRET"))).unwrap_err();
-    assert_eq!(paths(&reused), ["fleet.keys[1].secret"]);
+    let reused_secret = parse(&with_more_keys(&key(2, "SECRET"))).unwrap_err();
+    assert_eq!(paths(&reused_secret), ["fleet.keys[1].secret"]);
     let same_number = parse(&with_more_keys(&key(1, OTHER_SECRET))).unwrap_err();
     assert!(render_text(&same_number).contains("key number 1 is given twice"));
     let short = parse(&with_more_keys(&key(2, "0011223344556677"))).unwrap_err();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn no_finding_and_no_debug_text_shows_a_secret() {
+fn secrets_appear_neither_in_findings_nor_in_debug_output() {
     let line = NODE.lines().find(|line| line.starts_with("secret = ")).unwrap();
     let secret = line.split('"').nth(1).unwrap();
     let token = "example-token-draw-your-own";
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn flags_take_the_place_of_the_file_and_are_checked_alike() {
+fn flags_override_the_file_and_are_checked_in_the_same_way() {
     let overrides = FlagOverrides {
         zone: Some("hall-c".to_string()),
         callers: Some("127.0.0.1:8199".to_string()),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_node_without_back_end_is_an_edge() {
+fn the_back_end_section_is_optional() {
     let (start, rest) = NODE.split_once("[backend]").unwrap();
     let (_, end) = rest.split_once("[limits]").unwrap();
     let (settings, _) = parse(&format!("{start}[limits]{end}")).unwrap();
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn what_is_no_toml_is_reported_where_it_breaks() {
+fn invalid_toml_is_reported_with_its_line() {
     let findings = parse("deployment = \"prairie\"\nsite = \n").unwrap_err();
     assert_eq!((findings.0.len(), findings.0[0].place.line), (1, 2));
     let twice = parse("site = \"old\"\nzone = \"a\"\nsite = \"new\"\n").unwrap_err();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_seed_listed_twice_is_only_a_warning() {
+fn a_duplicate_seed_peer_is_only_a_warning() {
     let text = replaced(NODE, "\"127.0.0.1:7104\"", "\"127.0.0.1:7100\"");
     let (settings, findings) = parse(&text).unwrap();
     assert_eq!(settings.seed_peers.len(), 2);
--- a/crates/settings/tests/settings/properties.rs
+++ b/crates/settings/tests/settings/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for every input: nothing panics, and what is rendered reads back as the same value.
+//! Property tests: parsing never panics, and parsing a rendered value returns the same value.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,7 +22,7 @@
     ProptestConfig { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() }
 }
 
-/// Parses `bytes` as both kinds of input; findings must have a place in the text.
+/// Parses `bytes` as both kinds of input. Every finding must have a line and a column.
 fn parse_both(bytes: &[u8]) {
     let results = match utf8_text("input", bytes) {
         Err(findings) => vec![findings],
@@ -37,7 +37,7 @@
     }
 }
 
-/// One of the examples with some of its bytes replaced, so that the checks behind the syntax are reached too.
+/// One of the examples with some of its bytes replaced, so that the tests also reach the checks after the syntax.
 fn damaged_example() -> impl Strategy<Value = Vec<u8>> {
     let edits = vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), vec(0x20u8..0x7f, 0..4)), 1..4);
     (prop::sample::select(vec![NODE, BAJIO]), edits).prop_map(|(example, edits)| {
@@ -60,7 +60,7 @@
 }
 
 prop_compose! {
-    /// A class; its name and path prefix are made different from those of others by `index` later.
+    /// A class. `service` later makes its name and path prefix unique.
     fn class()(
         label in name(),
         methods in btree_set("[A-Z]{1,7}", 0..3),
@@ -84,10 +84,10 @@
 }
 
 prop_compose! {
-    /// A service for the sites `a` and `b` of `configuration`, with targets whose addresses are set later.
+    /// A service with targets at the sites `a` and `b`. `configuration` later sets its name, hosts and addresses.
     fn service()(
         classes in vec(class(), 1..4),
-        // At least one target at each site, so that each may have a share.
+        // At least two targets, so that both sites have a target and can have a share.
         zones in vec(("[xy]", 1u32..=1000, 1u32..=1000), 2..6),
         share in 0u8..=100,
         codes in btree_set(400u16..=599, 0..3),
@@ -138,7 +138,7 @@
             zones: ["x", "y"].into_iter().map(|zone| ZoneName::new(zone).unwrap()).collect(),
         };
         let mut port = 1000;
-        let mut finished = BTreeMap::new();
+        let mut named_services = BTreeMap::new();
         for (name, mut service) in services {
             service.name = ServiceName::new(&name).unwrap();
             service.hosts = vec![format!("host-{port}.example")];
@@ -146,14 +146,14 @@
                 port += 1;
                 target.node = NodeAddress(SocketAddr::from((Ipv4Addr::LOCALHOST, port)));
             }
-            finished.insert(service.name.clone(), service);
+            named_services.insert(service.name.clone(), service);
         }
         Configuration {
             deployment: DeploymentName::new(&deployment).unwrap(),
             revision: Revision(revision),
             formation: if new { Formation::New } else { Formation::Existing },
             sites: vec![site("a"), site("b")],
-            services: finished,
+            services: named_services,
         }
     }
 }
@@ -167,7 +167,7 @@
     }
 
     #[test]
-    fn text_of_either_syntax_never_panics(text in "[\\[\\]{}\":,=.'#\\\\u0-9a-e\\n é-]{0,120}") {
+    fn syntax_characters_never_panic(text in "[\\[\\]{}\":,=.'#\\\\u0-9a-e\\n é-]{0,120}") {
         parse_both(text.as_bytes());
     }
 
@@ -177,25 +177,25 @@
     }
 
     #[test]
-    fn a_rendered_configuration_reads_back_as_the_same_value(configuration in configuration()) {
+    fn a_rendered_configuration_parses_back_to_the_same_value(configuration in configuration()) {
         let text = render_configuration(&configuration);
-        let (read, _) = parse_configuration("export", &text).map_err(|errors| TestCaseError::fail(errors.to_string()))?;
-        prop_assert_eq!(read, configuration);
+        let (parsed, _) = parse_configuration("export", &text).map_err(|errors| TestCaseError::fail(errors.to_string()))?;
+        prop_assert_eq!(parsed, configuration);
     }
 
     #[test]
-    fn rendered_times_and_sizes_read_back_as_the_same_value(
+    fn rendered_durations_and_sizes_parse_back_to_the_same_value(
         nanoseconds in prop_oneof![0u64..10_000_000_000, any::<u64>()],
         bytes in prop_oneof![0u64..(1 << 20), 0u64..=(1 << 53), (0u64..1 << 20).prop_map(|size| size << 30)],
     ) {
-        let time = Duration::from_nanos(nanoseconds);
-        prop_assert_eq!(parse_duration(&render_duration(time)), Ok(time));
+        let duration = Duration::from_nanos(nanoseconds);
+        prop_assert_eq!(parse_duration(&render_duration(duration)), Ok(duration));
         prop_assert_eq!(parse_size(&render_size(bytes)), Ok(bytes));
     }
 }
 
 #[test]
-fn deep_nesting_is_refused_and_does_not_exhaust_the_stack() {
+fn deep_nesting_does_not_overflow_the_stack() {
     const DEPTH: usize = 200_000;
     parse_both("[".repeat(DEPTH).as_bytes());
     parse_both("{\"a\":".repeat(DEPTH).as_bytes());
