--- a/crates/settings/src/configuration/class.rs
+++ b/crates/settings/src/configuration/class.rs
@@ -20,7 +20,7 @@
 /// The default retry ratio of a class, in percent.
 pub(super) const DEFAULT_RETRY_RATIO_PERCENT: u8 = 10;
 
-const DEADLINES: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(24 * 3600);
+const DEADLINE_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(24 * 3600);
 const MAX_PATH_PREFIX_LENGTH: usize = 1024;
 const MAX_PERCENT: u64 = 100;
 
@@ -31,7 +31,7 @@
     pub(super) locations: ClassLocations,
 }
 
-/// The locations of the fields of a class that later checks refer to.
+/// The locations of those fields of a class that are checked together with other fields or classes.
 #[derive(Debug)]
 pub(super) struct ClassLocations {
     pub(super) name: ValueLocation,
@@ -64,7 +64,7 @@
     let path_prefix = section.optional(report, "path_prefix", DEFAULT_PATH_PREFIX.to_string(), read_path_prefix);
     let priority = section.require(report, "priority").and_then(|field| field.choice(report, &PRIORITIES));
     let repeatable = section.require(report, "repeatable").and_then(|field| field.boolean(report));
-    let deadline = section.require(report, "deadline").and_then(|field| field.duration(report, DEADLINES));
+    let deadline = section.require(report, "deadline").and_then(|field| field.duration(report, DEADLINE_RANGE));
     let retry_budget = section.optional(report, "retry_budget", DEFAULT_RETRY_BUDGET, |field, report| {
         let budget = field.integer(report, 0..=u64::from(MAX_RETRY_BUDGET))?;
         u16::try_from(budget).ok()
--- a/crates/settings/src/configuration/service.rs
+++ b/crates/settings/src/configuration/service.rs
@@ -26,14 +26,14 @@
 /// The default maximum time that a call waits in a queue.
 pub(super) const DEFAULT_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-const CLAIM_RETENTIONS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(7 * 24 * 3600);
-const CLAIM_CAPACITIES: RangeInclusive<u64> = 1..=10_000_000;
-const REPLAY_LIMITS: RangeInclusive<u64> = 0..=1 << 20;
-const MINIMUM_TIMES: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
-const QUEUE_TIMEOUTS: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(60);
-const REFUSAL_CODES: RangeInclusive<u64> = 400..=599;
-const TARGET_SLOTS: RangeInclusive<u64> = 1..=100_000;
-const TARGET_CONNECTIONS: RangeInclusive<u64> = 1..=1_000_000;
+const CLAIM_RETENTION_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(7 * 24 * 3600);
+const CLAIM_CAPACITY_RANGE: RangeInclusive<u64> = 1..=10_000_000;
+const REPLAY_LIMIT_RANGE: RangeInclusive<u64> = 0..=1 << 20;
+const MINIMUM_TIME_RANGE: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(3600);
+const QUEUE_TIMEOUT_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(60);
+const REFUSAL_CODE_RANGE: RangeInclusive<u64> = 400..=599;
+const TARGET_SLOTS_RANGE: RangeInclusive<u64> = 1..=100_000;
+const TARGET_CONNECTIONS_RANGE: RangeInclusive<u64> = 1..=1_000_000;
 const TOTAL_SHARE_PERCENT: u64 = 100;
 
 /// The state shared by the services of one document: the sites, and the nodes and hosts that may be used only once.
@@ -67,19 +67,20 @@
         u16::try_from(count).ok()
     });
     let claim_retention = section.optional(report, "claim_retention", DEFAULT_CLAIM_RETENTION, |field, report| {
-        field.duration(report, CLAIM_RETENTIONS)
+        field.duration(report, CLAIM_RETENTION_RANGE)
     });
     let claim_capacity = section.optional(report, "claim_capacity", DEFAULT_CLAIM_CAPACITY, |field, report| {
-        u32::try_from(field.integer(report, CLAIM_CAPACITIES)?).ok()
+        u32::try_from(field.integer(report, CLAIM_CAPACITY_RANGE)?).ok()
     });
     let replay_limit_bytes = section.optional(report, "replay_limit", DEFAULT_REPLAY_LIMIT_BYTES, |field, report| {
-        u32::try_from(field.size(report, REPLAY_LIMITS)?).ok()
+        u32::try_from(field.size(report, REPLAY_LIMIT_RANGE)?).ok()
     });
     let refused_before_running = read_refusal_codes(report, &mut section);
-    let minimum_time = section
-        .optional(report, "minimum_time", DEFAULT_MINIMUM_TIME, |field, report| field.duration(report, MINIMUM_TIMES));
+    let minimum_time = section.optional(report, "minimum_time", DEFAULT_MINIMUM_TIME, |field, report| {
+        field.duration(report, MINIMUM_TIME_RANGE)
+    });
     let queue_timeout = section.optional(report, "queue_timeout", DEFAULT_QUEUE_TIMEOUT, |field, report| {
-        field.duration(report, QUEUE_TIMEOUTS)
+        field.duration(report, QUEUE_TIMEOUT_RANGE)
     });
     let minimum_epoch = read_epoch(report, &mut section, "minimum_epoch");
     let classes = read_classes(report, &mut section);
@@ -136,7 +137,7 @@
 fn read_refusal_codes(report: &mut Report<'_>, section: &mut Section<'_>) -> Vec<u16> {
     let mut codes = Vec::new();
     for item in section.list(report, "refused_before_running") {
-        let Some(code) = item.integer(report, REFUSAL_CODES).and_then(|code| u16::try_from(code).ok()) else {
+        let Some(code) = item.integer(report, REFUSAL_CODE_RANGE).and_then(|code| u16::try_from(code).ok()) else {
             continue;
         };
         if codes.contains(&code) {
@@ -215,9 +216,9 @@
     let node = section.require(report, "node").and_then(|field| field.reachable_address(report)).map(NodeAddress);
     let site = section.require(report, "site").and_then(|field| field.name(report, SiteName::new));
     let zone = section.require(report, "zone").and_then(|field| field.name(report, ZoneName::new));
-    let slots = section.require(report, "slots").and_then(|field| field.integer(report, TARGET_SLOTS));
+    let slots = section.require(report, "slots").and_then(|field| field.integer(report, TARGET_SLOTS_RANGE));
     let connections =
-        section.require(report, "connections").and_then(|field| field.integer(report, TARGET_CONNECTIONS));
+        section.require(report, "connections").and_then(|field| field.integer(report, TARGET_CONNECTIONS_RANGE));
     if let Some(site) = &site {
         context.sites.check_site(report, &section.location_of("site"), site);
         if let Some(zone) = &zone {
--- a/crates/settings/src/configuration/sites.rs
+++ b/crates/settings/src/configuration/sites.rs
@@ -6,7 +6,7 @@
 use crate::section::{Field, Section};
 use crate::suggestion::nearest_word;
 
-/// The valid sites of a document.
+/// The sites of a document that have a valid and unique name.
 #[derive(Debug)]
 pub(super) struct DeclaredSites {
     sites: Vec<SiteConfiguration>,
@@ -15,7 +15,7 @@
     complete: bool,
 }
 
-/// Reads the sites; invalid ones are reported and left out.
+/// Reads the sites and zones; invalid and duplicate ones are reported and left out.
 pub(super) fn read_sites(report: &mut Report<'_>, root: &mut Section<'_>) -> DeclaredSites {
     let mut sites = DeclaredSites { sites: Vec::new(), complete: true };
     let Some(field) = root.require(report, "sites") else {
--- a/crates/settings/src/node_settings/checks.rs
+++ b/crates/settings/src/node_settings/checks.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Whether two listen addresses conflict: their ports are equal, and their IP addresses are equal or one is a wildcard, which
-/// covers all addresses.
+/// Whether two listen addresses conflict: their ports are equal, and their IP addresses are equal or one is a
+/// wildcard, which covers all addresses.
 fn addresses_conflict(first: SocketAddr, second: SocketAddr) -> bool {
     let wildcard = first.ip().is_unspecified() || second.ip().is_unspecified();
     first.port() == second.port() && (first.ip() == second.ip() || wildcard)
--- a/crates/settings/src/node_settings/read.rs
+++ b/crates/settings/src/node_settings/read.rs
@@ -19,21 +19,21 @@
 
 /// The maximum number of fleet keys accepted at a time.
 const MAX_FLEET_KEYS: usize = 2;
-/// The minimum number of distinct bytes of a fleet key; a key with fewer was hardly generated at random.
+/// The minimum number of distinct bytes of a fleet key; a key with fewer is rejected as not random.
 const MIN_DISTINCT_BYTES: usize = 8;
 /// The minimum length of the operator token, in characters.
 const MIN_TOKEN_LENGTH: usize = 16;
 
-const POLL_INTERVALS: RangeInclusive<Duration> = Duration::from_millis(50)..=Duration::from_secs(60);
-const PLATFORM_TIMEOUTS: RangeInclusive<Duration> = Duration::from_millis(50)..=Duration::from_secs(60);
-const GRACE_PERIODS: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(24 * 3600);
-const CONTROL_DURATIONS: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(60);
-const HEADER_SIZES: RangeInclusive<u64> = 1 << 10..=1 << 20;
-const BODY_SIZES: RangeInclusive<u64> = 1..=1 << 50;
-const RETRY_BUFFER_SIZES: RangeInclusive<u64> = 0..=16 << 20;
-const CONNECTIONS: RangeInclusive<u64> = 1..=1_000_000;
+const POLL_INTERVAL_RANGE: RangeInclusive<Duration> = Duration::from_millis(50)..=Duration::from_secs(60);
+const PLATFORM_TIMEOUT_RANGE: RangeInclusive<Duration> = Duration::from_millis(50)..=Duration::from_secs(60);
+const GRACE_PERIOD_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(24 * 3600);
+const CONTROL_TIMING_RANGE: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(60);
+const HEADER_SIZE_RANGE: RangeInclusive<u64> = 1 << 10..=1 << 20;
+const BODY_SIZE_RANGE: RangeInclusive<u64> = 1..=1 << 50;
+const RETRY_BUFFER_SIZE_RANGE: RangeInclusive<u64> = 0..=16 << 20;
+const CONNECTIONS_RANGE: RangeInclusive<u64> = 1..=1_000_000;
 
-const LEVELS: [(&str, LevelFilter); 6] = [
+const LOG_LEVELS: [(&str, LevelFilter); 6] = [
     ("off", LevelFilter::Off),
     ("error", LevelFilter::Error),
     ("warn", LevelFilter::Warn),
@@ -41,7 +41,7 @@
     ("debug", LevelFilter::Debug),
     ("trace", LevelFilter::Trace),
 ];
-const FORMATS: [(&str, LogFormat); 2] = [("json", LogFormat::Json), ("text", LogFormat::Text)];
+const LOG_FORMATS: [(&str, LogFormat); 2] = [("json", LogFormat::Json), ("text", LogFormat::Text)];
 
 /// Reads the settings. Returns `None` if a key without default is missing or invalid, which is reported.
 pub(super) fn read(report: &mut Report<'_>, node: &ValueNode) -> Option<NodeSettings> {
@@ -193,9 +193,9 @@
     }
     let poll_interval = PlatformSettings::DEFAULT_POLL_INTERVAL;
     let poll_interval = section
-        .optional(report, "poll_interval", poll_interval, |field, report| field.duration(report, POLL_INTERVALS));
+        .optional(report, "poll_interval", poll_interval, |field, report| field.duration(report, POLL_INTERVAL_RANGE));
     let timeout = section.optional(report, "timeout", PlatformSettings::DEFAULT_TIMEOUT, |field, report| {
-        field.duration(report, PLATFORM_TIMEOUTS)
+        field.duration(report, PLATFORM_TIMEOUT_RANGE)
     });
     section.finish(report);
     Some(PlatformSettings { urls, poll_interval, timeout })
@@ -232,7 +232,7 @@
     let load_path = section.take("load_path").and_then(|field| checks::endpoint_path(report, &field));
     let poll_interval = BackendSettings::DEFAULT_POLL_INTERVAL;
     let poll_interval = section
-        .optional(report, "poll_interval", poll_interval, |field, report| field.duration(report, POLL_INTERVALS));
+        .optional(report, "poll_interval", poll_interval, |field, report| field.duration(report, POLL_INTERVAL_RANGE));
     section.finish(report);
     let settings = address.as_ref().zip(service).map(|(address, service)| BackendSettings {
         address: address.value,
@@ -250,14 +250,14 @@
     let mut section = root.subsection(report, "limits");
     let limits = LimitSettings {
         max_header_bytes: section.optional(report, "header_size", default.max_header_bytes, |field, report| {
-            field.size(report, HEADER_SIZES)
+            field.size(report, HEADER_SIZE_RANGE)
         }),
-        max_body_bytes: section.take("body_size").and_then(|field| field.size(report, BODY_SIZES)),
+        max_body_bytes: section.take("body_size").and_then(|field| field.size(report, BODY_SIZE_RANGE)),
         retry_buffer_bytes: section.optional(report, "retry_buffer", default.retry_buffer_bytes, |field, report| {
-            field.size(report, RETRY_BUFFER_SIZES)
+            field.size(report, RETRY_BUFFER_SIZE_RANGE)
         }),
         max_connections: section.optional(report, "connections", default.max_connections, |field, report| {
-            field.integer(report, CONNECTIONS)
+            field.integer(report, CONNECTIONS_RANGE)
         }),
     };
     section.finish(report);
@@ -268,7 +268,7 @@
     let mut section = root.subsection(report, "stop");
     let default = StopSettings::default().grace_period;
     let grace_period =
-        section.optional(report, "grace", default, |field, report| field.duration(report, GRACE_PERIODS));
+        section.optional(report, "grace", default, |field, report| field.duration(report, GRACE_PERIOD_RANGE));
     section.finish(report);
     StopSettings { grace_period }
 }
@@ -276,8 +276,8 @@
 fn read_log(report: &mut Report<'_>, root: &mut Section<'_>) -> LogSettings {
     let default = LogSettings::default();
     let mut section = root.subsection(report, "log");
-    let level = section.optional(report, "level", default.level, |field, report| field.choice(report, &LEVELS));
-    let format = section.optional(report, "format", default.format, |field, report| field.choice(report, &FORMATS));
+    let level = section.optional(report, "level", default.level, |field, report| field.choice(report, &LOG_LEVELS));
+    let format = section.optional(report, "format", default.format, |field, report| field.choice(report, &LOG_FORMATS));
     section.finish(report);
     LogSettings { level, format }
 }
@@ -286,7 +286,7 @@
     let default = ControlTimings::default();
     let mut section = root.subsection(report, "control");
     let mut duration = |key: &'static str, default: Duration| {
-        section.optional(report, key, default, |field, report| field.duration(report, CONTROL_DURATIONS))
+        section.optional(report, key, default, |field, report| field.duration(report, CONTROL_TIMING_RANGE))
     };
     let timings = ControlTimings {
         probe_interval: duration("probe_interval", default.probe_interval),
