--- a/crates/settings/src/node_settings/mod.rs
+++ b/crates/settings/src/node_settings/mod.rs
@@ -13,11 +13,11 @@
 
 use quillhatch_types::{DeploymentName, Findings, NodeAddress, SiteName, ZoneName};
 
-pub use overrides::Overrides;
+pub use overrides::FlagOverrides;
 pub use secret::Secret;
 pub use sections::{
-    BackendSettings, ControlTimings, FleetKey, FleetKeys, Limits, LogFormat, LogSettings, PlatformSettings,
-    StopSettings, MINIMUM_SECRET_LENGTH,
+    BackendSettings, ControlTimings, FleetKey, FleetKeys, LimitSettings, LogFormat, LogSettings, PlatformSettings,
+    StopSettings, MIN_SECRET_BYTES,
 };
 
 use crate::document::toml;
@@ -34,11 +34,11 @@
     /// The zone that the node is in.
     pub zone: ZoneName,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where other nodes connect; this is the node's identity too.
-    pub peers: NodeAddress,
+    pub peer_address: NodeAddress,
     /// Where operators connect.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// The bearer token that operators must present; never absent if the operator listener is bound beyond loopback.
     pub operator_token: Option<Secret>,
     /// The keys with which nodes authenticate to each other.
@@ -50,7 +50,7 @@
     /// The back end beside the node; a node without one is an edge only.
     pub backend: Option<BackendSettings>,
     /// What a caller may use up.
-    pub limits: Limits,
+    pub limits: LimitSettings,
     /// How the node stops.
     pub stop: StopSettings,
     /// What is logged and how.
@@ -70,7 +70,7 @@
 pub fn parse_node_settings(
     source: &str,
     text: &str,
-    overrides: &Overrides,
+    overrides: &FlagOverrides,
 ) -> Result<(NodeSettings, Findings), Findings> {
     let mut report = Report::new(source, text);
     let settings = match toml::parse(text) {
