--- a/crates/messages/src/error.rs
+++ b/crates/messages/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a frame is not accepted.
+//! Errors of building and verifying frames.
 
 use derive_more::{Display, Error};
 use quillhatch_types::NodeId;
@@ -6,48 +6,48 @@
 use crate::key::KeyId;
 use crate::version::ProtocolVersion;
 
-/// Why a frame is refused or cannot be built.
+/// Why a frame is rejected or can't be built.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The frame is larger than allowed.
+    /// The frame or its payload is larger than allowed.
     #[display("the frame has {size} bytes, more than the {maximum} allowed")]
     Oversized {
         /// The size in bytes.
         size: usize,
-        /// The largest size allowed, in bytes.
+        /// The maximum size, in bytes.
         maximum: usize,
     },
-    /// The bytes are no frame, or a truncated one.
-    #[display("the bytes are not a whole frame")]
+    /// The bytes are not a complete frame.
+    #[display("the bytes are not a complete frame")]
     Malformed,
-    /// The frame was made with a key that this node does not accept.
+    /// The frame was signed with a key that this node does not accept.
     #[display("the fleet key {key} is not accepted")]
     UnknownKey {
         /// The key's number.
         key: KeyId,
     },
-    /// The authentication tag does not match: a stranger's or a changed frame.
+    /// The authentication tag does not match: the frame was modified or signed with another secret.
     #[display("the authentication tag does not match")]
     WrongTag,
     /// The sender belongs to another deployment.
     #[display("the frame is from another deployment")]
     ForeignDeployment,
-    /// The frame is meant for another node or another run of this one.
-    #[display("the frame is meant for another node")]
+    /// The frame is addressed to another node, or to another incarnation of this node.
+    #[display("the frame is addressed to another node or incarnation")]
     WrongReceiver,
-    /// The frame was received before, or is too old to tell.
-    #[display("the frame from {sender} was received before")]
+    /// The frame was already received, or its sequence number is too old to check that.
+    #[display("the frame from {sender} was already received or is too old")]
     Replayed {
         /// The sender.
         sender: NodeId,
     },
-    /// The payload is written in a version that this node does not read.
-    #[display("protocol version {version} is not readable here")]
+    /// The payload is encoded in a protocol version that this node does not support.
+    #[display("protocol version {version} is not supported")]
     UnsupportedVersion {
         /// The version.
         version: ProtocolVersion,
     },
-    /// The payload's kind is not known to this release.
-    #[display("the kind of the payload is not known")]
+    /// This release does not know the kind of the payload.
+    #[display("the kind of the payload is unknown")]
     UnknownKind,
 }
--- a/crates/messages/src/frame.rs
+++ b/crates/messages/src/frame.rs
@@ -1,10 +1,10 @@
-//! Builds and checks the authenticated frames between nodes.
+//! Builds and verifies the authenticated frames between nodes. Frames are not encrypted.
 //!
-//! A frame is `key number (4 bytes, big endian) | HMAC-SHA-256 tag (32 bytes) | envelope (protobuf)`. The outer part has a
-//! fixed layout so that nothing is parsed before it is authenticated.
+//! A frame is `key number (4 bytes, big endian) | HMAC-SHA-256 tag (32 bytes) | envelope (protobuf)`. The key
+//! number and the tag have a fixed layout, so that the envelope is authenticated before it is parsed.
 //!
-//! A frame is bound to its sender's run, its receiver, its deployment and a sequence number, so that a stranger cannot
-//! forge one, and a recorded one cannot be played again to the same run of a node.
+//! The tag covers the sender with its incarnation, the receiver, the deployment and a sequence number. An attacker
+//! without the key can't forge a frame, and can't replay a recorded frame to the same incarnation of a node.
 
 use std::collections::BTreeMap;
 
@@ -18,41 +18,44 @@
 use crate::version::{negotiate_version, ProtocolVersion, NEWEST_VERSION, OLDEST_VERSION};
 use crate::wire::{decode, encode};
 
-/// The largest payload, in bytes.
+/// The maximum size of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 
-/// The largest frame, in bytes: the payload and room for the envelope around it.
+/// The maximum size of a frame, in bytes: the payload, and 4 KiB for the other fields.
 pub const MAX_FRAME_BYTES: usize = MAX_PAYLOAD_BYTES + 4 * 1024;
 
 const KEY_ID_BYTES: usize = 4;
 const TAG_BYTES: usize = 32;
 
-/// The number of senders whose sequence numbers are remembered; beyond it the sender heard least recently is dropped.
+/// The maximum number of senders whose sequence numbers are tracked. When it is exceeded, the sender from which no
+/// frame has been received for the longest time is evicted.
 pub const MAX_SENDERS: usize = 32 * 1024;
 
-/// Seals payloads into frames for other nodes.
+/// Builds authenticated frames for other nodes.
 #[derive(Debug)]
 pub struct FrameSealer {
     node: NodeId,
     deployment: DeploymentName,
     keys: FleetKeys,
-    sequences: BTreeMap<NodeAddress, u64>,
+    /// The last sequence number that was sent to each receiver.
+    last_sequences: BTreeMap<NodeAddress, u64>,
 }
 
 impl FrameSealer {
-    /// A sealer for the run `node` of a deployment.
+    /// Creates a sealer for frames sent by `node`.
     pub fn new(node: NodeId, deployment: DeploymentName, keys: FleetKeys) -> Self {
-        FrameSealer { node, deployment, keys, sequences: BTreeMap::new() }
+        FrameSealer { node, deployment, keys, last_sequences: BTreeMap::new() }
     }
 
-    /// Replaces the keys, as a rotation does.
+    /// Replaces the keys, for key rotation.
     pub fn set_keys(&mut self, keys: FleetKeys) {
         self.keys = keys;
     }
 
-    /// Seals `payload` for `receiver`; an `incarnation` of `None` reaches any run at the address.
+    /// Builds a frame with `payload` for `receiver`. With an `incarnation` of `None`, any incarnation at the address
+    /// accepts the frame.
     ///
-    /// `peer_newest` is the newest version that the receiver is known to read.
+    /// `peer_newest` is the newest protocol version that the receiver is known to support.
     ///
     /// # Errors
     ///
@@ -68,7 +71,7 @@
         if payload.bytes.len() > MAX_PAYLOAD_BYTES {
             return Err(FrameError::Oversized { size: payload.bytes.len(), maximum: MAX_PAYLOAD_BYTES });
         }
-        let sequence = self.sequences.entry(receiver).or_insert(0);
+        let sequence = self.last_sequences.entry(receiver).or_insert(0);
         *sequence += 1;
         let envelope = Envelope {
             version: negotiate_version(peer_newest).0,
@@ -94,51 +97,52 @@
     }
 }
 
-/// A frame that passed every check.
+/// The content of a frame that passed all checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenedFrame {
-    /// Who sent it.
+    /// The sender.
     pub sender: NodeId,
-    /// The newest version that the sender reads.
+    /// The newest protocol version that the sender supports.
     pub sender_newest_version: ProtocolVersion,
     /// The configuration revision that the sender has in force.
     pub revision: Revision,
-    /// What it carries.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// Checks frames from other nodes and opens them.
+/// Verifies frames from other nodes and decodes their envelopes.
 #[derive(Debug)]
 pub struct FrameOpener {
     node: NodeId,
     deployment: DeploymentName,
     keys: FleetKeys,
-    windows: BTreeMap<NodeId, SenderState>,
-    clock: u64,
+    senders: BTreeMap<NodeId, SenderState>,
+    /// The number of sequence numbers checked so far; the logical clock for `SenderState::last_received`.
+    checked_frames: u64,
 }
 
 #[derive(Debug, Default)]
 struct SenderState {
     window: ReplayWindow,
-    heard: u64,
+    last_received: u64,
 }
 
 impl FrameOpener {
-    /// An opener for the run `node` of a deployment.
+    /// Creates an opener for frames addressed to `node`.
     pub fn new(node: NodeId, deployment: DeploymentName, keys: FleetKeys) -> Self {
-        FrameOpener { node, deployment, keys, windows: BTreeMap::new(), clock: 0 }
+        FrameOpener { node, deployment, keys, senders: BTreeMap::new(), checked_frames: 0 }
     }
 
-    /// Replaces the keys, as a rotation does.
+    /// Replaces the keys, for key rotation.
     pub fn set_keys(&mut self, keys: FleetKeys) {
         self.keys = keys;
     }
 
-    /// Opens a frame.
+    /// Verifies a frame and decodes its envelope.
     ///
     /// # Errors
     ///
-    /// Returns why the frame is refused; nothing is remembered of a frame that was not authenticated.
+    /// Returns why the frame is rejected. A frame that is not authenticated does not change the state of the opener.
     pub fn open(&mut self, bytes: &[u8]) -> Result<OpenedFrame, FrameError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Oversized { size: bytes.len(), maximum: MAX_FRAME_BYTES });
@@ -160,8 +164,9 @@
             return Err(FrameError::ForeignDeployment);
         }
         let receiver = node_from_wire(envelope.receiver.as_ref())?;
-        let any_run = receiver.incarnation.0 == 0;
-        if receiver.address != self.node.address || !(any_run || receiver.incarnation == self.node.incarnation) {
+        let any_incarnation = receiver.incarnation.0 == 0;
+        if receiver.address != self.node.address || !(any_incarnation || receiver.incarnation == self.node.incarnation)
+        {
             return Err(FrameError::WrongReceiver);
         }
         let version = ProtocolVersion(envelope.version);
@@ -186,19 +191,19 @@
     }
 
     fn accept_sequence(&mut self, sender: NodeId, sequence: u64) -> bool {
-        self.clock += 1;
-        if !self.windows.contains_key(&sender) && self.windows.len() >= MAX_SENDERS {
-            self.forget_least_recent();
+        self.checked_frames += 1;
+        if !self.senders.contains_key(&sender) && self.senders.len() >= MAX_SENDERS {
+            self.evict_least_recent_sender();
         }
-        let state = self.windows.entry(sender).or_default();
-        state.heard = self.clock;
+        let state = self.senders.entry(sender).or_default();
+        state.last_received = self.checked_frames;
         state.window.accept(sequence)
     }
 
-    fn forget_least_recent(&mut self) {
-        let least_recent = self.windows.iter().min_by_key(|(_, state)| state.heard).map(|(sender, _)| *sender);
+    fn evict_least_recent_sender(&mut self) {
+        let least_recent = self.senders.iter().min_by_key(|(_, state)| state.last_received).map(|(sender, _)| *sender);
         if let Some(sender) = least_recent {
-            self.windows.remove(&sender);
+            self.senders.remove(&sender);
         }
     }
 }
--- a/crates/messages/src/key.rs
+++ b/crates/messages/src/key.rs
@@ -1,4 +1,4 @@
-//! The fleet's keys: several are accepted, one is used for sending, so that keys can be rotated without a pause.
+//! The fleet keys. A node accepts several keys and signs with one, so that keys can be rotated without downtime.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +6,17 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// The shortest secret accepted, in bytes.
+/// The minimum length of a secret, in bytes.
 pub const MIN_SECRET_BYTES: usize = 32;
 
-/// The number of a key, chosen by the operator.
+/// The number of a key, which the operator assigns.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u32);
 
 /// A secret shared by all nodes of a fleet.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FleetKey {
-    /// The key's number.
+    /// The key number.
     pub id: KeyId,
     /// The secret bytes.
     pub secret: Vec<u8>,
@@ -24,75 +24,75 @@
 
 impl std::fmt::Debug for FleetKey {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The secret must never reach a log.
+        // The secret must never be logged.
         write!(formatter, "FleetKey({})", self.id)
     }
 }
 
-/// Why a set of keys is unusable.
+/// Why a set of keys is invalid.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum KeySetError {
-    /// The key used for sending is not in the set.
+    /// The sending key is not among the accepted keys.
     #[display("the sending key {id} is not among the accepted keys")]
     SendingKeyMissing {
-        /// The key's number.
+        /// The key number.
         id: KeyId,
     },
     /// A secret is shorter than [`MIN_SECRET_BYTES`].
     #[display("the secret of key {id} is shorter than {MIN_SECRET_BYTES} bytes")]
     SecretTooShort {
-        /// The key's number.
+        /// The key number.
         id: KeyId,
     },
 }
 
-/// The keys that a node accepts and the one that it sends with.
+/// The keys that a node accepts, and the sending key, which signs its own frames.
 #[derive(Clone, Debug)]
 pub struct FleetKeys {
     accepted: BTreeMap<KeyId, FleetKey>,
-    sending: KeyId,
+    sending_key_id: KeyId,
 }
 
 impl FleetKeys {
-    /// Checks the keys and makes a set of them.
+    /// Creates a set of keys.
     ///
     /// # Errors
     ///
     /// Returns an error if the sending key is missing or a secret is too short.
-    pub fn new(accepted: Vec<FleetKey>, sending: KeyId) -> Result<Self, KeySetError> {
+    pub fn new(accepted: Vec<FleetKey>, sending_key_id: KeyId) -> Result<Self, KeySetError> {
         if let Some(short) = accepted.iter().find(|key| key.secret.len() < MIN_SECRET_BYTES) {
             return Err(KeySetError::SecretTooShort { id: short.id });
         }
         let accepted: BTreeMap<KeyId, FleetKey> = accepted.into_iter().map(|key| (key.id, key)).collect();
-        if !accepted.contains_key(&sending) {
-            return Err(KeySetError::SendingKeyMissing { id: sending });
+        if !accepted.contains_key(&sending_key_id) {
+            return Err(KeySetError::SendingKeyMissing { id: sending_key_id });
         }
-        Ok(FleetKeys { accepted, sending })
+        Ok(FleetKeys { accepted, sending_key_id })
     }
 
-    /// The number of the key used for sending.
+    /// The number of the sending key.
     pub fn sending_key_id(&self) -> KeyId {
-        self.sending
+        self.sending_key_id
     }
 
-    /// The authentication tag of `bytes` under the sending key.
+    /// Returns the authentication tag of `bytes` under the sending key.
     pub fn sign(&self, bytes: &[u8]) -> Vec<u8> {
-        self.state(self.sending)
-            .map(|mut state| {
-                state.update(bytes);
-                state.finalize().into_bytes().to_vec()
+        self.mac(self.sending_key_id)
+            .map(|mut mac| {
+                mac.update(bytes);
+                mac.finalize().into_bytes().to_vec()
             })
             .unwrap_or_default()
     }
 
-    /// Whether `tag` is the tag of `bytes` under the accepted key `id`; `None` if the key is not accepted.
+    /// Whether `tag` is the tag of `bytes` under the key `id`; `None` if the key is not accepted.
     pub fn verify(&self, id: KeyId, bytes: &[u8], tag: &[u8]) -> Option<bool> {
-        let mut state = self.state(id)?;
-        state.update(bytes);
-        Some(state.verify_slice(tag).is_ok())
+        let mut mac = self.mac(id)?;
+        mac.update(bytes);
+        Some(mac.verify_slice(tag).is_ok())
     }
 
-    fn state(&self, id: KeyId) -> Option<Hmac<Sha256>> {
+    fn mac(&self, id: KeyId) -> Option<Hmac<Sha256>> {
         let key = self.accepted.get(&id)?;
         Hmac::<Sha256>::new_from_slice(&key.secret).ok()
     }
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -1,8 +1,8 @@
 //! Protobuf schema of the messages between nodes and the authenticated frame that carries them.
 //!
-//! The crates that own a protocol define its typed messages and convert them from and to [`generated`] types. The
-//! drivers of a node pack what its parts say into [`Payload`]s, seal them with a [`FrameSealer`] and check what arrives
-//! with a [`FrameOpener`].
+//! The crate that owns a protocol defines its typed messages and converts them from and to the [`generated`] types. The
+//! driver of a node puts encoded messages into [`Payload`]s, builds frames from them with a [`FrameSealer`], and
+//! verifies and decodes received frames with a [`FrameOpener`].
 
 pub mod error;
 pub mod frame;
--- a/crates/messages/src/payload.rs
+++ b/crates/messages/src/payload.rs
@@ -1,4 +1,4 @@
-//! What a frame carries: the encoded message of one protocol.
+//! The payload of a frame: an encoded message of one protocol.
 
 use derive_more::Display;
 use quillhatch_types::ServiceName;
@@ -8,16 +8,16 @@
 /// The protocol that a payload belongs to.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PayloadKind {
-    /// Failure detection; see `quillhatch-membership`.
+    /// Failure detection and membership; see `quillhatch-membership`.
     #[display("membership")]
     Membership,
-    /// Tables, configuration and plans; see `quillhatch-control`.
+    /// Slot tables, configuration and plans; see `quillhatch-control`.
     #[display("control")]
     Control,
     /// Agreement inside the group of a service at a site; see `quillhatch-group`.
     #[display("group")]
     Group,
-    /// Claims of calls that may run only once; see `quillhatch-claims`.
+    /// Claims, which ensure that calls run at most once; see `quillhatch-claims`.
     #[display("claims")]
     Claims,
 }
@@ -52,7 +52,7 @@
 pub struct Payload {
     /// The protocol.
     pub kind: PayloadKind,
-    /// The service that the message is about, for the protocols that run once per service.
+    /// The service that the message concerns, for protocols that run separately for each service.
     pub service: Option<ServiceName>,
     /// The encoded message.
     pub bytes: Vec<u8>,
--- a/crates/messages/src/replay.rs
+++ b/crates/messages/src/replay.rs
@@ -1,25 +1,27 @@
-//! A sliding window over the sequence numbers of one sender, which accepts each number once.
+//! Replay protection: a sliding window over the sequence numbers of one sender.
 
-/// The number of sequence numbers that may arrive out of order.
+/// The size of the window: a sequence number can arrive out of order if it is less than this far below the highest one.
 pub const WINDOW_SIZE: u64 = 64;
 
-/// Accepts each sequence number once; numbers older than the window are refused, since nobody can tell any more.
+/// Accepts each sequence number once. Numbers below the window are rejected, because it is no longer known whether they
+/// were received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplayWindow {
     highest: u64,
-    seen: u64,
+    /// Bit `n` is set if the sequence number `highest - n` was received.
+    received: u64,
 }
 
 impl ReplayWindow {
-    /// Whether `sequence` is new; a new one is marked as seen. Zero is never new.
+    /// Returns whether `sequence` is new, and marks it as received. Zero is never accepted.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence == 0 {
             return false;
         }
         if sequence > self.highest {
             let shift = sequence - self.highest;
-            self.seen = if shift >= WINDOW_SIZE { 0 } else { self.seen << shift };
-            self.seen |= 1;
+            self.received = if shift >= WINDOW_SIZE { 0 } else { self.received << shift };
+            self.received |= 1;
             self.highest = sequence;
             return true;
         }
@@ -28,8 +30,8 @@
             return false;
         }
         let bit = 1 << age;
-        let new = self.seen & bit == 0;
-        self.seen |= bit;
+        let new = self.received & bit == 0;
+        self.received |= bit;
         new
     }
 }
--- a/crates/messages/tests/frames.rs
+++ b/crates/messages/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes: what is accepted, and what is refused.
+//! Frames between nodes: which are accepted and which are rejected.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_opened_frame_says_what_was_sealed() {
+fn an_opened_frame_has_the_sealed_content() {
     let opened = opener(&[1]).open(&seal(&mut sealer(1), node(RECEIVER, 6))).unwrap();
     assert_eq!(opened.sender, node(SENDER, 5));
     assert_eq!(opened.revision, Revision(7));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_is_rotated_without_a_refused_frame() {
+fn keys_are_rotated_without_a_rejected_frame() {
     let mut opener = opener(&[1, 2]);
     let mut sealer = sealer(1);
     assert!(opener.open(&seal(&mut sealer, node(RECEIVER, 6))).is_ok());
@@ -80,31 +80,31 @@
     assert!(opener.open(&frames[99]).is_ok());
     assert!(opener.open(&frames[50]).is_ok());
     assert!(opener.open(&frames[50]).is_err());
-    assert!(opener.open(&frames[10]).is_err(), "older than the window: nobody can tell whether it was received");
+    assert!(opener.open(&frames[10]).is_err(), "below the window: unknown whether it was received");
 }
 
-#[test_case(node(RECEIVER, 7) => FrameError::WrongReceiver; "an earlier run of the receiver")]
+#[test_case(node(RECEIVER, 7) => FrameError::WrongReceiver; "another incarnation of the receiver")]
 #[test_case(node(1003, 6) => FrameError::WrongReceiver; "another node")]
-fn a_frame_for_somebody_else_is_refused(receiver: NodeId) -> FrameError {
+fn a_frame_for_another_receiver_is_rejected(receiver: NodeId) -> FrameError {
     opener(&[1]).open(&seal(&mut sealer(1), receiver)).unwrap_err()
 }
 
 #[test]
-fn a_frame_of_another_deployment_is_refused() {
+fn a_frame_of_another_deployment_is_rejected() {
     let mut sealer = FrameSealer::new(node(SENDER, 5), deployment("other"), keys(&[1], 1));
-    let refusal = opener(&[1]).open(&seal(&mut sealer, node(RECEIVER, 6))).unwrap_err();
-    assert_eq!(refusal, FrameError::ForeignDeployment);
+    let error = opener(&[1]).open(&seal(&mut sealer, node(RECEIVER, 6))).unwrap_err();
+    assert_eq!(error, FrameError::ForeignDeployment);
 }
 
 #[test]
-fn a_strangers_key_under_a_known_number_is_refused() {
-    let stranger = FleetKeys::new(vec![FleetKey { id: KeyId(1), secret: vec![9; 32] }], KeyId(1)).unwrap();
-    let mut sealer = FrameSealer::new(node(SENDER, 5), deployment("fleet"), stranger);
+fn a_different_secret_under_a_known_key_number_is_rejected() {
+    let forged_keys = FleetKeys::new(vec![FleetKey { id: KeyId(1), secret: vec![9; 32] }], KeyId(1)).unwrap();
+    let mut sealer = FrameSealer::new(node(SENDER, 5), deployment("fleet"), forged_keys);
     assert_eq!(opener(&[1]).open(&seal(&mut sealer, node(RECEIVER, 6))), Err(FrameError::WrongTag));
 }
 
 #[test]
-fn sizes_are_bounded_both_ways() {
+fn sizes_are_limited_when_sealing_and_opening() {
     let receiver = node(RECEIVER, 6);
     let oversized = payload(vec![0; MAX_PAYLOAD_BYTES + 1]);
     assert!(matches!(
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn key_sets_are_checked() {
+fn invalid_key_sets_are_rejected() {
     assert_eq!(FleetKeys::new(vec![key(1)], KeyId(2)).unwrap_err(), KeySetError::SendingKeyMissing { id: KeyId(2) });
     let short = FleetKey { id: KeyId(3), secret: vec![1; 31] };
     assert_eq!(FleetKeys::new(vec![short], KeyId(3)).unwrap_err(), KeySetError::SecretTooShort { id: KeyId(3) });
@@ -134,10 +134,10 @@
     }
 
     #[test]
-    fn a_changed_or_truncated_frame_is_refused(position in any::<prop::sample::Index>(), bit in 0u8..8, cut in any::<bool>()) {
+    fn a_modified_or_truncated_frame_is_rejected(position in any::<prop::sample::Index>(), bit in 0u8..8, truncate in any::<bool>()) {
         let mut frame = seal(&mut sealer(1), node(RECEIVER, 6));
         let position = position.index(frame.len());
-        if cut {
+        if truncate {
             frame.truncate(position);
         } else {
             frame[position] ^= 1 << bit;
@@ -146,7 +146,7 @@
     }
 }
 
-/// The length of a nested field is larger than its message; the library's own reader panics on it.
+/// The length of a nested field exceeds its message, on which the reader of quick-protobuf panics.
 #[test]
 fn a_nested_length_beyond_its_message_is_malformed() {
     use quillhatch_messages::generated::frame::Envelope;
--- a/crates/settings/src/configuration/mod.rs
+++ b/crates/settings/src/configuration/mod.rs
@@ -32,8 +32,8 @@
 ///
 /// # Errors
 ///
-/// Returns all findings, including warnings, if at least one is an error. If the text is not valid JSON, the only finding
-/// is the first syntax error.
+/// Returns all findings, including warnings, if at least one is an error. If the text is not valid JSON, the only
+/// finding is the first syntax error.
 pub fn parse_configuration(source: &str, text: &str) -> Result<(Configuration, Findings), Findings> {
     let mut report = Report::new(source, text);
     let configuration = match json::parse(text, report.line_index()) {
--- a/crates/settings/src/configuration/sites.rs
+++ b/crates/settings/src/configuration/sites.rs
@@ -10,8 +10,8 @@
 #[derive(Debug)]
 pub(super) struct DeclaredSites {
     sites: Vec<SiteConfiguration>,
-    /// Whether all sites and zones are valid. If not, unknown names are not reported, because they may refer to a site or
-    /// zone that was left out.
+    /// Whether all sites and zones are valid. If not, unknown names are not reported, because they may refer to a site
+    /// or zone that was left out.
     complete: bool,
 }
 
--- a/crates/settings/src/document/json.rs
+++ b/crates/settings/src/document/json.rs
@@ -1,7 +1,7 @@
 //! Parses JSON into a tree of values with their origins.
 //!
-//! The text is parsed twice. `serde_json` accepts only strict JSON and limits the nesting depth, but keeps no positions.
-//! `jsonc-parser` keeps the positions, but also accepts quotes and numbers that other JSON parsers reject.
+//! The text is parsed twice. `serde_json` accepts only strict JSON and limits the nesting depth, but keeps no
+//! positions. `jsonc-parser` keeps the positions, but also accepts quotes and numbers that other JSON parsers reject.
 
 use derive_more::{Display, Error};
 use jsonc_parser::ast;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,7 @@
 //! Parses and validates the settings file of a node and the configuration document of the platform.
 //!
-//! Parsing doesn't stop at the first mistake: every error and warning is returned as a finding with its line and column.
+//! Parsing doesn't stop at the first mistake: every error and warning is returned as a finding with its line and
+//! column.
 //!
 //! Use [`node_settings`] for the file that a node is started with, [`configuration`] for the document that the platform
 //! serves, and [`presentation`] to print the findings. This crate opens no files: callers pass the text and the source
--- a/crates/settings/src/node_settings/mod.rs
+++ b/crates/settings/src/node_settings/mod.rs
@@ -1,7 +1,7 @@
 //! Parses and checks the settings that a node is started with.
 //!
-//! Pass the text of the settings file and the flags that override it to [`parse_node_settings`]. The result is complete:
-//! keys that the file omits have their default values.
+//! Pass the text of the settings file and the flags that override it to [`parse_node_settings`]. The result is
+//! complete: keys that the file omits have their default values.
 
 mod checks;
 mod overrides;
@@ -65,8 +65,8 @@
 ///
 /// # Errors
 ///
-/// Returns all findings, including warnings, if at least one is an error. If the text is not valid TOML, the only finding
-/// is the first syntax error.
+/// Returns all findings, including warnings, if at least one is an error. If the text is not valid TOML, the only
+/// finding is the first syntax error.
 pub fn parse_node_settings(
     source: &str,
     text: &str,
--- a/crates/settings/src/node_settings/read.rs
+++ b/crates/settings/src/node_settings/read.rs
@@ -90,7 +90,8 @@
     checks::ListenerAddresses { callers, peers, operators }
 }
 
-/// Reads the operator token. Returns `None` if the key is missing, and a location without value if the token is invalid.
+/// Reads the operator token. Returns `None` if the key is missing, and a location without value if the token is
+/// invalid.
 fn read_operator_token(report: &mut Report<'_>, root: &mut Section<'_>) -> Option<checks::Located<Option<Secret>>> {
     let mut section = root.subsection(report, "operators");
     let token = section.take("token").map(|field| {
--- a/crates/settings/src/node_settings/secret.rs
+++ b/crates/settings/src/node_settings/secret.rs
@@ -2,7 +2,8 @@
 
 /// Secret bytes. `Debug` prints only their number.
 ///
-/// `==` is not constant-time. To compare a secret with a value from outside the process, use a constant-time comparison.
+/// `==` is not constant-time. To compare a secret with a value from outside the process, use a constant-time
+/// comparison.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Secret(Vec<u8>);
 
--- a/crates/settings/src/node_settings/sections.rs
+++ b/crates/settings/src/node_settings/sections.rs
@@ -164,8 +164,8 @@
     pub lease: Duration,
     /// The minimum time without a heartbeat after which a voter starts an election.
     pub election_timeout_minimum: Duration,
-    /// The maximum time without a heartbeat after which a voter starts an election. Each voter chooses its election timeout
-    /// at random between the two.
+    /// The maximum time without a heartbeat after which a voter starts an election. Each voter chooses its election
+    /// timeout at random between the two.
     pub election_timeout_maximum: Duration,
 }
 
--- a/crates/settings/tests/settings/support.rs
+++ b/crates/settings/tests/settings/support.rs
@@ -9,8 +9,8 @@
 /// The example configuration of the other deployment.
 pub const BAJIO: &str = include_str!("../../../../docs/examples/configuration/bajio.json");
 
-/// Replaces the first occurrence of `old` in `text`. Panics if there is none, so that a change of the examples can't make a
-/// test vacuous.
+/// Replaces the first occurrence of `old` in `text`. Panics if there is none, so that a change of the examples can't
+/// make a test vacuous.
 pub fn replaced(text: &str, old: &str, new: &str) -> String {
     assert!(text.contains(old), "{old:?} is not in the example");
     text.replacen(old, new, 1)
