--- a/crates/types/src/admission.rs
+++ b/crates/types/src/admission.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Calls that are refused last.
+    /// Calls that must be served as long as any calls are served.
     #[display("protected")]
     Protected,
     /// Calls that a person waits for.
--- a/crates/types/src/identity.rs
+++ b/crates/types/src/identity.rs
@@ -11,7 +11,8 @@
 
 /// A random number generated when a process starts and never reused.
 ///
-/// A machine that lost its state restarts with a new incarnation, so it cannot contradict a vote that it no longer has.
+/// A machine that lost its state restarts with a new incarnation, so it cannot contradict a vote that it no longer
+/// remembers.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{_0:016x}")]
 pub struct Incarnation(pub u64);
