--- a/crates/quillhatch/tests/support/fleet.rs
+++ b/crates/quillhatch/tests/support/fleet.rs
@@ -100,7 +100,7 @@
     }
 
     async fn group_is_formed(&self) -> bool {
-        let asked = self.gates[0].node.driver().operator(OperatorRequest::Status { export: false });
+        let asked = self.gates[0].node.driver().operator_request(OperatorRequest::Status { export: false });
         let Ok(OperatorReply::Status { report }) = asked.await else {
             return false;
         };
@@ -132,7 +132,7 @@
     settings.platform.urls = vec![format!("http://{}", platform.address())];
     settings.platform.poll_interval = POLL_INTERVAL;
     if let Some(backend) = &mut settings.backend {
-        backend.outgoing = Some(any_loopback());
+        backend.outgoing_address = Some(any_loopback());
         backend.load_path = Some("/load".to_owned());
     }
     settings
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -122,7 +122,7 @@
         });
         return refuse(node, &id, "stopping", STOPPING_RETRY_AFTER, arrived);
     }
-    if !is_nested && node.has(Mechanism::EntryAdmission) {
+    if !is_nested && node.is_enabled(Mechanism::EntryAdmission) {
         if let Some(response) = refuse_at_entry(node, &configuration, &route, &mut inherited, &id, arrived) {
             return response;
         }
@@ -159,7 +159,7 @@
     let _root_call = (!is_nested).then(|| CallGauge::new(&node.root_calls));
     let response = run::run(node, call, body).await;
     if is_nested && response.status().is_server_error() {
-        node.health.borrow_mut().record_downstream_failure(node.now());
+        node.target_health.borrow_mut().record_downstream_failure(node.now());
     }
     response
 }
@@ -181,7 +181,7 @@
     }
     node.log_failure(|| {
         let name = &route.name;
-        let age = node.cuts.borrow().age(name, arrived).unwrap_or_default().as_millis();
+        let age = node.admission_levels.borrow().age(name, arrived).unwrap_or_default().as_millis();
         let (position, version) = (inherited.position, configuration.version);
         format!(
             "\"event\":\"refused\",\"id\":{id:?},\"route\":\"{name}\",\"share\":{share:.3},\"share_age_ms\":{age},\"position\":{position},\"version\":{version}"
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -78,7 +78,11 @@
                 progress.tried.clear();
                 continue;
             }
-            node.cuts.borrow_mut().record_report(&call.route.name, AdmissionLevel::from_priority_share(0.0), now);
+            node.admission_levels.borrow_mut().record_report(
+                &call.route.name,
+                AdmissionLevel::from_priority_share(0.0),
+                now,
+            );
             return give_up(&call, &progress, "no-target");
         };
         let runs_once = call.route.retryability == Retryability::AtMostOnce;
@@ -115,13 +119,13 @@
             }
             Attempt::NotRun(why) => {
                 node.log_failure(|| failed_attempt_line(&call, &target, why));
-                node.balance.borrow_mut().record_refusal(&target.id, node.now());
+                node.load_balancer.borrow_mut().record_refusal(&target.id, node.now());
             }
             Attempt::TargetReplaced => {}
             Attempt::Rejected => {
                 node.log_failure(|| failed_attempt_line(&call, &target, "rejected"));
                 // The target refuses quickly, so it would attract calls, each of which costs a retry.
-                node.balance.borrow_mut().record_refusal(&target.id, node.now());
+                node.load_balancer.borrow_mut().record_refusal(&target.id, node.now());
                 if !node.try_retry(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
@@ -155,11 +159,11 @@
     let targets = node.targets.borrow();
     let members = targets.of_service(service);
     let mut random = node.random.borrow_mut();
-    let balance = node.balance.borrow();
+    let balance = node.load_balancer.borrow();
     let now = node.now();
     let response_time = call.route.latency_objective.min(now.until(call.deadline));
-    let sender_place = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
-    balance.choose(members, tried, sender_place, now, &mut *random)
+    let zone_preference = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
+    balance.choose(members, tried, zone_preference, now, &mut *random)
 }
 
 /// Whether the service has another target that is not draining and was not tried yet.
@@ -171,7 +175,7 @@
 
 /// Whether the services that calls of this route need have spare capacity.
 fn has_spare_capacity(node: &Node, call: &Call) -> bool {
-    node.cuts.borrow().level(&call.route.name, node.now()).admits_all()
+    node.admission_levels.borrow().level(&call.route.name, node.now()).admits_all()
 }
 
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, StatusCode};
 use quillhatch_mesh::admission_level::AdmissionLevel;
 use quillhatch_mesh::callers::CallerKind;
-use quillhatch_mesh::gate::Refusal;
+use quillhatch_mesh::gate::GateRefusal;
 use quillhatch_mesh::parents::InheritedContext;
 use quillhatch_mesh::quarantine::RequestSignature;
 use quillhatch_mesh::routing::find_route;
@@ -82,7 +82,7 @@
         deadline: arrived + timeout,
     };
     if let (Some(route), Some(caller)) = (&call.route, header_text(headers, headers::CALLER_SERVICE)) {
-        node.caller_shares.borrow_mut().count_call(route, caller);
+        node.caller_counts.borrow_mut().count_call(route, caller);
     }
     let outcome = admit_and_forward(&node, &call, &context, parts, body).await;
     record_health(&node, &outcome);
@@ -112,10 +112,10 @@
     find_route(&configuration, authority, parts.uri.path()).map(|route| route.name.clone())
 }
 
-fn outcome_of(refusal: Refusal) -> GateOutcome {
+fn outcome_of(refusal: GateRefusal) -> GateOutcome {
     match refusal {
-        Refusal::Overloaded => GateOutcome::Full,
-        Refusal::Closed => GateOutcome::Closed,
+        GateRefusal::Overloaded => GateOutcome::Full,
+        GateRefusal::Closed => GateOutcome::Closed,
     }
 }
 
@@ -123,7 +123,7 @@
 /// it made may be the cause.
 fn record_health(node: &Node, outcome: &Result<Response<Body>, Failure>) {
     let now = node.now();
-    let mut health = node.health.borrow_mut();
+    let mut health = node.target_health.borrow_mut();
     match outcome {
         Ok(response) if response.status() == StatusCode::GATEWAY_TIMEOUT => {}
         Ok(response) if response.status().is_server_error() => health.record_error(now),
@@ -148,10 +148,9 @@
 fn attach_report(node: &Node, call: &Call, outcome: GateOutcome, response: &mut Response<Body>) {
     let now = node.now();
     let load = node.gate.borrow().load();
-    let admission_level = call
-        .route
-        .as_ref()
-        .map_or(AdmissionLevel::FULL, |route| node.own_cut(route).lower_of(node.called_cut(route, now)));
+    let admission_level = call.route.as_ref().map_or(AdmissionLevel::FULL, |route| {
+        node.own_admission_level(route).lower_of(node.callee_admission_level(route, now))
+    });
     let current_target = match outcome {
         GateOutcome::Closed | GateOutcome::Rejected => {
             local_target::available_target(node).filter(|target| target.id != call.expected)
@@ -160,9 +159,9 @@
     };
     let caller_kind = call.route.as_ref().map_or(CallerKind::Unknown, |route| {
         let targets = node.targets.borrow();
-        node.caller_shares.borrow_mut().caller_kind(route, || targets.service_shares())
+        node.caller_counts.borrow_mut().caller_kind(route, || targets.service_shares())
     });
-    let health = node.health.borrow_mut().good_share(now);
+    let health = node.target_health.borrow_mut().good_share(now);
     let (store_view, proof) =
         (store_view::own_store_view(node), node.tenancy.peer_proof(&node.configuration.borrow(), call.arrived));
     let report = HopReport { outcome, load, admission_level, health, caller_kind, store_view, proof, current_target };
@@ -185,8 +184,8 @@
     }
 }
 
-impl From<Refusal> for Failure {
-    fn from(refusal: Refusal) -> Self {
+impl From<GateRefusal> for Failure {
+    fn from(refusal: GateRefusal) -> Self {
         Failure::new(outcome_of(refusal), "not admitted")
     }
 }
--- a/crates/sidecar/src/gate/target_crash.rs
+++ b/crates/sidecar/src/gate/target_crash.rs
@@ -2,7 +2,7 @@
 //!
 //! A single lost connection does not show that the target has crashed: the response may be lost while the target lives.
 //! So after a call has lost its connection the other running calls are checked, and if none of them is left, the target
-//! is asked for its identity.
+//! is queried for its identity.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -69,7 +69,7 @@
 /// Logs a crash of a target, and records the calls that were running as suspects in the quarantine.
 fn record_crash(node: &Node, crash: &TargetCrash) {
     log_crash(node, crash);
-    if node.has(Mechanism::Quarantine) {
+    if node.is_enabled(Mechanism::Quarantine) {
         let suspects = node.quarantine.borrow_mut().record_crash(crash, node.now());
         node.quarantine_outbox.queue_suspects(suspects);
     }
@@ -77,7 +77,7 @@
 
 /// Clears requests of this signature in the quarantine, since the target has answered one.
 pub(super) fn request_completed(node: &Node, signature: &RequestSignature) {
-    if !node.has(Mechanism::Quarantine) {
+    if !node.is_enabled(Mechanism::Quarantine) {
         return;
     }
     let cleared = node.quarantine.borrow_mut().record_completion(signature, node.now());
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -188,7 +188,7 @@
     tasks.spawn_local(feed::find_unregistered(Rc::clone(&node)));
     tasks.spawn_local(gate::watch_retained_target(Rc::clone(&node)));
     tasks.spawn_local(store::drop_expired_targets(Rc::clone(&node)));
-    if node.has(Mechanism::SharedReads) {
+    if node.is_enabled(Mechanism::SharedReads) {
         tasks.spawn_local(store::watch_access(Rc::clone(&node)));
     }
     tasks.spawn_local(evict_expired_calls(Rc::clone(&node)));
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -33,8 +33,11 @@
         assert_eq!(seen.header("quillhatch-caller-service"), "beta");
         assert_eq!(seen.header("quillhatch-expect-instance"), alpha.target.id());
         assert_eq!(seen.header("quillhatch-hop"), "");
-        let left: u64 = seen.header("quillhatch-deadline-ms").parse().expect("a deadline");
-        assert!((900..=1000).contains(&left), "the route's timeout overrides the caller's longer one: {left}");
+        let remaining_ms: u64 = seen.header("quillhatch-deadline-ms").parse().expect("a deadline");
+        assert!(
+            (900..=1000).contains(&remaining_ms),
+            "the route's timeout overrides the caller's longer one: {remaining_ms}"
+        );
     });
 }
 
@@ -140,7 +143,7 @@
         let mut refused = 0;
         for number in 0..40 {
             let node = beta.node();
-            node.cuts.borrow_mut().record_report(
+            node.admission_levels.borrow_mut().record_report(
                 &Arc::from("read"),
                 AdmissionLevel::from_priority_share(0.0),
                 node.now(),
@@ -220,11 +223,11 @@
         let (store, alpha, beta) = two_machines().await;
         // A machine that accepts connections and never responds simulates a frozen one.
         let frozen = support::unused_address();
-        let silent = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
-        let taken = tokio::task::spawn_local(async move {
-            let mut kept = Vec::new();
-            while let Ok((stream, _)) = silent.accept().await {
-                kept.push(stream);
+        let listener = tokio::net::TcpListener::bind((frozen, beta.inbound().port())).await.expect("a free port");
+        let acceptor = tokio::task::spawn_local(async move {
+            let mut streams = Vec::new();
+            while let Ok((stream, _)) = listener.accept().await {
+                streams.push(stream);
             }
         });
         // Retries need a budget, which is a share of the calls made.
@@ -252,7 +255,7 @@
             let answer = call(beta.outbound(), &pay(&format!("pay-{number}"))).await.expect("a response");
             assert_eq!(answer.status, 200, "an at-most-once call is not sent to an unresponsive node");
         }
-        taken.abort();
+        acceptor.abort();
         drop(alpha);
     });
 }
