--- a/crates/messages/tests/frames.rs
+++ b/crates/messages/tests/frames.rs
@@ -134,7 +134,11 @@
     }
 
     #[test]
-    fn a_modified_or_truncated_frame_is_rejected(position in any::<prop::sample::Index>(), bit in 0u8..8, truncate in any::<bool>()) {
+    fn a_modified_or_truncated_frame_is_rejected(
+        position in any::<prop::sample::Index>(),
+        bit in 0u8..8,
+        truncate in any::<bool>(),
+    ) {
         let mut frame = seal(&mut sealer(1), node(RECEIVER, 6));
         let position = position.index(frame.len());
         if truncate {
