--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It is proven that no back end received the call.
+    /// It is proven that no back end ran the call.
     #[display("not-run")]
     NotRun,
     /// The call may have run; this cannot be determined.
