--- a/crates/quillhatch/src/backend_health.rs
+++ b/crates/quillhatch/src/backend_health.rs
@@ -1,4 +1,4 @@
-//! Asks the back end's health and load endpoints and hands the answers to the gate as a hint.
+//! Polls the back end's health and load endpoints and passes the results to the gate as hints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use crate::driver::Driver;
 use crate::metrics::Counters;
 
-/// The largest answer of the load endpoint that is read, in bytes.
-const MAXIMUM_LOAD_BYTES: u64 = 64;
+/// The maximum size of the load endpoint's response, in bytes; a larger response, or one without a length, is ignored.
+const MAX_LOAD_BYTES: u64 = 64;
 
-/// Where and how often the endpoints are asked.
+/// The endpoints to poll, and how often.
 #[derive(Clone, Debug)]
 pub struct HealthEndpoints {
-    /// The URL of the health endpoint: any success means healthy.
+    /// The URL of the health endpoint; any success status means healthy.
     pub health: String,
-    /// The URL of the load endpoint, which answers with a number: the load as a share of the capacity.
+    /// The URL of the load endpoint, which responds with a number: the load as a fraction of the capacity.
     pub load: Option<String>,
-    /// The time between two looks, and the longest time of one.
+    /// The pause between polls, and the timeout of each request.
     pub interval: Duration,
 }
 
-/// Asks the endpoints for ever.
+/// Polls the endpoints until the future is dropped.
 pub async fn run(client: reqwest::Client, endpoints: HealthEndpoints, driver: Arc<Driver>, counters: Arc<Counters>) {
     let mut was_healthy = None;
     loop {
@@ -31,26 +31,26 @@
             counters.failed_health_checks.inc();
         }
         if was_healthy.replace(healthy) != Some(healthy) {
-            log::info!(healthy; "the back end's health endpoint changed its answer");
+            log::info!(healthy; "the result of the back end's health check changed");
         }
-        let load = load(&client, &endpoints).await;
+        let load = query_load(&client, &endpoints).await;
         driver.gate_input(GateInput::Hint(LoadHint { healthy, load }));
         tokio::time::sleep(endpoints.interval).await;
     }
 }
 
 async fn is_healthy(client: &reqwest::Client, endpoints: &HealthEndpoints) -> bool {
-    let answer = client.get(&endpoints.health).timeout(endpoints.interval).send().await;
-    answer.is_ok_and(|answer| answer.status().is_success())
+    let response = client.get(&endpoints.health).timeout(endpoints.interval).send().await;
+    response.is_ok_and(|response| response.status().is_success())
 }
 
-async fn load(client: &reqwest::Client, endpoints: &HealthEndpoints) -> Option<f64> {
+async fn query_load(client: &reqwest::Client, endpoints: &HealthEndpoints) -> Option<f64> {
     let url = endpoints.load.as_ref()?;
-    let answer = client.get(url).timeout(endpoints.interval).send().await.ok()?;
-    let short = answer.content_length().is_some_and(|length| length <= MAXIMUM_LOAD_BYTES);
-    if !answer.status().is_success() || !short {
+    let response = client.get(url).timeout(endpoints.interval).send().await.ok()?;
+    let is_short = response.content_length().is_some_and(|length| length <= MAX_LOAD_BYTES);
+    if !response.status().is_success() || !is_short {
         return None;
     }
-    let load: f64 = answer.text().await.ok()?.trim().parse().ok()?;
+    let load: f64 = response.text().await.ok()?.trim().parse().ok()?;
     (load.is_finite() && load >= 0.0).then_some(load)
 }
--- a/crates/quillhatch/src/call_header.rs
+++ b/crates/quillhatch/src/call_header.rs
@@ -1,8 +1,8 @@
-//! The authenticated header by which an edge hands an attempt's context to a gate.
+//! The authenticated header with which an edge sends an attempt's context to a gate.
 //!
-//! The value is `1.<key number>.<incarnation>.<context>.<tag>`, the last two in base64url. The tag covers the receiver's
-//! address and run, the method and the target of the request, so that the header of one request is of no use for another
-//! one or at another gate.
+//! The value is `1.<key number>.<incarnation>.<context>.<tag>`, with the last two parts in base64url. The tag covers
+//! the receiver's address and incarnation, the method and path of the request and the context, so that the header of
+//! one request can't be used for another request or at another gate.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -15,11 +15,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The version of the header's layout.
+/// The version of the header's format.
 const VERSION: &str = "1";
 
-/// The longest header value accepted, in bytes.
-const MAXIMUM_LENGTH: usize = 4 * 1024;
+/// The maximum length of an accepted header value, in bytes.
+const MAX_HEADER_BYTES: usize = 4 * 1024;
 
 /// Why a gate does not accept the header of an attempt.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
@@ -27,25 +27,25 @@
     /// The header is absent.
     #[display("the header is absent")]
     Absent,
-    /// The header is too long or not laid out as it should be.
+    /// The header is too long or has an invalid format.
     #[display("the header is malformed")]
     Malformed,
-    /// The tag was made with a key that this node does not accept.
+    /// The tag was created with a key that this node does not accept.
     #[display("the fleet key is not accepted")]
     UnknownKey,
-    /// The tag does not match: a stranger's request, or one for another gate.
+    /// The tag does not match: the sender does not have the key, or the header was made for another request or gate.
     #[display("the authentication tag does not match")]
     WrongTag,
-    /// The header is for another run of this node.
-    #[display("the header is for another run of this node")]
+    /// The header is for another incarnation of this node.
+    #[display("the header is for another incarnation of this node")]
     WrongRun,
 }
 
 impl CallHeaderError {
-    /// All of them.
+    /// All errors.
     pub const ALL: [Self; 5] = [Self::Absent, Self::Malformed, Self::UnknownKey, Self::WrongTag, Self::WrongRun];
 
-    /// The word for it between nodes and in metrics.
+    /// The code of the error that nodes exchange and metrics use.
     pub fn code(self) -> &'static str {
         match self {
             CallHeaderError::Absent => "absent",
@@ -57,10 +57,10 @@
     }
 }
 
-/// What besides the context the tag covers.
+/// The data that the tag covers in addition to the context.
 #[derive(Clone, Copy, Debug)]
 pub struct SignedRequest<'a> {
-    /// The gate's node; incarnation zero reaches any run at the address.
+    /// The gate's node; incarnation zero addresses any incarnation.
     pub receiver: NodeId,
     /// The method of the request.
     pub method: &'a str,
@@ -69,7 +69,7 @@
 }
 
 impl SignedRequest<'_> {
-    fn bytes(&self, context: &[u8]) -> Vec<u8> {
+    fn signed_bytes(&self, context: &[u8]) -> Vec<u8> {
         let head = format!(
             "quillhatch-call/{VERSION}\n{}\n{}\n{}\n{}\n",
             self.receiver.address, self.receiver.incarnation, self.method, self.path
@@ -78,10 +78,10 @@
     }
 }
 
-/// The header value for an attempt with `context`.
+/// Creates the header value for an attempt with `context`.
 pub fn seal(keys: &FleetKeys, request: SignedRequest<'_>, context: &CallContext) -> Option<HeaderValue> {
     let context = wire::encode_context(context);
-    let tag = keys.sign(&request.bytes(&context));
+    let tag = keys.sign(&request.signed_bytes(&context));
     let text = format!(
         "{VERSION}.{}.{}.{}.{}",
         keys.sending_key_id(),
@@ -103,32 +103,32 @@
     value: Option<&HeaderValue>,
 ) -> Result<CallContext, CallHeaderError> {
     let value = value.ok_or(CallHeaderError::Absent)?;
-    if value.len() > MAXIMUM_LENGTH {
+    if value.len() > MAX_HEADER_BYTES {
         return Err(CallHeaderError::Malformed);
     }
-    let parts = Parts::parse(value).ok_or(CallHeaderError::Malformed)?;
+    let parts = HeaderParts::parse(value).ok_or(CallHeaderError::Malformed)?;
     let addressed = NodeId { incarnation: parts.incarnation, ..request.receiver };
-    let signed = SignedRequest { receiver: addressed, ..request }.bytes(&parts.context);
+    let signed = SignedRequest { receiver: addressed, ..request }.signed_bytes(&parts.context);
     match keys.verify(parts.key, &signed, &parts.tag) {
         None => return Err(CallHeaderError::UnknownKey),
         Some(false) => return Err(CallHeaderError::WrongTag),
         Some(true) => {}
     }
-    let any_run = parts.incarnation == Incarnation(0);
-    if !any_run && parts.incarnation != request.receiver.incarnation {
+    let any_incarnation = parts.incarnation == Incarnation(0);
+    if !any_incarnation && parts.incarnation != request.receiver.incarnation {
         return Err(CallHeaderError::WrongRun);
     }
     wire::decode_context(&parts.context).map_err(|_| CallHeaderError::Malformed)
 }
 
-struct Parts {
+struct HeaderParts {
     key: KeyId,
     incarnation: Incarnation,
     context: Vec<u8>,
     tag: Vec<u8>,
 }
 
-impl Parts {
+impl HeaderParts {
     fn parse(value: &HeaderValue) -> Option<Self> {
         let mut words = value.to_str().ok()?.split('.');
         let mut next = || words.next();
@@ -139,18 +139,18 @@
         let incarnation = Incarnation(u64::from_str_radix(next()?, 16).ok()?);
         let context = URL_SAFE_NO_PAD.decode(next()?).ok()?;
         let tag = URL_SAFE_NO_PAD.decode(next()?).ok()?;
-        next().is_none().then_some(Parts { key, incarnation, context, tag })
+        next().is_none().then_some(HeaderParts { key, incarnation, context, tag })
     }
 }
 
-/// The value of the header by which a gate gives `feedback`.
+/// Creates the value of the header with which a gate sends `feedback`.
 pub fn seal_feedback(feedback: &Feedback) -> Option<HeaderValue> {
     HeaderValue::from_str(&URL_SAFE_NO_PAD.encode(wire::encode_feedback(feedback))).ok()
 }
 
-/// The feedback in a header value; `None` if it is none.
+/// Reads the feedback from a header value; `None` if it is invalid.
 pub fn open_feedback(value: &HeaderValue) -> Option<Feedback> {
-    if value.len() > MAXIMUM_LENGTH {
+    if value.len() > MAX_HEADER_BYTES {
         return None;
     }
     let bytes = URL_SAFE_NO_PAD.decode(value.as_bytes()).ok()?;
--- a/crates/quillhatch/src/call_header/tests.rs
+++ b/crates/quillhatch/src/call_header/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the authenticated header.
+//! Tests of the authenticated header and the feedback header.
 
 use std::time::Duration;
 
@@ -39,15 +39,15 @@
     }
 }
 
-#[test_case(7, 7; "this run")]
-#[test_case(0, 7; "any run")]
-fn what_is_sealed_is_opened(addressed: u64, receiver: u64) {
+#[test_case(7, 7; "this incarnation")]
+#[test_case(0, 7; "any incarnation")]
+fn a_sealed_header_opens_to_its_context(addressed: u64, receiver: u64) {
     let value = seal(&keys(1, 1), request(addressed), &context());
     assert_eq!(open(&keys(1, 1), request(receiver), value.as_ref()), Ok(context()));
 }
 
 #[test]
-fn a_header_is_of_no_use_elsewhere() {
+fn a_header_is_rejected_for_another_key_gate_or_request() {
     let value = seal(&keys(1, 1), request(7), &context());
     let open = |keys: &FleetKeys, request| open(keys, request, value.as_ref());
     let other_address = NodeId { address: NodeAddress("127.0.0.1:7002".parse().expect("address")), ..gate(7) };
@@ -68,13 +68,13 @@
 #[test_case("1.1.7.AAAA.AAAA.AAAA"; "a part too many")]
 #[test_case("1.x.7.AAAA.AAAA"; "no key number")]
 #[test_case("1.1.7.%%.AAAA"; "no base64url")]
-fn malformed_headers_are_refused(text: &str) {
+fn malformed_headers_are_rejected(text: &str) {
     let value = HeaderValue::from_str(text).expect("value");
     assert_eq!(open(&keys(1, 1), request(7), Some(&value)), Err(CallHeaderError::Malformed));
 }
 
 #[test]
-fn feedback_survives() {
+fn feedback_round_trips_through_its_header() {
     let feedback = Feedback { limit: 12, epoch: Epoch(3), revision: Revision(4), ..Feedback::default() };
     let value = seal_feedback(&feedback).expect("value");
     assert_eq!(open_feedback(&value), Some(feedback));
--- a/crates/quillhatch/src/clients.rs
+++ b/crates/quillhatch/src/clients.rs
@@ -1,19 +1,20 @@
-//! The HTTP clients towards gates, back ends, peers and the platform.
+//! The HTTP clients for requests to gates, back ends, peers and the platform.
 
 use std::time::Duration;
 
-/// The longest time for opening a connection to another machine.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time after which an unused connection is closed; shorter than the listeners' own, so that a node never sends on a
-/// connection that its peer is just closing.
+/// The time after which an idle connection is closed. It is shorter than the idle timeout of the listeners, so that a
+/// node does not send a request on a connection that its peer is closing.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A client that passes requests and answers on as they are: no redirects, no proxy, no decoding.
+/// Creates a client that forwards requests and responses unchanged: it follows no redirects, uses no proxy and decodes
+/// nothing.
 ///
 /// # Errors
 ///
-/// Returns an error if the client cannot be set up.
+/// Returns an error if the client cannot be created.
 pub fn transparent() -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .http1_only()
--- a/crates/quillhatch/src/decisions.rs
+++ b/crates/quillhatch/src/decisions.rs
@@ -1,7 +1,7 @@
-//! The border between the program and the decision code of a node.
+//! The interface between the program and the decision code of a node.
 //!
-//! The program hands every event to [`Decisions::step`] with the time on its monotonic clock and carries out each output.
-//! Tests put a double behind the trait; the program puts the node there.
+//! The program passes every event to [`Decisions::step`], together with the time on its monotonic clock, and executes
+//! each output. The program uses [`Node`] as the implementation; tests use a test double.
 
 use std::sync::Arc;
 
@@ -12,25 +12,26 @@
 
 /// The decision code of one node.
 pub trait Decisions: Send + 'static {
-    /// Takes one event and appends what is to be done.
+    /// Processes one event and appends the resulting actions to `outputs`.
     fn step(&mut self, now: Timestamp, input: NodeInput, outputs: &mut Vec<NodeOutput>);
 
-    /// When to step with [`NodeInput::Tick`] at the latest.
+    /// The time by which the next step with [`NodeInput::Tick`] is due; `None` if no step is scheduled.
     fn next_wake(&self) -> Option<Timestamp>;
 
-    /// What the gate tells the edge with the answer to `attempt`.
+    /// The feedback that the gate sends to the edge with the answer to `attempt`.
     fn feedback(&mut self, now: Timestamp, attempt: Option<AttemptId>) -> Feedback;
 
-    /// What a call made below `parent` inherits, with up to `wanted` retry tokens; `None` if no such call is running.
+    /// The context that a child call of `parent` inherits, with up to `wanted` retry tokens; `None` if no such call is
+    /// in progress.
     fn lend_tokens(&mut self, now: Timestamp, parent: CallId, wanted: u16) -> Option<ParentContext>;
 
     /// The configuration in force.
     fn configuration(&self) -> Option<Arc<Configuration>>;
 
-    /// Whether the node has finished starting and takes calls.
+    /// Whether the node has finished starting and accepts calls.
     fn is_ready(&self) -> bool;
 
-    /// Counts and levels for the metrics page.
+    /// The counters and gauges for the metrics page.
     fn statistics(&self) -> Vec<Statistic>;
 }
 
--- a/crates/quillhatch/src/http/body.rs
+++ b/crates/quillhatch/src/http/body.rs
@@ -1,7 +1,7 @@
-//! Bodies that pass through without being held in memory, and break off visibly.
+//! Streaming bodies. They are not buffered in memory, and a reader can detect an incomplete one.
 //!
-//! A body that ends with an error makes the server abort the connection: the reader sees a chunked body without its
-//! terminator, or fewer bytes than the length announced, and never a body that looks whole.
+//! A body that ends with an error makes the server abort the connection. The reader then sees a chunked body without
+//! its terminator, or fewer bytes than the announced length, and never a body that looks complete.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -13,34 +13,34 @@
 use http_body_util::{BodyExt, BodyStream, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
 
-/// Why a body ended before it was whole.
+/// Why a body is incomplete.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// The source of the body broke off.
-    #[display("the source of the body broke off")]
+    /// The source of the body failed before its end.
+    #[display("the source of the body failed before its end")]
     Upstream,
     /// The body is larger than allowed.
     #[display("the body is larger than allowed")]
     TooLarge,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// The bytes of a body as they arrive.
+/// A stream of the chunks of a body.
 pub type ByteStream = BoxStream<'static, Result<Bytes, BodyError>>;
 
-/// A body held in memory.
+/// Creates a body from bytes in memory.
 pub fn full(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body that passes on `stream`.
+/// Creates a body that streams the chunks of `stream`.
 pub fn streamed(stream: ByteStream) -> AnswerBody {
     StreamBody::new(stream.map_ok(Frame::data)).boxed_unsync()
 }
 
-/// The bytes of a request's body as they arrive; trailers are left out.
+/// Converts the body of a request to a stream of its chunks; trailers are dropped.
 pub fn incoming(body: Incoming) -> ByteStream {
     BodyStream::new(body)
         .filter_map(|frame| async move {
@@ -52,12 +52,12 @@
         .boxed()
 }
 
-/// Tells whether a body was cut because it was larger than allowed.
+/// A shared flag that is set when a body is truncated because it is larger than allowed.
 #[derive(Clone, Debug, Default)]
 pub struct OversizeFlag(Arc<AtomicBool>);
 
 impl OversizeFlag {
-    /// Whether the body was cut.
+    /// Whether the body was truncated.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
@@ -67,49 +67,49 @@
     }
 }
 
-/// The same bytes, cut with an error after `limit` bytes.
+/// Limits `body` to `limit` bytes: the first chunk beyond the limit is replaced by an error, and `oversize` is set.
 pub fn limited(body: ByteStream, limit: Option<u64>, oversize: OversizeFlag) -> ByteStream {
     let Some(limit) = limit else {
         return body;
     };
-    let mut left = limit;
+    let mut remaining = limit;
     body.map(move |chunk| {
         let chunk = chunk?;
         let size = chunk.len() as u64;
-        if size > left {
+        if size > remaining {
             oversize.set();
             return Err(BodyError::TooLarge);
         }
-        left -= size;
+        remaining -= size;
         Ok(chunk)
     })
     .boxed()
 }
 
-/// What reading the beginning of a body gave.
+/// The result of buffering a body up to a limit.
 pub enum BufferedBody {
-    /// The whole body.
+    /// The complete body.
     Complete(Bytes),
-    /// More than fits; all of it, from the first byte on, is in the stream.
+    /// The body is larger than the limit. The stream yields all of it, including the part already read.
     OverLimit(ByteStream),
 }
 
-/// Reads up to `limit` bytes of `body` into memory.
+/// Reads `body` into memory if it has at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Returns an error if the body broke off.
+/// Returns an error if the body fails before it ends or exceeds `limit`.
 pub async fn buffer_body(mut body: ByteStream, limit: u64) -> Result<BufferedBody, BodyError> {
-    let mut held: Vec<Bytes> = Vec::new();
+    let mut chunks: Vec<Bytes> = Vec::new();
     let mut size = 0;
     while let Some(chunk) = body.next().await {
         let chunk = chunk?;
         size += chunk.len() as u64;
-        held.push(chunk);
+        chunks.push(chunk);
         if size > limit {
-            let held = stream::iter(held.into_iter().map(Ok));
-            return Ok(BufferedBody::OverLimit(held.chain(body).boxed()));
+            let chunks = stream::iter(chunks.into_iter().map(Ok));
+            return Ok(BufferedBody::OverLimit(chunks.chain(body).boxed()));
         }
     }
-    Ok(BufferedBody::Complete(held.concat().into()))
+    Ok(BufferedBody::Complete(chunks.concat().into()))
 }
--- a/crates/quillhatch/src/http/headers.rs
+++ b/crates/quillhatch/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Which header fields pass from hop to hop, and the fields that only nodes may set.
+//! Rules for header fields: which are forwarded, and which only nodes may set.
 
 use std::time::Duration;
 
@@ -6,28 +6,28 @@
 use hyper::{Method, StatusCode};
 use quillhatch_types::HeaderField;
 
-/// The prefix of the fields that nodes set for each other and for back ends.
+/// The prefix of the fields that nodes exchange with each other and with back ends.
 pub const INTERNAL_PREFIX: &str = "quillhatch-";
 
-/// The authenticated context of an attempt, from an edge to a gate.
+/// The authenticated context of an attempt; sent by an edge to a gate.
 pub const CALL: HeaderName = HeaderName::from_static("quillhatch-call");
 /// The opaque context that a back end copies to the calls it makes.
 pub const CONTEXT: HeaderName = HeaderName::from_static("quillhatch-context");
-/// The time left for a call, in milliseconds; callers may set it.
+/// The remaining time for a call, in milliseconds; callers may set it.
 pub const DEADLINE: HeaderName = HeaderName::from_static("quillhatch-deadline-ms");
-/// What a gate tells an edge with an answer.
+/// The feedback that a gate sends to an edge with an answer.
 pub const FEEDBACK: HeaderName = HeaderName::from_static("quillhatch-feedback");
-/// A gate's own refusal, for the edge.
+/// A refusal by the gate itself; sent to the edge.
 pub const REFUSAL: HeaderName = HeaderName::from_static("quillhatch-refusal");
-/// Why a gate does not accept an attempt's context, for the edge.
+/// Why a gate does not accept the header of an attempt; sent to the edge.
 pub const UNACCEPTED: HeaderName = HeaderName::from_static("quillhatch-unaccepted");
-/// What is known of whether a call ran, for callers.
+/// Whether a call ran, as far as this is known; sent to callers.
 pub const OUTCOME: HeaderName = HeaderName::from_static("outcome");
 /// The key under which a request runs at most once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The fields that describe one connection only (RFC 9110, section 7.6.1), `Expect`, which is answered at each hop, and
-/// the older names of them that clients still send.
+/// The connection-specific fields (RFC 9110, section 7.6.1), including obsolete ones that clients still send, and
+/// `Expect`, which each hop answers itself.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "expect",
@@ -41,9 +41,10 @@
     "upgrade",
 ];
 
-/// Removes the fields that describe one connection only, also those that `Connection` lists.
+/// Removes the connection-specific fields, including those that `Connection` lists.
 ///
-/// `Host` and `Content-Length` stay even if they are listed: dropping them would change what the message is.
+/// `Host` and `Content-Length` are retained even if listed, since removing them would change the meaning of the
+/// message.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -70,34 +71,34 @@
     }
 }
 
-/// The size of a header as RFC 9113, section 6.5.2 counts it: 32 bytes for each field besides its name and value.
+/// The size of a header as defined by RFC 9113, section 6.5.2: each field counts 32 bytes in addition to its name and
+/// value.
 pub fn header_size(headers: &HeaderMap) -> u64 {
     const FIELD_OVERHEAD: usize = 32;
     headers.iter().map(|(name, value)| (name.as_str().len() + value.len() + FIELD_OVERHEAD) as u64).sum()
 }
 
-/// The length of a body as its header gives it.
+/// The value of `Content-Length`, if present and valid.
 pub fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// The length of an answer's body, if it is known; zero for answers that have none, whatever their `Content-Length` says
+/// The length of a response's body, if known; zero for responses that have no body, whatever their `Content-Length`
 /// (RFC 9112, section 6.3).
 pub fn expected_length(method: &Method, status: StatusCode, headers: &HeaderMap) -> Option<u64> {
-    let without_body =
-        *method == Method::HEAD || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
-    if without_body {
+    let has_no_body = *method == Method::HEAD || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
+    if has_no_body {
         return Some(0);
     }
     content_length(headers)
 }
 
-/// A span as whole milliseconds in a field's value.
-pub fn milliseconds(span: Duration) -> HeaderValue {
-    HeaderValue::from(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
+/// Formats a duration as whole milliseconds for a field's value.
+pub fn milliseconds(duration: Duration) -> HeaderValue {
+    HeaderValue::from(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// The fields of an answer that are worth repeating with it, as text.
+/// The fields of an answer that are recorded for its replay: all with a text value, except `Content-Length`.
 pub fn recordable_fields(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
@@ -109,7 +110,7 @@
         .collect()
 }
 
-/// Appends recorded fields; those that are no valid fields any more are left out.
+/// Appends recorded fields; invalid fields are skipped.
 pub fn append_recorded_fields(headers: &mut HeaderMap, fields: &[HeaderField]) {
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
--- a/crates/quillhatch/src/http/mod.rs
+++ b/crates/quillhatch/src/http/mod.rs
@@ -1,4 +1,5 @@
-//! What the listeners of callers and of peers have in common: the server, header rules, bodies and problem documents.
+//! The HTTP code shared by the listeners for callers and for peers: the server, header rules, bodies and problem
+//! documents.
 
 pub mod body;
 pub mod headers;
@@ -7,5 +8,5 @@
 
 pub use body::{AnswerBody, BodyError};
 
-/// The answer of a listener.
+/// An HTTP response of a listener.
 pub type Answer = hyper::Response<AnswerBody>;
--- a/crates/quillhatch/src/http/problem.rs
+++ b/crates/quillhatch/src/http/problem.rs
@@ -1,4 +1,5 @@
-//! Answers in the place of a back end: status code, `Outcome`, `Retry-After` and a problem document (RFC 9457).
+//! Responses that a node generates itself when it refuses a call: status code, `Outcome`, `Retry-After` and a problem
+//! document (RFC 9457).
 
 use std::time::Duration;
 
@@ -18,32 +19,32 @@
 /// The media type of problem documents.
 pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// The prefix of the problem types; the reason follows.
+/// The prefix of problem types; the refusal reason follows it.
 const TYPE_PREFIX: &str = "urn:quillhatch:refusal:";
 
 /// A problem document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Which problem it is; `urn:quillhatch:refusal:` and the reason.
+    /// The problem type: `urn:quillhatch:refusal:` followed by the reason.
     #[serde(rename = "type")]
     pub kind: String,
-    /// What it means, for people.
+    /// A summary for people.
     pub title: String,
-    /// The status code of the answer.
+    /// The status code of the response.
     pub status: u16,
-    /// What is known of whether the call ran.
+    /// Whether the call ran, as far as this is known.
     pub outcome: Outcome,
-    /// Why the back end did not answer.
+    /// Why the call was refused.
     pub reason: RefusalReason,
-    /// What is wrong with this request in particular.
+    /// What is wrong with this particular request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// The call, in hexadecimal, for an operator's question why it was refused.
+    /// The call's identifier in hexadecimal, with which an operator can query why it was refused.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub call: Option<String>,
 }
 
-/// A refusal with the status code and the words that the caller gets.
+/// A refusal with the status code and details to send to the caller.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{refusal}")]
 pub struct Rejection {
@@ -51,24 +52,24 @@
     pub refusal: Refusal,
     /// The status code.
     pub status: StatusCode,
-    /// What is wrong with this request in particular.
+    /// What is wrong with this particular request.
     pub detail: Option<String>,
-    /// The call, if it came so far as to have a number.
+    /// The call, if the request was refused after it got an identifier.
     pub call: Option<CallId>,
 }
 
 impl Rejection {
-    /// The request is refused before anything was done, with `status` in place of the reason's own.
+    /// Rejects a request that was not run, with `status` instead of the default status of `reason`.
     pub fn not_run(status: StatusCode, reason: RefusalReason, detail: impl Into<String>) -> Self {
         Rejection { refusal: Refusal::not_run(reason), status, detail: Some(detail.into()), call: None }
     }
 
-    /// The request is malformed.
+    /// Rejects a malformed request.
     pub fn bad_request(detail: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, RefusalReason::BadRequest, detail)
     }
 
-    /// The answer that a caller gets.
+    /// Creates the response for the caller.
     pub fn answer(&self) -> Answer {
         let problem = Problem {
             kind: format!("{TYPE_PREFIX}{}", self.refusal.reason),
@@ -99,9 +100,9 @@
     }
 }
 
-/// The status code of a refusal.
+/// The default status code of a refusal.
 ///
-/// Many clients repeat a request on 503 without asking; a call that may have run therefore never gets it.
+/// Many clients automatically retry after 503, so a call that may have run is never answered with it.
 pub fn status_of(refusal: &Refusal) -> StatusCode {
     use RefusalReason as Reason;
     let status = match refusal.reason {
@@ -134,7 +135,7 @@
     status
 }
 
-/// Writes a gate's own refusal for the edge into `headers`.
+/// Adds the header field with the gate's refusal, which the edge reads, to `headers`.
 pub fn write_refusal(headers: &mut HeaderMap, refusal: &Refusal) {
     let retry_after = refusal.retry_after.map_or(0, |after| after.as_millis());
     let text = format!("{} {} {retry_after}", refusal.outcome, refusal.reason);
@@ -143,11 +144,12 @@
     }
 }
 
-/// Reads a gate's own refusal; `None` if there is none, and `unknown` if this release does not know the words.
+/// Reads the gate's refusal; `None` if there is none. A refusal that this release does not understand is returned with
+/// an unknown outcome.
 pub fn read_refusal(headers: &HeaderMap) -> Option<Refusal> {
     let text = headers.get(REFUSAL)?;
     let parsed = text.to_str().ok().and_then(parse_refusal);
-    // A newer gate may have a reason that is not known here. What it proves is not known either.
+    // A newer gate may send a reason that is not known here, and it is then also unknown whether the call ran.
     Some(parsed.unwrap_or_else(|| Refusal::unknown(RefusalReason::ConnectionLost)))
 }
 
@@ -181,8 +183,8 @@
     format!("{outcome}: {}", refusal.reason)
 }
 
-/// `Retry-After` counts whole seconds; rounding down would ask callers back too early.
-fn whole_seconds(span: Duration) -> u64 {
-    let seconds = span.as_millis().div_ceil(1_000);
+/// Rounds up to whole seconds for `Retry-After`; rounding down would make callers retry too early.
+fn whole_seconds(duration: Duration) -> u64 {
+    let seconds = duration.as_millis().div_ceil(1_000);
     u64::try_from(seconds).unwrap_or(u64::MAX).max(1)
 }
--- a/crates/quillhatch/src/http/server.rs
+++ b/crates/quillhatch/src/http/server.rs
@@ -1,7 +1,8 @@
-//! Serves HTTP/1.1 on a listener for callers or peers: one service future per request, dropped when the client leaves.
+//! Serves HTTP/1.1 on a listener for callers or peers: one service future per request, dropped when the client
+//! disconnects.
 //!
-//! These listeners stand on hyper, the engine below rocket, because rocket 0.5 cannot keep two promises of this program;
-//! see the design note on streaming. The operators' listener is rocket's.
+//! These listeners use hyper directly, the library on which rocket is built, because rocket 0.5 cannot meet two
+//! guarantees of this program; see the design note on streaming. The operators' listener uses rocket.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,53 +23,56 @@
 
 use super::Answer;
 
-/// The longest time that a connection may take for the head of its next request, also while it is idle.
+/// The timeout for receiving the head of the next request on a connection, including the time that the connection is
+/// idle.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The pause after a failed accept, such as one for want of file descriptors.
+/// The pause after a failed `accept`, for example if no file descriptors are available.
 const PAUSE_AFTER_FAILED_ACCEPT: Duration = Duration::from_millis(20);
 
-/// The smallest read buffer that hyper accepts, in bytes.
-const SMALLEST_BUFFER: usize = 8 * 1024;
+/// The minimum size of the read buffer that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What a listener allows.
+/// The limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// The largest head of a request that is read, in bytes; the server answers a larger one with 431 by itself.
+    /// The maximum size in bytes of the head of a request; the server answers a larger head with 431 without calling
+    /// the handler.
     pub head_bytes: usize,
-    /// The largest number of connections at a time; further ones wait to be accepted.
+    /// The maximum number of concurrent connections; further ones wait to be accepted.
     pub connections: usize,
 }
 
-/// Handles the requests of one listener.
+/// Handles the requests to one listener.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request of the client at `remote`.
+    /// Handles one request from the client at `remote`.
     ///
-    /// The future is dropped when the client closes its connection, and so is the body of the answer.
+    /// The future, and then the body of the answer, is dropped when the client closes its connection.
     fn handle(self: Arc<Self>, remote: SocketAddr, request: Request<Incoming>) -> impl Future<Output = Answer> + Send;
 }
 
-/// Serves `listener` until `stop` turns true, then lets running requests finish; drop the future to cut them off.
+/// Serves `listener` until `stop` becomes true, then waits for the requests in progress. Dropping the future aborts
+/// them.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
     limits: ServerLimits,
     mut stop: watch::Receiver<bool>,
 ) {
-    let slots = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
         let accepted = tokio::select! {
             _ = stop.wait_for(|stop| *stop) => break,
-            accepted = accept(&listener, &slots) => accepted,
+            accepted = accept(&listener, &permits) => accepted,
         };
         match accepted {
-            Ok((stream, remote, slot)) => {
+            Ok((stream, remote, permit)) => {
                 let connection = serve_connection(stream, remote, Arc::clone(&handler), limits, stop.clone());
                 connections.spawn(async move {
                     connection.await;
-                    drop(slot);
+                    drop(permit);
                 });
             }
             Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILED_ACCEPT).await,
@@ -80,12 +84,12 @@
 
 async fn accept(
     listener: &TcpListener,
-    slots: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> io::Result<(TcpStream, SocketAddr, tokio::sync::OwnedSemaphorePermit)> {
-    let slot = Arc::clone(slots).acquire_owned().await.map_err(io::Error::other)?;
+    let permit = Arc::clone(permits).acquire_owned().await.map_err(io::Error::other)?;
     let (stream, remote) = listener.accept().await?;
     stream.set_nodelay(true)?;
-    Ok((stream, remote, slot))
+    Ok((stream, remote, permit))
 }
 
 async fn serve_connection<H: Handler>(
@@ -102,10 +106,11 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_READ_TIMEOUT)
-        .max_buf_size(limits.head_bytes.max(SMALLEST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    // A connection that ends with an error is one that was broken off, here or there; whoever broke it has counted it.
+    // A connection ends with an error if either end aborted it. The side that aborts an answer counts it, so the error
+    // is ignored here.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = stop.wait_for(|stop| *stop) => connection.as_mut().graceful_shutdown(),
--- a/crates/quillhatch/src/lib.rs
+++ b/crates/quillhatch/src/lib.rs
@@ -1,8 +1,8 @@
 //! The quillhatch program: listeners, drivers and the command line.
 //!
-//! Use [`start`](running::start) to run a node inside a process, as the lab does; the binary `quillhatch` is a thin shell
-//! around [`command_line`]. Every decision is taken behind [`decisions::Decisions`]; this crate moves bytes, keeps time and
-//! carries decisions out.
+//! Use [`start`](running::start) to run a node inside another process, as the lab does; the binary `quillhatch` is a
+//! thin wrapper around [`command_line`]. All decisions are made behind the trait [`decisions::Decisions`], without I/O;
+//! this crate does the I/O, provides the time and executes the decisions.
 
 pub mod backend_health;
 pub mod call_header;
--- a/crates/quillhatch/src/main.rs
+++ b/crates/quillhatch/src/main.rs
@@ -1,4 +1,4 @@
-//! Program entry point.
+//! The entry point of the program `quillhatch`.
 
 use std::process::ExitCode;
 
--- a/crates/quillhatch/src/metrics.rs
+++ b/crates/quillhatch/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The program's own counters, for the metrics page.
+//! The program's own counters, which the metrics page exposes.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -6,28 +6,28 @@
 use prometheus_client::registry::Registry;
 use quillhatch_types::Refusal;
 
-/// Labels of refusals.
+/// The labels of the counter for refusals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RefusalLabels {
-    /// What is known of whether the call ran.
+    /// Whether the call ran, as far as this is known.
     pub outcome: String,
     /// Why it was refused.
     pub reason: String,
 }
 
-/// Labels of attempts that a gate did not accept.
+/// The labels of the counter for attempts that a gate did not accept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct UnacceptedLabels {
-    /// What the gate says of the attempt's context.
+    /// Why the gate did not accept the attempt's header.
     pub reason: &'static str,
 }
 
 macro_rules! counters {
     ($($(#[doc = $help:literal])+ $name:ident),+ $(,)?) => {
-        /// What the program itself counts, besides what the decision code counts.
+        /// The counters of the program itself; the decision code has its own.
         #[derive(Debug, Default)]
         pub struct Counters {
-            /// Answers to callers in the place of a back end.
+            /// Refusals that callers got instead of a back end's answer.
             pub refusals: Family<RefusalLabels, Counter>,
             /// Attempts that a gate did not accept as coming from a node of its deployment.
             pub unaccepted_attempts: Family<UnacceptedLabels, Counter>,
@@ -35,7 +35,7 @@
         }
 
         impl Counters {
-            /// Registers all counters under their names.
+            /// Registers all counters with `registry` under their field names.
             pub fn register(&self, registry: &mut Registry) {
                 registry.register("refusals", "Answers to callers in the place of a back end", self.refusals.clone());
                 let help = "Attempts that a gate did not accept as coming from a node of its deployment";
@@ -78,7 +78,7 @@
 }
 
 impl Counters {
-    /// Counts an answer in the place of a back end.
+    /// Counts a refusal that a caller gets instead of a back end's answer.
     pub fn count_refusal(&self, refusal: &Refusal) {
         let labels = RefusalLabels { outcome: refusal.outcome.to_string(), reason: refusal.reason.to_string() };
         self.refusals.get_or_create(&labels).inc();
