--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -155,7 +155,7 @@
         let running = node.driver().active_requests().len();
         narrator.tell(format!("{address} is told to stop with {running} calls in flight"));
         let report = node.stop_within(STOP_GRACE).await;
-        narrator.tell(format!("{address} has stopped; {} calls were cut", report.cut.len()));
+        narrator.tell(format!("{address} has stopped; {} calls were cut", report.aborted.len()));
     };
     let load = quillhatch_standins::load::run(downloads(edges, FIRST_SEED + 4));
     let (summary, ()) = tokio::join!(load, stop);
--- a/crates/quillhatch/src/command_line/check.rs
+++ b/crates/quillhatch/src/command_line/check.rs
@@ -5,7 +5,7 @@
 use quillhatch_types::Findings;
 
 use super::options::{no_free_arguments, Command};
-use super::{Exit, Streams, UsageError};
+use super::{ExitStatus, OutputStreams, UsageError};
 
 fn command() -> Command {
     Command::new(
@@ -18,9 +18,9 @@
 }
 
 /// Runs the command; failed if the file cannot be read or has an error.
-pub fn run(arguments: &[String], streams: &mut Streams<'_>) -> Result<Exit, UsageError> {
+pub fn run(arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<ExitStatus, UsageError> {
     let Some(matches) = command().parse(arguments, streams)? else {
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Done);
     };
     no_free_arguments(&matches)?;
     let (path, is_settings) = match (matches.opt_str("settings"), matches.opt_str("config")) {
@@ -32,11 +32,11 @@
         Ok(text) => text,
         Err(error) => {
             streams.complain(format!("cannot read {path}: {error}"));
-            return Ok(Exit::Failed);
+            return Ok(ExitStatus::Failed);
         }
     };
     let findings = if is_settings { check_settings(&path, &text) } else { check_configuration(&path, &text) };
-    let exit = if findings.has_errors() { Exit::Failed } else { Exit::Done };
+    let exit = if findings.has_errors() { ExitStatus::Failed } else { ExitStatus::Done };
     print(&path, findings, matches.opt_present("json"), streams);
     Ok(exit)
 }
@@ -55,7 +55,7 @@
     }
 }
 
-fn print(path: &str, findings: Findings, json: bool, streams: &mut Streams<'_>) {
+fn print(path: &str, findings: Findings, json: bool, streams: &mut OutputStreams<'_>) {
     if json {
         let document = FindingsDocument::from(findings);
         streams.print(serde_json::to_string_pretty(&document).unwrap_or_default());
--- a/crates/quillhatch/src/command_line/mod.rs
+++ b/crates/quillhatch/src/command_line/mod.rs
@@ -20,7 +20,7 @@
 
 /// How a command ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Exit {
+pub enum ExitStatus {
     /// Done.
     #[display("done")]
     Done,
@@ -32,13 +32,13 @@
     Usage,
 }
 
-impl Exit {
+impl ExitStatus {
     /// The exit status of the process.
     pub fn code(self) -> u8 {
         match self {
-            Exit::Done => 0,
-            Exit::Failed => 1,
-            Exit::Usage => 2,
+            ExitStatus::Done => 0,
+            ExitStatus::Failed => 1,
+            ExitStatus::Usage => 2,
         }
     }
 }
@@ -58,14 +58,14 @@
 }
 
 /// Where a command writes.
-pub struct Streams<'a> {
+pub struct OutputStreams<'a> {
     /// What was asked for.
     pub output: &'a mut dyn Write,
     /// Everything else.
     pub errors: &'a mut dyn Write,
 }
 
-impl Streams<'_> {
+impl OutputStreams<'_> {
     fn print(&mut self, text: impl std::fmt::Display) {
         // A reader that closed its end, such as `head`, has seen what it wanted.
         let _ = writeln!(self.output, "{text}");
@@ -99,20 +99,20 @@
 Exit status: 0 done, 1 failed or refused, 2 wrong usage.";
 
 /// Runs the command line `arguments`, without the program's name.
-pub fn run(arguments: &[String], streams: &mut Streams<'_>) -> Exit {
+pub fn run(arguments: &[String], streams: &mut OutputStreams<'_>) -> ExitStatus {
     let Some((command, rest)) = arguments.split_first() else {
         streams.complain("no command is given");
         streams.complain(HELP);
-        return Exit::Usage;
+        return ExitStatus::Usage;
     };
     let result = match command.as_str() {
         "--help" | "-h" | "help" => {
             streams.print(HELP);
-            Ok(Exit::Done)
+            Ok(ExitStatus::Done)
         }
         "--version" | "-V" => {
             streams.print(format!("quillhatch {}", env!("CARGO_PKG_VERSION")));
-            Ok(Exit::Done)
+            Ok(ExitStatus::Done)
         }
         "node" => node::run(rest, streams),
         "check" => check::run(rest, streams),
@@ -124,7 +124,7 @@
     result.unwrap_or_else(|error| {
         streams.complain(error);
         streams.complain(format!("see quillhatch {}--help", command_prefix(command)));
-        Exit::Usage
+        ExitStatus::Usage
     })
 }
 
--- a/crates/quillhatch/src/command_line/node.rs
+++ b/crates/quillhatch/src/command_line/node.rs
@@ -6,7 +6,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use super::options::{no_free_arguments, required, Command};
-use super::{Exit, Streams, UsageError};
+use super::{ExitStatus, OutputStreams, UsageError};
 use crate::logging;
 use crate::running::{start, RunningNode};
 
@@ -25,31 +25,31 @@
 }
 
 /// Runs the command.
-pub fn run(arguments: &[String], streams: &mut Streams<'_>) -> Result<Exit, UsageError> {
+pub fn run(arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<ExitStatus, UsageError> {
     let Some(matches) = command().parse(arguments, streams)? else {
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Done);
     };
     no_free_arguments(&matches)?;
     let path = required(&matches, "settings")?;
     let Some(settings) = read_settings(&path, &overrides(&matches), streams) else {
-        return Ok(Exit::Failed);
+        return Ok(ExitStatus::Failed);
     };
     if let Err(error) = logging::set_up(&settings.log) {
         streams.complain(format!("cannot set up logging: {error}"));
-        return Ok(Exit::Failed);
+        return Ok(ExitStatus::Failed);
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
             streams.complain(format!("cannot start the runtime: {error}"));
-            return Ok(Exit::Failed);
+            return Ok(ExitStatus::Failed);
         }
     };
     match runtime.block_on(serve(settings)) {
         Ok(exit) => Ok(exit),
         Err(error) => {
             streams.complain(error);
-            Ok(Exit::Failed)
+            Ok(ExitStatus::Failed)
         }
     }
 }
@@ -66,7 +66,7 @@
 }
 
 /// Reads and checks the settings; tells every finding.
-fn read_settings(path: &str, overrides: &FlagOverrides, streams: &mut Streams<'_>) -> Option<NodeSettings> {
+fn read_settings(path: &str, overrides: &FlagOverrides, streams: &mut OutputStreams<'_>) -> Option<NodeSettings> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
@@ -102,7 +102,7 @@
     }
 }
 
-async fn serve(settings: NodeSettings) -> Result<Exit, Box<dyn std::error::Error>> {
+async fn serve(settings: NodeSettings) -> Result<ExitStatus, Box<dyn std::error::Error>> {
     let mut signals = StopSignals::new()?;
     let node = start(settings).await?;
     signals.next().await;
@@ -110,12 +110,12 @@
 }
 
 /// Stops the node; a second signal means that nobody wants to wait for the calls in flight.
-async fn stop(node: RunningNode, signals: &mut StopSignals) -> Exit {
+async fn stop(node: RunningNode, signals: &mut StopSignals) -> ExitStatus {
     tokio::select! {
-        report = node.stop() => if report.cut.is_empty() { Exit::Done } else { Exit::Failed },
+        report = node.stop() => if report.aborted.is_empty() { ExitStatus::Done } else { ExitStatus::Failed },
         () = signals.next() => {
             log::error!("stopped at once by a second signal; calls in flight are cut");
-            Exit::Failed
+            ExitStatus::Failed
         }
     }
 }
--- a/crates/quillhatch/src/command_line/options.rs
+++ b/crates/quillhatch/src/command_line/options.rs
@@ -2,7 +2,7 @@
 
 use getopts::{Matches, Options, ParsingStyle};
 
-use super::{Streams, UsageError};
+use super::{OutputStreams, UsageError};
 
 /// The options of one command, with its help.
 pub struct Command {
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// Returns what is not understood.
-    pub fn parse(&self, arguments: &[String], streams: &mut Streams<'_>) -> Result<Option<Matches>, UsageError> {
+    pub fn parse(&self, arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<Option<Matches>, UsageError> {
         // The help is given even if the rest is wrong: whoever asks for it may not know better.
         if arguments.iter().any(|argument| argument == "--help" || argument == "-h") {
             streams.print(self.options.usage(&self.brief).trim_end());
--- a/crates/quillhatch/src/command_line/remote.rs
+++ b/crates/quillhatch/src/command_line/remote.rs
@@ -9,7 +9,7 @@
 
 use super::options::required;
 use super::request::parse_request;
-use super::{Exit, Streams, UsageError};
+use super::{ExitStatus, OutputStreams, UsageError};
 use crate::clients;
 use crate::operators::OPERATOR_PATH;
 
@@ -25,9 +25,9 @@
 }
 
 /// Runs the command `name`.
-pub fn run(name: &str, arguments: &[String], streams: &mut Streams<'_>) -> Result<Exit, UsageError> {
+pub fn run(name: &str, arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<ExitStatus, UsageError> {
     let Some(parsed) = parse_request(name, arguments, streams)? else {
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Done);
     };
     let node = required(&parsed.matches, "node")?;
     let node = node.parse().map_err(|_| UsageError::new(format!("--node: {node:?} is no IP:PORT")))?;
@@ -35,14 +35,14 @@
         Ok(token) => token,
         Err(problem) => {
             streams.complain(problem);
-            return Ok(Exit::Failed);
+            return Ok(ExitStatus::Failed);
         }
     };
     match ask(&Destination { node, token }, &parsed.request) {
         Ok(reply) => Ok(print(&reply, parsed.matches.opt_present("json"), streams)),
         Err(problem) => {
             streams.complain(problem);
-            Ok(Exit::Failed)
+            Ok(ExitStatus::Failed)
         }
     }
 }
@@ -84,7 +84,7 @@
     format!("no reply from {node}: what was asked may still be done")
 }
 
-fn print(reply: &OperatorReply, json: bool, streams: &mut Streams<'_>) -> Exit {
+fn print(reply: &OperatorReply, json: bool, streams: &mut OutputStreams<'_>) -> ExitStatus {
     match reply {
         // The document is for the platform's store in either form.
         OperatorReply::Export { configuration } if !json => {
@@ -97,7 +97,7 @@
         _ => streams.print(reply.to_string().trim_end()),
     }
     match reply {
-        OperatorReply::Refused { .. } | OperatorReply::Undecided { .. } => Exit::Failed,
-        _ => Exit::Done,
+        OperatorReply::Refused { .. } | OperatorReply::Undecided { .. } => ExitStatus::Failed,
+        _ => ExitStatus::Done,
     }
 }
--- a/crates/quillhatch/src/command_line/request.rs
+++ b/crates/quillhatch/src/command_line/request.rs
@@ -9,7 +9,7 @@
 use quillhatch_types::{ClassName, NodeAddress, PlanId, ServiceName, SiteName};
 
 use super::options::{no_free_arguments, required, Command};
-use super::{Streams, UsageError};
+use super::{OutputStreams, UsageError};
 
 /// The commands that are sent to a node.
 const COMMANDS: [&str; 7] = ["plan", "confirm", "cancel", "plans", "status", "explain", "accept-loss"];
@@ -38,7 +38,7 @@
 pub fn parse_request(
     name: &str,
     arguments: &[String],
-    streams: &mut Streams<'_>,
+    streams: &mut OutputStreams<'_>,
 ) -> Result<Option<ParsedRequest>, UsageError> {
     let Some(mut matches) = command(name).parse(arguments, streams)? else {
         return Ok(None);
--- a/crates/quillhatch/src/command_line/sidecar.rs
+++ b/crates/quillhatch/src/command_line/sidecar.rs
@@ -5,7 +5,7 @@
 use quillhatch_platform::headers::SETTINGS_VARIABLE;
 use quillhatch_sidecar::run::{load_settings, run as run_sidecar};
 
-use super::{Exit, Streams, UsageError};
+use super::{ExitStatus, OutputStreams, UsageError};
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -17,14 +17,14 @@
 }
 
 /// Runs the command with its arguments.
-pub fn run(arguments: &[String], streams: &mut Streams<'_>) -> Result<Exit, UsageError> {
+pub fn run(arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<ExitStatus, UsageError> {
     let options = options();
     let given = options.parse(arguments).map_err(|error| UsageError::new(error.to_string()))?;
     if given.opt_present("help") {
         streams.print(
             options.usage("Usage: quillhatch sidecar [OPTIONS]\n\nRuns a node beside a target of the platform."),
         );
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Done);
     }
     if let Some(surplus) = given.free.first() {
         return Err(UsageError::new(format!("{surplus:?} is not expected")));
@@ -41,23 +41,23 @@
         return Ok(check(&path, streams));
     }
     Ok(match run_sidecar(&path, mechanisms) {
-        Ok(()) => Exit::Done,
+        Ok(()) => ExitStatus::Done,
         Err(error) => {
             streams.complain(error);
-            Exit::Usage
+            ExitStatus::Usage
         }
     })
 }
 
-fn check(path: &str, streams: &mut Streams<'_>) -> Exit {
+fn check(path: &str, streams: &mut OutputStreams<'_>) -> ExitStatus {
     match load_settings(path) {
         Ok(settings) => {
             streams.print(format!("{path}: good; node {} in zone {}", settings.node, settings.zone));
-            Exit::Done
+            ExitStatus::Done
         }
         Err(error) => {
             streams.complain(error);
-            Exit::Usage
+            ExitStatus::Usage
         }
     }
 }
--- a/crates/quillhatch/src/command_line/tests.rs
+++ b/crates/quillhatch/src/command_line/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 struct Ran {
-    exit: Exit,
+    exit: ExitStatus,
     output: String,
     errors: String,
 }
@@ -14,7 +14,7 @@
 fn run_line(line: &[&str]) -> Ran {
     let arguments: Vec<String> = line.iter().map(ToString::to_string).collect();
     let (mut output, mut errors) = (Vec::new(), Vec::new());
-    let exit = run(&arguments, &mut Streams { output: &mut output, errors: &mut errors });
+    let exit = run(&arguments, &mut OutputStreams { output: &mut output, errors: &mut errors });
     let text = |bytes| String::from_utf8(bytes).expect("text");
     Ran { exit, output: text(output), errors: text(errors) }
 }
@@ -22,7 +22,7 @@
 fn parse(line: &[&str]) -> Result<OperatorRequest, UsageError> {
     let arguments: Vec<String> = line[1..].iter().map(ToString::to_string).collect();
     let (mut output, mut errors) = (Vec::new(), Vec::new());
-    let parsed = parse_request(line[0], &arguments, &mut Streams { output: &mut output, errors: &mut errors })?;
+    let parsed = parse_request(line[0], &arguments, &mut OutputStreams { output: &mut output, errors: &mut errors })?;
     Ok(parsed.expect("no help").request)
 }
 
@@ -53,7 +53,7 @@
 fn every_command_has_its_help() {
     for command in ["node", "check", "plan", "confirm", "cancel", "plans", "status", "explain", "accept-loss"] {
         let ran = run_line(&[command, "--help"]);
-        assert_eq!(ran.exit, Exit::Done);
+        assert_eq!(ran.exit, ExitStatus::Done);
         assert!(ran.output.contains(&format!("Usage: quillhatch {command}")), "{}", ran.output);
     }
     assert!(run_line(&["--version"]).output.starts_with("quillhatch "));
@@ -63,7 +63,7 @@
 fn a_node_that_is_not_there_is_a_failure() {
     // Port 1 of the loopback address: nothing listens there.
     let ran = run_line(&["status", "--node", "127.0.0.1:1"]);
-    assert_eq!(ran.exit, Exit::Failed);
+    assert_eq!(ran.exit, ExitStatus::Failed);
     assert!(ran.errors.contains("cannot connect"), "{}", ran.errors);
 }
 
@@ -93,7 +93,7 @@
     let name = path.to_string_lossy().into_owned();
     let ran = run_line(&["check", "--settings", &name]);
     std::fs::remove_file(&path).expect("the file is removed");
-    assert_eq!(ran.exit, Exit::Failed);
+    assert_eq!(ran.exit, ExitStatus::Failed);
     for (line, key) in [(2, "site"), (7, "listeners.operators"), (13, "stop.grace")] {
         let found = ran.output.lines().any(|one| one.starts_with(&format!("{name}:{line}:")) && one.contains(key));
         assert!(found, "line {line} is not named: {}", ran.output);
--- a/crates/quillhatch/src/command_line/trace.rs
+++ b/crates/quillhatch/src/command_line/trace.rs
@@ -5,7 +5,7 @@
 use getopts::Options;
 use serde_json::Value;
 
-use super::{Exit, Streams, UsageError};
+use super::{ExitStatus, OutputStreams, UsageError};
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -14,14 +14,14 @@
 }
 
 /// Runs the command with its arguments.
-pub fn run(arguments: &[String], streams: &mut Streams<'_>) -> Result<Exit, UsageError> {
+pub fn run(arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<ExitStatus, UsageError> {
     let options = options();
     let given = options.parse(arguments).map_err(|error| UsageError::new(error.to_string()))?;
     if given.opt_present("help") {
         let brief = "Usage: quillhatch trace ID [FILE ...]\n\nPrints the lines about a request and about the calls made for it, \
                      in the order of the hops, from log files or standard input.";
         streams.print(options.usage(brief));
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Done);
     }
     let Some((id, files)) = given.free.split_first() else {
         return Err(UsageError::new("no request's id is given"));
@@ -35,14 +35,14 @@
             Ok(opened) => collect(id, BufReader::new(opened), &mut found),
             Err(error) => {
                 streams.complain(format!("{file}: {error}"));
-                return Ok(Exit::Failed);
+                return Ok(ExitStatus::Failed);
             }
         }
     }
     for line in story(found) {
         streams.print(line);
     }
-    Ok(Exit::Done)
+    Ok(ExitStatus::Done)
 }
 
 /// Collects the lines about a request; text before a line's JSON object, as collectors add it, is passed over.
--- a/crates/quillhatch/src/main.rs
+++ b/crates/quillhatch/src/main.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-use quillhatch::command_line::{run, Streams};
+use quillhatch::command_line::{run, OutputStreams};
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let (mut output, mut errors) = (std::io::stdout(), std::io::stderr());
-    let exit = run(&arguments, &mut Streams { output: &mut output, errors: &mut errors });
+    let exit = run(&arguments, &mut OutputStreams { output: &mut output, errors: &mut errors });
     ExitCode::from(exit.code())
 }
--- a/crates/quillhatch/src/operators/mod.rs
+++ b/crates/quillhatch/src/operators/mod.rs
@@ -25,7 +25,7 @@
 /// Why the operators' listener did not start.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen for operators at {address}: {problem}")]
-pub struct OperatorsError {
+pub struct OperatorServerError {
     /// The address.
     pub address: SocketAddr,
     /// What rocket says.
@@ -34,14 +34,14 @@
 
 /// The running operators' listener.
 #[derive(Debug)]
-pub struct Operators {
+pub struct OperatorServer {
     /// Where it listens.
     pub address: SocketAddr,
     shutdown: rocket::Shutdown,
     task: JoinHandle<()>,
 }
 
-impl Operators {
+impl OperatorServer {
     /// Starts listening at `address`; port zero takes a free one.
     ///
     /// # Errors
@@ -52,8 +52,8 @@
         token: Option<BearerToken>,
         driver: Arc<Driver>,
         counters: &Counters,
-    ) -> Result<Self, OperatorsError> {
-        let failed = |problem: String| OperatorsError { address, problem };
+    ) -> Result<Self, OperatorServerError> {
+        let failed = |problem: String| OperatorServerError { address, problem };
         let (bound, listening) = oneshot::channel();
         let bound = Mutex::new(Some(bound));
         let liftoff = AdHoc::on_liftoff("listening", move |rocket| {
@@ -85,7 +85,7 @@
                 log::debug!(problem; "the operators' listener ended with open connections");
             }
         });
-        Ok(Operators { address, shutdown, task })
+        Ok(OperatorServer { address, shutdown, task })
     }
 
     /// Stops listening.
--- a/crates/quillhatch/src/operators/routes.rs
+++ b/crates/quillhatch/src/operators/routes.rs
@@ -33,7 +33,7 @@
             return Outcome::Error((Status::InternalServerError, ()));
         };
         let authorization = request.headers().get_one("Authorization");
-        let admitted = guarded.token.as_ref().is_none_or(|token| token.admits(authorization));
+        let admitted = guarded.token.as_ref().is_none_or(|token| token.matches(authorization));
         if admitted {
             Outcome::Success(Operator)
         } else {
--- a/crates/quillhatch/src/operators/token.rs
+++ b/crates/quillhatch/src/operators/token.rs
@@ -14,7 +14,7 @@
 
     /// Whether the value of an `Authorization` field presents this token; takes a time that does not depend on how many
     /// bytes are right.
-    pub fn admits(&self, authorization: Option<&str>) -> bool {
+    pub fn matches(&self, authorization: Option<&str>) -> bool {
         const SCHEME: &str = "bearer ";
         let Some((scheme, presented)) = authorization.and_then(|value| value.split_at_checked(SCHEME.len())) else {
             return false;
--- a/crates/quillhatch/src/running/mod.rs
+++ b/crates/quillhatch/src/running/mod.rs
@@ -21,7 +21,7 @@
 use crate::driver::Driver;
 use crate::gate::background::BackgroundRuns;
 use crate::metrics::Counters;
-use crate::operators::{Operators, OperatorsError};
+use crate::operators::{OperatorServer, OperatorServerError};
 use crate::peers::PeerSender;
 
 pub use stop::StopReport;
@@ -41,7 +41,7 @@
         source: std::io::Error,
     },
     /// The operators' listener did not start.
-    Operators(OperatorsError),
+    Operators(OperatorServerError),
     /// The fleet keys are unusable.
     #[display("the fleet keys are unusable: {_0}")]
     Keys(KeySetError),
@@ -55,7 +55,7 @@
 
 /// Where a node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Addresses {
+pub struct ListenAddresses {
     /// For callers.
     pub callers: SocketAddr,
     /// For other nodes.
@@ -69,13 +69,13 @@
 /// A node that runs in this process.
 pub struct RunningNode {
     /// Where it listens; ports that were zero in the settings have their numbers here.
-    pub addresses: Addresses,
+    pub addresses: ListenAddresses,
     /// This run of the node.
     pub node: NodeId,
     driver: Arc<Driver>,
     counters: Arc<Counters>,
     sender: Arc<PeerSender>,
-    operators: Operators,
+    operators: OperatorServer,
     stop_listeners: watch::Sender<bool>,
     /// The servers of callers and peers; each ends when its last connection has.
     servers: JoinSet<()>,
--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use super::{Addresses, DecisionFactory, RunningNode, StartError};
+use super::{DecisionFactory, ListenAddresses, RunningNode, StartError};
 use crate::backend_health::{self, HealthEndpoints};
 use crate::clients;
 use crate::driver::Driver;
@@ -22,7 +22,7 @@
 use crate::gate::Gate;
 use crate::http::server::{serve, ServerLimits};
 use crate::metrics::Counters;
-use crate::operators::{BearerToken, Operators};
+use crate::operators::{BearerToken, OperatorServer};
 use crate::peers::{FrameReceiver, PeerSender, SenderSettings};
 use crate::platform::{HttpPlatform, PlatformReader};
 
@@ -89,9 +89,9 @@
     };
 
     let token = settings.operator_token.as_ref().map(|token| BearerToken::new(token.expose().to_vec()));
-    let operators = Operators::start(settings.operator_address, token, Arc::clone(&driver), &counters).await?;
+    let operators = OperatorServer::start(settings.operator_address, token, Arc::clone(&driver), &counters).await?;
     let background = background(&settings, &driver, &counters)?;
-    let addresses = Addresses {
+    let addresses = ListenAddresses {
         callers: callers.address,
         peers: peers.address,
         operators: operators.address,
@@ -188,7 +188,7 @@
     HealthEndpoints { health: url(&backend.health_path), load: backend.load_path.as_deref().map(url), interval }
 }
 
-fn log_start(node: &NodeId, addresses: &Addresses) {
+fn log_start(node: &NodeId, addresses: &ListenAddresses) {
     let node = node.to_string();
     let (callers, peers) = (addresses.callers.to_string(), addresses.peers.to_string());
     let operators = addresses.operators.to_string();
--- a/crates/quillhatch/src/running/stop.rs
+++ b/crates/quillhatch/src/running/stop.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StopReport {
     /// What was still running when the grace had passed, and was cut.
-    pub cut: Vec<ActiveRequest>,
+    pub aborted: Vec<ActiveRequest>,
 }
 
 impl RunningNode {
@@ -41,13 +41,13 @@
         let closing = async { while self.servers.join_next().await.is_some() {} };
         let _ = tokio::time::timeout_at(last, closing).await;
         // Also with every connection closed, a run without a reader may be left.
-        let cut = self.driver.active_requests();
+        let aborted = self.driver.active_requests();
         self.background_runs.shutdown().await;
         self.servers.shutdown().await;
         let _ = tokio::time::timeout(LAST_BYTES, self.sender.flush()).await;
         self.background.shutdown().await;
         self.operators.stop().await;
-        let report = StopReport { cut };
+        let report = StopReport { aborted };
         report_cut(&report, &self.counters);
         report
     }
@@ -64,12 +64,12 @@
 }
 
 fn report_cut(report: &StopReport, counters: &crate::metrics::Counters) {
-    counters.cut_at_stop.inc_by(report.cut.len() as u64);
-    for running in &report.cut {
+    counters.cut_at_stop.inc_by(report.aborted.len() as u64);
+    for running in &report.aborted {
         let running = running.to_string();
         log::error!(running = running.as_str(); "cut because the grace of the stop had passed");
     }
-    log::info!(cut = report.cut.len(); "the node has stopped");
+    log::info!(cut = report.aborted.len(); "the node has stopped");
 }
 
 fn milliseconds(span: Duration) -> u64 {
--- a/crates/quillhatch/tests/node.rs
+++ b/crates/quillhatch/tests/node.rs
@@ -68,7 +68,7 @@
     assert_eq!(answer.bytes().await.expect("the whole body").len(), support::backend::DOWNLOAD_BYTES);
     for node in [edge, gate] {
         let report = tokio::time::timeout(BOUND, node).await.expect("the node stops").expect("no panic");
-        assert!(report.cut.is_empty(), "{report:?}");
+        assert!(report.aborted.is_empty(), "{report:?}");
     }
 }
 
@@ -86,8 +86,8 @@
         assert!(caller.read_buf(&mut received).await.expect("read") > 0);
     }
     let report = tokio::time::timeout(BOUND, edge.stop_within(Duration::from_millis(1))).await.expect("the node stops");
-    assert_eq!(report.cut.len(), 1, "{report:?}");
-    assert!(report.cut[0].to_string().contains("giving"), "{report:?}");
+    assert_eq!(report.aborted.len(), 1, "{report:?}");
+    assert!(report.aborted[0].to_string().contains("giving"), "{report:?}");
     let reading = async { while caller.read_buf(&mut received).await.unwrap_or(0) > 0 {} };
     tokio::time::timeout(BOUND, reading).await.expect("the caller's connection closes");
     assert!(!received.ends_with(b"0\r\n\r\n"), "a cut body ended as if it were whole");
@@ -160,7 +160,7 @@
     let ended = |input: &NodeInput| matches!(input, NodeInput::Gate(GateInput::AnswerEnded { .. }));
     assert!(!log.inputs().iter().any(ended), "the run was not to be stopped");
     let report = tokio::time::timeout(BOUND, gate.stop_within(Duration::from_millis(1))).await.expect("the node stops");
-    assert_eq!(report.cut.len(), 1, "{report:?}");
+    assert_eq!(report.aborted.len(), 1, "{report:?}");
     tokio::time::timeout(BOUND, seen.left.notified()).await.expect("the back end's connection closes");
     log.wait_for("the end", ended).await;
     edge.kill().await;
--- a/crates/quillhatch/tests/operations.rs
+++ b/crates/quillhatch/tests/operations.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use quillhatch::command_line::Exit;
+use quillhatch::command_line::ExitStatus;
 use quillhatch_control::operator::{OperatorReply, OperatorRequest, PlanState, StatusReport};
 use quillhatch_settings::parse_configuration;
 use quillhatch_standins::backend::BackendFaults;
@@ -44,7 +44,7 @@
     for (who, stopping) in [("the edge", stopping), ("the group's only gate", alone)] {
         let stopped = tokio::time::timeout(BOUND, stopping).await;
         let report = stopped.unwrap_or_else(|_| panic!("the stop of {who} does not end")).expect("no panic");
-        assert!(report.cut.is_empty(), "{report:?}");
+        assert!(report.aborted.is_empty(), "{report:?}");
     }
     platform.stop().await;
 }
@@ -72,7 +72,7 @@
     let id = plan(&fleet, &format!("retire --target {target}")).await;
     assert!(status(&fleet, 0).await.services[0].serving.contains(&target), "a plan alone changes nothing");
     let confirmed = command(operated, &format!("confirm {id}")).await;
-    assert_eq!(confirmed.exit, Exit::Done, "{}", confirmed.errors);
+    assert_eq!(confirmed.exit, ExitStatus::Done, "{}", confirmed.errors);
     let history = eventually("the plan is done", || async {
         match command(operated, &format!("explain {id} --json")).await.reply() {
             OperatorReply::Explained { plan, history } if plan.state == PlanState::Done => Some(history),
@@ -96,11 +96,11 @@
     let operated = &fleet.gates[0].node;
     let id = plan(&fleet, "retries --service giving --class lookups --budget 1 --ratio 5").await;
     let cancelled = command(operated, &format!("cancel {id}")).await;
-    assert_eq!(cancelled.exit, Exit::Done, "{}", cancelled.errors);
+    assert_eq!(cancelled.exit, ExitStatus::Done, "{}", cancelled.errors);
     let late = command(operated, &format!("confirm {id}")).await;
-    assert_eq!(late.exit, Exit::Failed, "{}", late.output);
+    assert_eq!(late.exit, ExitStatus::Failed, "{}", late.output);
     let exported = command(operated, "status --export").await;
-    assert_eq!(exported.exit, Exit::Done, "{}", exported.errors);
+    assert_eq!(exported.exit, ExitStatus::Done, "{}", exported.errors);
     let (configuration, _) = parse_configuration("export", &exported.output).expect("a document that nodes accept");
     let service = configuration.services.values().next().expect("the service");
     assert_eq!(service.targets[0].node.0, operated.addresses.peers);
@@ -120,7 +120,7 @@
     let explained = client().post(operators).json(&question).send().await.expect("a reply");
     assert!(explained.text().await.expect("the reply").contains("claims-lost"));
     let accepted = command(&fleet.gates[0].node, "accept-loss giving").await;
-    assert_eq!(accepted.exit, Exit::Done, "{}", accepted.errors);
+    assert_eq!(accepted.exit, ExitStatus::Done, "{}", accepted.errors);
     let lost = || async { (!status(&fleet, 0).await.services[0].claims_lost).then_some(()) };
     eventually("the loss is accepted", lost).await;
     let answered = || async {
--- a/crates/quillhatch/tests/support/fleet.rs
+++ b/crates/quillhatch/tests/support/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quillhatch::command_line::{self, Exit, Streams};
+use quillhatch::command_line::{self, ExitStatus, OutputStreams};
 use quillhatch::running::{start, RunningNode};
 use quillhatch_control::operator::{OperatorReply, OperatorRequest};
 use quillhatch_settings::NodeSettings;
@@ -179,7 +179,7 @@
 
 /// What a command wrote and how it ended.
 pub struct Ran {
-    pub exit: Exit,
+    pub exit: ExitStatus,
     pub output: String,
     pub errors: String,
 }
@@ -197,7 +197,7 @@
     let arguments: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
     let running = tokio::task::spawn_blocking(move || {
         let (mut output, mut errors) = (Vec::new(), Vec::new());
-        let exit = command_line::run(&arguments, &mut Streams { output: &mut output, errors: &mut errors });
+        let exit = command_line::run(&arguments, &mut OutputStreams { output: &mut output, errors: &mut errors });
         let text = |bytes| String::from_utf8(bytes).expect("text");
         Ran { exit, output: text(output), errors: text(errors) }
     });
