--- a/crates/mesh/src/feed/choice.rs
+++ b/crates/mesh/src/feed/choice.rs
@@ -35,12 +35,12 @@
     }
 
     /// Records that the queried candidate is usable.
-    pub fn answered(&mut self) {
+    pub fn succeeded(&mut self) {
         self.failures = 0;
         self.is_retrying_first = false;
     }
 
-    /// Records that the queried candidate did not answer, has no data or can't reach the store.
+    /// Records that the queried candidate did not respond, has no data or can't reach the store.
     pub fn failed(&mut self, now: Timestamp) {
         self.failures += 1;
         self.is_retrying_first = false;
--- a/crates/mesh/src/limits/choice.rs
+++ b/crates/mesh/src/limits/choice.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records a response to a report.
-    pub fn answered(&mut self) {
+    pub fn record_response(&mut self) {
         self.unanswered = 0;
     }
 }
--- a/crates/mesh/tests/decisions/feed.rs
+++ b/crates/mesh/tests/decisions/feed.rs
@@ -166,7 +166,7 @@
     choice.failed(ms(1000));
     assert_eq!(choice.next(&candidates, ms(1000)), Some(candidates[1]));
     assert!(choice.is_searching(), "it is unknown whether the next one is usable");
-    choice.answered();
+    choice.succeeded();
     assert!(!choice.is_searching());
     assert_eq!(choice.next(&candidates, ms(2000)), Some(candidates[1]), "it stays selected for a while");
     assert_eq!(choice.next(&candidates, ms(9000)), Some(candidates[0]));
--- a/crates/mesh/tests/decisions/limits.rs
+++ b/crates/mesh/tests/decisions/limits.rs
@@ -150,9 +150,9 @@
     let mut choice = CoordinatorChoice::default();
     let selected: Vec<_> = (0..4).map(|at| choice.next(&order, milliseconds(at * 300))).collect();
     assert_eq!(selected, [Some(order[0]), Some(order[0]), Some(order[0]), Some(order[1])]);
-    choice.answered();
+    choice.record_response();
     assert_eq!(choice.next(&order, milliseconds(1200)), Some(order[1]));
-    choice.answered();
+    choice.record_response();
     assert_eq!(choice.next(&order, milliseconds(2900)), Some(order[0]), "after two seconds");
     assert_eq!(choice.next(&[], milliseconds(2950)), None);
 }
--- a/crates/mesh/tests/feed/fleet.rs
+++ b/crates/mesh/tests/feed/fleet.rs
@@ -343,7 +343,7 @@
             node.is_isolated = false;
             node.has_answer = false;
             node.loss.source_available(store_read_at);
-            node.source_choice.answered();
+            node.source_choice.succeeded();
             node.has_unverified_source = false;
             node.query = None;
             return;
--- a/crates/mesh/tests/limits/fleet.rs
+++ b/crates/mesh/tests/limits/fleet.rs
@@ -232,7 +232,7 @@
                 Message::Update(shares) if node.reports_to == from => node.limits.apply_shares(&shares, now),
                 Message::Update(_) => {}
                 Message::Response(shares) => {
-                    node.choice.answered();
+                    node.choice.record_response();
                     if let Some(shares) = shares {
                         node.limits.apply_shares(&shares, now);
                     }
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -1,8 +1,8 @@
 //! The edge: accepts calls from callers and from this node's own target, and returns the responses.
 
-mod answers;
 mod attempt;
 mod entry;
+mod responses;
 mod run;
 mod sender;
 
@@ -26,11 +26,11 @@
 use quillhatch_types::Timestamp;
 
 use crate::body::{read_up_to, Body, ReadBody};
-use crate::headers::{header_text, remove_connection_headers};
+use crate::headers::{header_text, remove_hop_by_hop_headers};
 use crate::hop::HOP_HEADER;
 use crate::node::Node;
-use answers::{local_response, refuse, retry_delay};
 use entry::{admitted_share, inherited_context, is_refused, malformed_status};
+use responses::{local_response, refuse, retry_delay};
 use sender::{check_limit, deny, identify_sender, origin_of, refuse_over_limit, CallerEvidence};
 
 /// The maximum size of a request body that is buffered so that the call can be retried, in bytes.
@@ -193,7 +193,7 @@
 /// The headers to forward to the target: without hop-by-hop headers, the caller's API key and headers that only nodes
 /// may set, and with the service of this node and the tenant that sends the call.
 fn forwarded_headers(node: &Node, mut forwarded: HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
-    remove_connection_headers(&mut forwarded);
+    remove_hop_by_hop_headers(&mut forwarded);
     for name in [
         HOP_HEADER,
         headers::DEADLINE_MS,
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -10,8 +10,8 @@
 use quillhatch_mesh::routing::choose_service;
 use quillhatch_mesh::targets::{Target, TargetId};
 
-use super::answers::{self, refuse};
 use super::attempt::{attempt, should_abandon, Attempt};
+use super::responses::{self, refuse};
 use super::Call;
 use crate::body::Body;
 use crate::counters::Counters;
@@ -61,10 +61,10 @@
     let mut body = Some(body);
     let mut progress = Progress::default();
     let give_up_with = |call: &Call, progress: &Progress, why, retry_after| {
-        answers::give_up(node, call, progress.may_have_run(), why, progress.tried.len(), retry_after)
+        responses::give_up(node, call, progress.may_have_run(), why, progress.tried.len(), retry_after)
     };
     let give_up = |call: &Call, progress: &Progress, why| {
-        give_up_with(call, progress, why, answers::retry_delay(node, &call.route))
+        give_up_with(call, progress, why, responses::retry_delay(node, &call.route))
     };
     loop {
         let now = node.now();
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -15,7 +15,7 @@
 use quillhatch_types::Timestamp;
 use rand::Rng;
 
-use super::answers::{local_response, refuse, refuse_with_status};
+use super::responses::{local_response, refuse, refuse_with_status};
 use crate::body::Body;
 use crate::node::Node;
 
--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -4,9 +4,9 @@
 //! node queries one other node at a time with a long poll, which is answered when something has changed. So a change
 //! travels down the tree in a few round trips, and a queried node keeps no state about the nodes that query it.
 
-mod answer;
 mod codec;
 mod query;
+mod serve;
 
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -27,10 +27,10 @@
 
 use crate::node::Node;
 use crate::store;
-use answer::EncodedUpdate;
 use query::{query, Requested};
+use serve::EncodedUpdate;
 
-pub use answer::answer;
+pub use serve::serve_query;
 
 /// The path at which a node answers queries for changes.
 pub const FEED_PATH: &str = "/quillhatch/replica";
@@ -126,7 +126,7 @@
         };
         match result.map(|status| record_source_status(&node, status, candidate.is_upstream)) {
             Ok(SourceVerdict::Usable) => {
-                choice.answered();
+                choice.succeeded();
                 round = Round::default();
                 continue;
             }
@@ -162,7 +162,7 @@
         let outage_since = loss.source_available(status.store_read_at);
         node.feed.store_loss.set(loss);
         let regained = lost_since.filter(|_| loss.since().is_none());
-        store::on_path_regained(node, regained, outage_since);
+        store::on_access_regained(node, regained, outage_since);
         if regained.is_some() {
             node.feed.view_changed.notify_waiters();
         }
--- a/crates/sidecar/src/feed/answer.rs
+++ b/crates/sidecar/src/feed/serve.rs
@@ -32,7 +32,7 @@
 }
 
 /// Answers a query as soon as there are changes, or after its hold time.
-pub async fn answer(node: &Rc<Node>, body: Option<Incoming>) -> Response<Body> {
+pub async fn serve_query(node: &Rc<Node>, body: Option<Incoming>) -> Response<Body> {
     let arrived = node.now();
     let Some(query) = read_query(body).await else { return empty_response(StatusCode::BAD_REQUEST) };
     let from = query.position.as_ref().map(decode_position).unwrap_or_default();
@@ -45,7 +45,7 @@
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let retained = if query.wants_kept { unregistered(node) } else { Vec::new() };
-    Response::new(Body::Buffered(encode_answer(node, from, arrived, retained)))
+    Response::new(Body::Buffered(encode_response(node, from, arrived, retained)))
 }
 
 async fn read_query(body: Option<Incoming>) -> Option<wire::ReplicaQuestion> {
@@ -74,7 +74,7 @@
     }
 }
 
-fn encode_answer(node: &Node, from: Position, arrived: Timestamp, retained: Vec<wire::KeptTarget>) -> Bytes {
+fn encode_response(node: &Node, from: Position, arrived: Timestamp, retained: Vec<wire::KeptTarget>) -> Bytes {
     let now = node.now();
     let lost_ms = node.feed.store_loss.get().since().map_or(0, |since| now.since(since).as_millis().max(1) as u64);
     let read_at = node.feed.store_read_at.get().unwrap_or_default();
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::body::{read_up_to, Body};
 use crate::feed::{self, FEED_PATH};
-use crate::headers::{header_text, remove_connection_headers};
+use crate::headers::{header_text, remove_hop_by_hop_headers};
 use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
 use crate::liveness::LIVENESS_PATH;
 use crate::local_target;
@@ -57,7 +57,7 @@
 /// Serves one request that arrived at the inbound address.
 pub async fn serve(node: Rc<Node>, parts: Parts, body: Option<Incoming>) -> Response<Body> {
     if parts.uri.path() == FEED_PATH && !parts.headers.contains_key(HOP_HEADER) {
-        return feed::answer(&node, body).await;
+        return feed::serve_query(&node, body).await;
     }
     if parts.uri.path() == LIVENESS_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return Response::new(Body::empty());
@@ -233,7 +233,7 @@
     if remaining < MIN_FORWARD_TIME {
         return Err(Failure::new(GateOutcome::Full, "too little time until the deadline"));
     }
-    remove_connection_headers(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     parts.headers.remove(HOP_HEADER);
     if let Ok(value) = HeaderValue::from_str(&remaining.as_millis().to_string()) {
         parts.headers.insert(headers::DEADLINE_MS, value);
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH};
 
 /// Whether a header is a hop-by-hop header, which applies to a single connection.
-fn is_connection_header(name: &HeaderName) -> bool {
+fn is_hop_by_hop_header(name: &HeaderName) -> bool {
     matches!(
         name.as_str(),
         "connection" | "keep-alive" | "proxy-connection" | "te" | "trailer" | "transfer-encoding" | "upgrade"
@@ -11,7 +11,7 @@
 }
 
 /// Removes hop-by-hop headers, the headers that `Connection` names, and `Content-Length`.
-pub fn remove_connection_headers(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
@@ -22,7 +22,7 @@
     for name in named {
         headers.remove(name.as_str());
     }
-    let connection: Vec<HeaderName> = headers.keys().filter(|name| is_connection_header(name)).cloned().collect();
+    let connection: Vec<HeaderName> = headers.keys().filter(|name| is_hop_by_hop_header(name)).cloned().collect();
     for name in connection {
         headers.remove(name);
     }
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -185,7 +185,7 @@
     }
     let Some(answer) = message.answer else { return };
     let Some(sent) = pending.remove(answer.sequence) else { return };
-    choice.answered();
+    choice.record_response();
     if !answer.settling {
         let shares: Vec<TenantShare> = answer.shares.iter().filter_map(decode_share).collect();
         node.tenancy.limits.borrow_mut().apply_shares(&shares, arrived);
--- a/crates/sidecar/src/relay.rs
+++ b/crates/sidecar/src/relay.rs
@@ -10,7 +10,7 @@
 
 use crate::body::{read_up_to, Body, BodyError, PartialBody, ReadBody};
 use crate::gate::Slot;
-use crate::headers::remove_connection_headers;
+use crate::headers::remove_hop_by_hop_headers;
 use crate::pool::ConnectionLease;
 
 /// The maximum size of a response body that is buffered whole before any of it is relayed, in bytes.
@@ -38,7 +38,7 @@
 ) -> Result<Response<Body>, String> {
     let (mut parts, incoming) = response.into_parts();
     let length = parts.headers.get(CONTENT_LENGTH).cloned();
-    remove_connection_headers(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     let read = match read_up_to(incoming, MAX_BUFFERED_RESPONSE_BYTES).await {
         Ok(read) => read,
         Err(error) => {
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -53,7 +53,7 @@
 
 /// Records that this node has a path to the store again, after it had none since `lost_since`. If the store was in an
 /// outage since `outage_since`, registrations may have expired meanwhile.
-pub fn on_path_regained(node: &Node, lost_since: Option<Timestamp>, outage_since: Option<Timestamp>) {
+pub fn on_access_regained(node: &Node, lost_since: Option<Timestamp>, outage_since: Option<Timestamp>) {
     extend_reregistration_deadline(node, outage_since);
     let Some(since) = lost_since else { return };
     let revision = node.position().revision;
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -7,7 +7,7 @@
 mod access;
 mod apply;
 mod client;
-mod turn;
+mod schedule;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use crate::feed;
 use crate::node::Node;
 pub use access::watch_access;
-pub use apply::{apply_update, drop_expired_targets, on_path_regained, on_targets_changed};
+pub use apply::{apply_update, drop_expired_targets, on_access_regained, on_targets_changed};
 use client::{get, StoreError, StoreResponse};
-use turn::{is_due, wait_for_turn};
+use schedule::{is_due, wait_until_due};
 
 /// The timeout of one page of a listing.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -47,9 +47,9 @@
 /// Reads the store, whenever it is this node's turn, until the process ends.
 pub async fn follow(node: Rc<Node>) {
     loop {
-        let reason = wait_for_turn(&node).await;
+        let reason = wait_until_due(&node).await;
         let sent = node.now();
-        let Err(error) = read_in_turn(&node, reason).await else { continue };
+        let Err(error) = read_while_due(&node, reason).await else { continue };
         record_failure(&node, &error, sent);
         if !error.is_outage() {
             node.store_reader.borrow_mut().history_lost();
@@ -65,7 +65,7 @@
 }
 
 /// Reads the store until this node's turn ends or a call fails.
-async fn read_in_turn(node: &Rc<Node>, reason: ReadReason) -> Result<(), StoreError> {
+async fn read_while_due(node: &Rc<Node>, reason: ReadReason) -> Result<(), StoreError> {
     if reason == ReadReason::Initial {
         node.solo_reads.set(node.solo_reads.get().increment(node.now()));
         return read_all(node, ReadConsistency::Stale).await;
@@ -115,7 +115,7 @@
     node.feed.record_store_read(sent);
     let outage_since = loss.store_read();
     node.feed.store_loss.set(loss);
-    on_path_regained(node, lost_since, outage_since);
+    on_access_regained(node, lost_since, outage_since);
 }
 
 /// Lists the configuration and all targets. With [`ReadConsistency::Stale`] the first page can be enough: it shows
@@ -175,7 +175,7 @@
     if node.feed.role.borrow().is_reader || node.feed.role.borrow().candidates.is_empty() {
         return false;
     }
-    turn::wait_for_peers(node).await
+    schedule::wait_for_peers(node).await
 }
 
 /// A target from the first page, used only to find other nodes.
--- a/crates/sidecar/src/store/turn.rs
+++ b/crates/sidecar/src/store/schedule.rs
@@ -14,7 +14,7 @@
 const MAX_PEER_WAIT: Duration = Duration::from_millis(1200);
 
 /// Waits until it is this node's turn, and returns why.
-pub(super) async fn wait_for_turn(node: &Rc<Node>) -> ReadReason {
+pub(super) async fn wait_until_due(node: &Rc<Node>) -> ReadReason {
     loop {
         let role_changed = node.feed.role_changed.notified();
         let view_changed = node.feed.view_changed.notified();
