--- a/crates/mesh/src/admission_level.rs
+++ b/crates/mesh/src/admission_level.rs
@@ -1,7 +1,7 @@
 //! Admission levels: which calls may enter the graph when a service that they need can't serve all of them.
 //!
 //! A gate whose target is out of capacity computes an admission level for each route ([`crate::capacity`]): calls whose
-//! priority lies within the level are admitted, most others are refused. Each answer carries the level of its route:
+//! priority lies within the level are admitted, most others are refused. Each response carries the level of its route:
 //! the lowest of the gate's own and of the routes that calls of this route call in turn, so a shortage deep in the
 //! graph is known where its load enters. (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018,
 //! admit by priority in this way, and move the level one step up or down each second.)
@@ -75,7 +75,7 @@
 }
 
 impl RouteAdmissionLevels {
-    /// Records the level that came with an answer to a call of `route`.
+    /// Records the level that came with a response to a call of `route`.
     pub fn record_report(&mut self, route: &Arc<str>, level: AdmissionLevel, now: Timestamp) {
         let current = self.level(route, now).priority_share();
         let gain = self.age(route, now).map_or(MIN_REPORT_GAIN, |age| {
--- a/crates/mesh/src/balance.rs
+++ b/crates/mesh/src/balance.rs
@@ -14,7 +14,7 @@
 
 /// The maximum number of candidates that one attempt compares in the local zone, and in all other zones together.
 const MAX_CANDIDATES: usize = 12;
-/// The fraction of a call's time limit that staying in the local zone may cost. A call has several hops, and an answer
+/// The fraction of a call's time limit that staying in the local zone may cost. A call has several hops, and a response
 /// that arrives before its latency objective is worth no more, while traffic between zones is billed.
 const MAX_LOCALITY_COST_FRACTION: f64 = 0.1;
 /// The minimum and maximum cost of an attempt in another zone, on top of its response time, as a multiple of the mean
@@ -35,9 +35,9 @@
 const FAILURE_COST: f64 = 10.0;
 /// The half-life of the reported failures of a target that receives no calls, so that it is tried again.
 const HEALTH_HALF_LIFE: Duration = Duration::from_millis(1500);
-/// The weight of one answer in the relative latency of its target.
+/// The weight of one response in the relative latency of its target.
 const TARGET_LATENCY_GAIN: f64 = 0.05;
-/// The weight of one answer in the mean response time of its route.
+/// The weight of one response in the mean response time of its route.
 const ROUTE_LATENCY_GAIN: f64 = 0.02;
 /// The lifetime of a load report; its weight falls linearly to zero over this time.
 const LOAD_REPORT_LIFETIME: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(6);
 /// The slowdown factor of a target that has just started.
 const COLD_TARGET_SLOWDOWN: f64 = 2.0;
-/// The relative latency assumed for a target that has not answered yet: lower than the mean, so that it is tried.
+/// The relative latency assumed for a target that has not responded yet: lower than the mean, so that it is tried.
 const UNKNOWN_RELATIVE_LATENCY: f64 = 0.8;
 /// The maximum random increase of a cost, as a fraction of it, so that nodes with the same view don't all choose the
 /// same target.
@@ -151,14 +151,14 @@
         let zone = preference.local_zone;
         let is_available = |target: &&Arc<Target>| !target.registration.draining && !tried.contains(&target.id);
         // Limits the candidates of a large service, starting at a random one; a small service is compared whole.
-        let begin = random.gen_range(0..targets.len().max(1));
-        let (before, from) = targets.split_at(begin.min(targets.len()));
-        let available = from.iter().chain(before).filter(is_available);
+        let start = random.gen_range(0..targets.len().max(1));
+        let (before_start, from_start) = targets.split_at(start.min(targets.len()));
+        let available = from_start.iter().chain(before_start).filter(is_available);
         let local = available.clone().filter(|target| *target.registration.zone == *zone).take(MAX_CANDIDATES);
         let remote = available.filter(|target| *target.registration.zone != *zone).take(MAX_CANDIDATES);
         let costed = local.chain(remote).map(|target| {
-            let avoided = self.target_states.get(&target.id).is_some_and(|state| state.avoided_until > now);
-            (avoided, self.cost(target, preference, now) * random.gen_range(1.0..1.0 + MAX_COST_JITTER), target)
+            let is_avoided = self.target_states.get(&target.id).is_some_and(|state| state.avoided_until > now);
+            (is_avoided, self.cost(target, preference, now) * random.gen_range(1.0..1.0 + MAX_COST_JITTER), target)
         });
         let best = costed.min_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
         best.map(|(_, _, target)| target.clone())
@@ -170,18 +170,19 @@
         let relative_latency = state.map_or(UNKNOWN_RELATIVE_LATENCY, |state| current_relative_latency(state, now));
         let relative_latency =
             if self.mechanisms.is_enabled(Mechanism::LatencyBalancing) { relative_latency } else { 1.0 };
-        let cold = if target.cold_until > now { COLD_TARGET_SLOWDOWN - 1.0 } else { 0.0 };
-        let cold = 1.0 + cost_if_enabled(Mechanism::SlowStart, cold);
+        let cold_cost = if target.cold_until > now { COLD_TARGET_SLOWDOWN - 1.0 } else { 0.0 };
+        let cold_factor = 1.0 + cost_if_enabled(Mechanism::SlowStart, cold_cost);
         let utilization = state.map_or(0.0, |state| utilization(state, target.registration.slots, now));
         let utilization = cost_if_enabled(Mechanism::LoadBalancing, utilization);
-        let busy = FULL_UTILIZATION_COST * ((utilization - BUSY_THRESHOLD) / (1.0 - BUSY_THRESHOLD)).clamp(0.0, 1.0);
-        let queue = FULL_QUEUE_COST * (utilization - 1.0).max(0.0);
+        let busy_cost =
+            FULL_UTILIZATION_COST * ((utilization - BUSY_THRESHOLD) / (1.0 - BUSY_THRESHOLD)).clamp(0.0, 1.0);
+        let queue_cost = FULL_QUEUE_COST * (utilization - 1.0).max(0.0);
         let zone_cost =
             if *target.registration.zone == *preference.local_zone { 0.0 } else { preference.cross_zone_cost };
         let failure_cost = FAILURE_COST * (1.0 - state.map_or(1.0, |state| current_health(state, now)));
         let zone_cost = cost_if_enabled(Mechanism::ZoneBalancing, zone_cost);
         let failure_cost = cost_if_enabled(Mechanism::HealthBalancing, failure_cost);
-        relative_latency * cold * (1.0 + busy + queue) + zone_cost + failure_cost
+        relative_latency * cold_factor * (1.0 + busy_cost + queue_cost) + zone_cost + failure_cost
     }
 
     /// Returns the zone preference for a call of `route` that must be answered within `time`.
@@ -239,7 +240,7 @@
         state.latency_measured_at = now;
     }
 
-    /// Records the load that a target's gate has reported, and the share of the target's answers that are good.
+    /// Records the load that a target's gate has reported, and the share of the target's responses that are good.
     pub fn record_load(&mut self, target: &TargetId, load: GateLoad, health: f64, now: Timestamp) {
         let state = self.target_states.entry(target.clone()).or_default();
         state.load = load;
@@ -248,17 +249,17 @@
         state.last_contact = now;
     }
 
-    /// Records that a target's gate answered a liveness probe.
+    /// Records that a target's gate responded to a liveness probe.
     pub fn record_contact(&mut self, target: &TargetId, now: Timestamp) {
         self.target_states.entry(target.clone()).or_default().last_contact = now;
     }
 
-    /// Returns when a target's gate last answered or reported.
+    /// Returns when a target's gate last responded to a probe or reported its load.
     pub fn last_contact(&self, target: &str) -> Timestamp {
         self.target_states.get(target).map_or(Timestamp::ZERO, |state| state.last_contact)
     }
 
-    /// Returns how long a call of a route may run without an answer before its target's gate is probed.
+    /// Returns how long a call of a route may run without a response before its target's gate is probed.
     pub fn liveness_probe_delay(&self, route: &str) -> Duration {
         let mean = self.mean_response_time(route).unwrap_or(UNKNOWN_MEAN_RESPONSE_TIME);
         (mean * PROBE_DELAY_FACTOR + PROBE_DELAY_MARGIN).min(MAX_PROBE_DELAY)
@@ -270,12 +271,12 @@
         self.target_states.entry(target.clone()).or_default().avoided_until = now + MIN_AVOIDANCE;
     }
 
-    /// Avoids a target whose gate did not answer a liveness probe; the time doubles with each failure in a row.
+    /// Avoids a target whose gate did not respond to a liveness probe; the time doubles with each failure in a row.
     pub fn record_unresponsive(&mut self, target: &TargetId, now: Timestamp) {
         let state = self.target_states.entry(target.clone()).or_default();
-        let span = MIN_AVOIDANCE * 2_u32.pow(state.consecutive_failures.min(3));
+        let avoidance = MIN_AVOIDANCE * 2_u32.pow(state.consecutive_failures.min(3));
         state.consecutive_failures += 1;
-        state.avoided_until = now + span.min(MAX_AVOIDANCE);
+        state.avoided_until = now + avoidance.min(MAX_AVOIDANCE);
     }
 
     /// Returns the mean response time of a route's answered calls, if any was measured.
--- a/crates/mesh/src/callers.rs
+++ b/crates/mesh/src/callers.rs
@@ -1,7 +1,7 @@
-//! Classifies the callers of a route: callers on the machines, or only targets of other services.
+//! Classifies the clients that call a route: callers on the machines, or only targets of other services.
 //!
 //! Callers send calls from every machine, whatever its service, while a route that only targets call is used from the
-//! machines of their services alone. The gates that serve a route observe that, and report it with their answers.
+//! machines of their services alone. The gates that serve a route observe that, and report it with their responses.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/mesh/src/capacity.rs
+++ b/crates/mesh/src/capacity.rs
@@ -4,10 +4,10 @@
 //! so what arrives shows the demand that would arrive if nothing were refused at entry (the Horvitz-Thompson
 //! estimator), whatever level was in force when the call entered. The level follows from that demand and needs no
 //! feedback controller that tries higher and lower ones: it does not oscillate, even if it takes a second to reach the
-//! entries. Calls whose route has a lower level because of another service, further down, count only with the share
-//! that will arrive: slots that they can't use are left to others. A root fails with the first of its calls that is
-//! refused, and the calls that it would have made after that don't arrive; so what arrives is divided by the share that
-//! was not refused.
+//! nodes where calls enter. Calls whose route has a lower level because of another service, further down, count only
+//! with the share that will arrive: slots that they can't use are left to others. A root fails with the first of its
+//! calls that is refused, and the calls that it would have made after that don't arrive; so what arrives is divided by
+//! the share that was not refused.
 //!
 //! Routes of one priority share the slot time that is left to it by max-min fairness: a route whose calls take little
 //! of it is served in full, and one that demands more than its part is limited. Equal shares of calls would refuse ten
@@ -187,10 +187,10 @@
         self.mean_slot_seconds += MIN_SLOT_TIME_GAIN * (seconds - self.mean_slot_seconds);
     }
 
-    /// Returns the slots that are demanded, by priority and route, if only calls within the `level_of` their route
-    /// arrive.
+    /// Returns the demand for slots, by priority and route, if only those calls arrive that the level of their route
+    /// admits, which `level_of` returns.
     fn demand(&self, priorities: u32, level_of: impl Fn(&str) -> AdmissionLevel, now: Timestamp) -> Vec<SlotDemands> {
-        let span = self.measured_seconds(now);
+        let measured_seconds = self.measured_seconds(now);
         let mut demand = vec![SlotDemands::new(); priorities as usize];
         for (route, demand_seconds) in &self.demand_seconds {
             let level = level_of(route);
@@ -201,7 +201,7 @@
                     .get(priority)
                     .filter(|_| self.mechanisms.is_enabled(Mechanism::MissingCallEstimate));
                 let accepted_share = nested_calls.map_or(1.0, |nested_calls| nested_calls.accepted_share());
-                let slots = seconds * level.admitted_share(*priority, priorities) / accepted_share / span;
+                let slots = seconds * level.admitted_share(*priority, priorities) / accepted_share / measured_seconds;
                 route_demands.insert(route.clone(), slots);
             }
         }
@@ -224,7 +224,8 @@
     }
 
     /// Returns the demand that the target can't serve, or `None` if it can serve everything. `priorities` is the number
-    /// of priorities in use; calls beyond the `level_of` their route don't arrive.
+    /// of priorities in use. `level_of` returns the level at which other services limit a route; calls that it refuses
+    /// don't arrive.
     pub fn shortage(
         &mut self,
         load: GateLoad,
@@ -256,6 +257,8 @@
         None
     }
 
+    /// The integral of the decay weights over the time for which demand was measured: demand is the slot time divided
+    /// by this.
     fn measured_seconds(&self, now: Timestamp) -> f64 {
         let age = self.first_call_at.map_or(0.0, |first_call_at| now.since(first_call_at).as_secs_f64());
         DEMAND_TIME_CONSTANT_S * (1.0 - (-age.max(0.05) / DEMAND_TIME_CONSTANT_S).exp())
--- a/crates/mesh/src/feed/mod.rs
+++ b/crates/mesh/src/feed/mod.rs
@@ -5,7 +5,7 @@
 //! zones. The first three heads of all zones are the **readers**. The other nodes follow in a tree per zone: each node
 //! sends long polls to its parent, which responds as soon as there is a change. The roles follow from the list of
 //! targets alone; there is no election and no message about them. Nodes with different lists disagree on some parents,
-//! which is harmless: any node answers any other, and a position never goes back.
+//! which is harmless: any node answers the queries of any other, and a position never goes back.
 //!
 //! Readers query each other in a ring, and the other heads query them. So what one reader has read reaches all zones,
 //! even if the store refuses the others.
--- a/crates/mesh/src/feed/schedule.rs
+++ b/crates/mesh/src/feed/schedule.rs
@@ -21,23 +21,24 @@
 const PROPAGATION_RESERVE: Duration = Duration::from_millis(500);
 /// The minimum timeout of a watch, also where the bounds leave less time: each watch is a call that costs money.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// The base of the pause after a read in which a node has found neither itself nor others; it doubles with each such
-/// read.
+/// The base of the pause after a read in which a node has found no other node; it doubles with each such read.
 const SOLO_READ_PAUSE: Duration = Duration::from_millis(400);
 /// The number of such reads after which the node assumes that it is the only one and acts as a reader.
 const MAX_SOLO_READS: u32 = 4;
-/// The range of the delay after which a node that gets no answer from any candidate reads the store, in fractions of
-/// the shortest bound. Each node picks its own delay, so that the first ones can answer the others.
+/// The range of the delay after which a node that gets no response from any candidate reads the store, in fractions of
+/// the shortest bound. Each node picks its own delay, so that the first ones can respond to the others.
 const ISOLATED_DELAY_FRACTIONS: (f64, f64) = (0.1, 0.4);
 
 /// Why the store is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadReason {
-    /// The node knows nothing of the store, or no other node. A stale copy is enough to find other nodes.
+    /// The node knows nothing of the store, or no other node. A lagging replica of the store is enough to find other
+    /// nodes.
     Initial,
     /// The node is one of the readers.
     Reader,
-    /// A single read, for what no other node can tell.
+    /// A single read, for what other nodes can't provide: whether this node can reach the store, a new proof that the
+    /// configuration is recent, or the changes while no reader can read the store.
     Once,
 }
 
@@ -52,7 +53,7 @@
     OnChange,
 }
 
-/// How often a node has read the store without finding any node in it, and when it last did.
+/// How often a node has read the store without finding another node in it, and when it last did.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SoloReads {
     count: u32,
@@ -107,9 +108,9 @@
     pub loss: StoreAccessLoss,
     /// When the store was last read, by the node itself or by one that it follows, if that is known.
     pub store_read_at: Option<Timestamp>,
-    /// Whether none of its candidates answers.
+    /// Whether none of its candidates responds.
     pub is_isolated: bool,
-    /// The reads in which it found no node.
+    /// The reads in which it found no other node.
     pub solo_reads: SoloReads,
     /// The time until it must renew its proof that the configuration is recent ([`crate::freshness`]), if there is a
     /// bound on revocation.
--- a/crates/mesh/src/feed/tree.rs
+++ b/crates/mesh/src/feed/tree.rs
@@ -12,8 +12,8 @@
 /// The number of nodes that read the store, whatever the size of the fleet: two of them may be lost or refused by the
 /// store at the same time, and no more calls than theirs are paid for.
 const READERS: usize = 3;
-/// The number of nodes per zone, next to its heads, that are queried when the heads fail. They are also the first to
-/// read the store then.
+/// The number of nodes per zone, in addition to its heads, that are queried when the heads fail. They are also the
+/// first to read the store then.
 const STANDBYS_PER_ZONE: usize = 2;
 /// The number of heads of all zones that a node queries when those of its own zone fail: the readers, and as many more
 /// as may be lost of them at the same time.
@@ -42,7 +42,7 @@
     /// The number of nodes that take over from failing readers before this one: other heads if it is a head, else its
     /// zone's head and the nodes of its zone that precede it.
     pub nodes_ahead: usize,
-    /// The nodes that it may follow, in order of preference: it follows the first one that answers and can reach the
+    /// The nodes that it may follow, in order of preference: it follows the first one that responds and can reach the
     /// store.
     pub candidates: Vec<FeedCandidate>,
 }
@@ -95,7 +95,7 @@
         let own = order_key(machine);
         let heads_per_zone = self.heads_per_zone();
         let members: &[OrderKey] = self.zones.get(zone).map_or(&[], Vec::as_slice);
-        let rank = members.partition_point(|other| *other < own);
+        let zone_index = members.partition_point(|other| *other < own);
         let heads = self.heads();
         let readers = heads.len().min(READERS);
         let head_index = heads.binary_search(&own).ok();
@@ -107,7 +107,8 @@
             let next = (index + 1) % readers;
             candidates.extend((0..readers).map(|step| heads[(next + step) % readers]));
         } else {
-            candidates.extend(rank.checked_sub(heads_per_zone).into_iter().flat_map(|index| parents(index, members)));
+            candidates
+                .extend(zone_index.checked_sub(heads_per_zone).into_iter().flat_map(|index| parents(index, members)));
         }
         candidates.extend(members.iter().take(heads_per_zone + STANDBYS_PER_ZONE));
         candidates.extend(heads.iter().take(FALLBACK_HEADS));
@@ -124,7 +125,7 @@
 
         let nodes_ahead = match head_index {
             Some(index) => index.saturating_sub(readers),
-            None => 1 + rank.saturating_sub(heads_per_zone),
+            None => 1 + zone_index.saturating_sub(heads_per_zone),
         };
         FeedRole { is_reader, is_head: head_index.is_some(), nodes_ahead, candidates }
     }
--- a/crates/mesh/src/gate.rs
+++ b/crates/mesh/src/gate.rs
@@ -51,7 +51,7 @@
 pub enum GateDecision {
     /// The call is forwarded to the target now.
     Runs,
-    /// The call waits; the caller keeps the ticket.
+    /// The call waits, identified by the ticket.
     Waits(QueueTicket),
     /// The call is refused.
     Refused(GateRefusal),
--- a/crates/mesh/src/limits/coordinator.rs
+++ b/crates/mesh/src/limits/coordinator.rs
@@ -12,9 +12,11 @@
 use super::{LimitBounds, TenantShare, TenantSurge, TenantUsage, SURGE_FACTOR};
 use crate::tenants::RateLimit;
 
-/// How long nodes must have reported before shares are sent, in periods: by then each of them has reported once.
+/// How long nodes must have reported before shares are sent, in periods ([`super::report_period`]): by then each of
+/// them has reported once.
 const SETTLING_PERIODS: f64 = 1.2;
-/// How long a node's report is valid, in periods. A node whose reports are lost for longer falls back to its own part.
+/// How long a node's report is valid, in periods. A node whose reports are lost for longer falls back to its own part
+/// of the limit.
 const REPORT_VALIDITY_PERIODS: f64 = 4.5;
 /// The time in which a burst is admitted, as a fraction of the window: longer than a new share takes to show its effect
 /// in the reports.
@@ -32,7 +34,7 @@
 const SURGE_TIME_CONSTANT: Duration = Duration::from_millis(200);
 /// A new share that is below this fraction of the share known to the nodes is sent to all of them at once.
 const STEEP_DROP_FRACTION: f64 = 0.75;
-/// The maximum number of updates of shares sent per second: a tenth of a core, at a few microseconds each.
+/// The maximum number of updates of shares sent per second: they take a tenth of a core, at a few microseconds each.
 const MAX_UPDATES_PER_SECOND: f64 = 30_000.0;
 
 /// The last report of a node.
--- a/crates/mesh/src/limits/local.rs
+++ b/crates/mesh/src/limits/local.rs
@@ -14,8 +14,8 @@
 const RATE_TIME_CONSTANT: Duration = Duration::from_millis(400);
 /// The minimum rate at which a tenant is reported, in calls per second: one call, two seconds ago.
 const MIN_REPORTED_RATE: f64 = 0.02;
-/// How long the last response of a coordinator is valid, in periods: until the node switches to the next candidate, and
-/// one more period for that one to respond.
+/// How long the last response of a coordinator is valid, in periods ([`super::report_period`]): until the node switches
+/// to the next candidate, and one more period for that one to respond.
 const RESPONSE_VALIDITY_PERIODS: f64 = 4.5;
 /// The minimum time between two reports of surges, in periods.
 const MIN_SURGE_REPORT_INTERVAL_PERIODS: f64 = 0.1;
@@ -143,7 +143,7 @@
         Err(OverLimit { retry_after: Duration::from_secs_f64(seconds), share })
     }
 
-    /// Takes back the admission of a call that did not run.
+    /// Reverts the admission of a call that did not run.
     pub fn refund(&mut self, tenant: &str, now: Timestamp) {
         if let Some(usage) = self.usages.get_mut(tenant) {
             usage.admitted.add(-1.0, now);
--- a/crates/mesh/src/limits/mod.rs
+++ b/crates/mesh/src/limits/mod.rs
@@ -35,8 +35,8 @@
 
 /// The minimum time between two reports of a node.
 const MIN_REPORT_PERIOD: Duration = Duration::from_millis(300);
-/// The maximum number of reports that a coordinator receives per second: a few hundredths of a core, at a few tens of
-/// microseconds each.
+/// The maximum number of reports that a coordinator receives per second: they take a few hundredths of a core, at a few
+/// tens of microseconds each.
 const MAX_REPORTS_PER_SECOND: f64 = 800.0;
 /// The fraction of the tolerance that is handed out beyond the rate. The rest makes up for the lag of the reports.
 const TOLERANCE_FRACTION: f64 = 0.6;
--- a/crates/mesh/src/mechanisms.rs
+++ b/crates/mesh/src/mechanisms.rs
@@ -24,7 +24,7 @@
     LatencyBalancing,
     /// Busier targets get fewer calls.
     LoadBalancing,
-    /// Targets with bad answers get fewer calls.
+    /// Targets with bad responses get fewer calls.
     HealthBalancing,
     /// Targets in the local zone are preferred.
     ZoneBalancing,
@@ -34,7 +34,7 @@
     SlowAttemptRetry,
     /// Calls are sent to a second target after a failed attempt.
     Retries,
-    /// Nodes that don't answer are probed for liveness.
+    /// Nodes that don't respond are probed for liveness.
     LivenessProbes,
     /// Changes in the store are collected for a moment before they are read.
     BatchedReads,
@@ -44,7 +44,7 @@
     RetainedTargets,
     /// Nodes share the limits of tenants by demand; without it each admits an equal part.
     SharedLimits,
-    /// Nodes accept proof from other nodes that their configuration is recent; without it each queries the store.
+    /// Nodes accept proof from other nodes that their configuration is recent; without it each reads the store.
     PeerFreshness,
     /// Requests that crash targets are refused.
     Quarantine,
--- a/crates/mesh/src/parents.rs
+++ b/crates/mesh/src/parents.rs
@@ -62,9 +62,9 @@
 pub enum CallOrigin {
     /// A caller: the call enters the graph here.
     Caller,
-    /// The target beside this node, for a call of this route with this context.
+    /// The local target, for a running call of this route with this context.
     KnownParent(Arc<str>, InheritedContext),
-    /// The target beside this node, for one of several running calls; `None` if no running call has enough time left.
+    /// The local target, for one of several running calls; `None` if no running call has enough time left.
     UnknownParent(Option<ParentEstimate>),
 }
 
@@ -180,7 +180,7 @@
         &self,
         route: &str,
         deadline: Timestamp,
-        rate: impl Fn(&Arc<str>) -> f64,
+        call_rate: impl Fn(&Arc<str>) -> f64,
     ) -> Option<ParentEstimate> {
         let from = RunningCallId { deadline: deadline - DEADLINE_LATE_TOLERANCE, sequence: 0 };
         // The call rate of each route, and the total weight of its calls.
@@ -190,7 +190,7 @@
             if **parent == *route {
                 continue;
             }
-            let (rate, sum) = routes.entry(parent).or_insert_with(|| (rate(parent), 0.0));
+            let (rate, sum) = routes.entry(parent).or_insert_with(|| (call_rate(parent), 0.0));
             let rate = *rate;
             *sum += rate;
             let weight = weights.entry(context.priority).or_default();
@@ -200,7 +200,7 @@
         }
         let total: f64 = weights.values().map(|weight| weight.total).sum();
         let retried: f64 = weights.values().map(|weight| weight.retried).sum();
-        let (priority, weight) = weights.iter().max_by(|a, b| a.1.total.total_cmp(&b.1.total))?;
+        let (priority, weight) = weights.iter().max_by(|one, other| one.1.total.total_cmp(&other.1.total))?;
         let retry_share = if total > 0.0 { retried / total } else { 0.0 };
         let admitted_share = if weight.offered > 0.0 { weight.total / weight.offered } else { 1.0 };
         let admitted_permille = (admitted_share * f64::from(ALL_ADMITTED_PERMILLE)).round() as u16;
--- a/crates/mesh/src/quarantine/runs.rs
+++ b/crates/mesh/src/quarantine/runs.rs
@@ -1,7 +1,7 @@
 //! Tracks the calls that run at a target, and those whose connection was lost: these ran when the target crashed, if it
 //! did.
 //!
-//! An answer may be lost while the target stays up. A target that crashes interrupts all of its calls, so interrupted
+//! A response may be lost while the target stays up. A target that crashes interrupts all of its calls, so interrupted
 //! calls are retained until the target's state is known.
 
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
         id
     }
 
-    /// Records that the target has answered: it has survived this call, and whatever was interrupted before the call
+    /// Records that the target has responded: it has survived this call, and whatever was interrupted before the call
     /// began. Returns the call's signature.
     pub fn completed(&mut self, id: RunId) -> Option<RequestSignature> {
         let run = self.running.remove(&id)?;
@@ -74,7 +74,7 @@
         Some(run.signature)
     }
 
-    /// Records that the call's connection to `target` was lost before the end of the answer.
+    /// Records that the call's connection to `target` was lost before the end of the response.
     pub fn connection_lost(&mut self, id: RunId, target: Option<TargetId>, now: Timestamp) {
         let Some(run) = self.running.remove(&id) else { return };
         if self.interrupted.is_empty() {
--- a/crates/mesh/src/replica.rs
+++ b/crates/mesh/src/replica.rs
@@ -1,12 +1,12 @@
 //! A node's replica of the platform's store, and the differences between two positions of it.
 //!
 //! Few nodes read the store; the others receive its changes from them. So besides the list of targets that a node works
-//! with, it keeps the contents of the store with the revision of each entry, and for some time also the entries that
+//! with, it stores the contents of the store with the revision of each entry, and for some time also the entries that
 //! were removed. From that it computes what has changed since the position of another node, or sends everything.
 //!
-//! The store may be restored from an older copy. Its era is higher then, and its revisions start again from an earlier
-//! one. A position of a later era is later than any position of an earlier era, and differences are only computed
-//! within an era.
+//! The store may be restored from a backup. Its era is higher then, and its revisions start again from an earlier one.
+//! A position of a later era is later than any position of an earlier era, and differences are only computed within an
+//! era.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 /// The state of the store that a view of it has reached; the default is before any state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// Increases whenever the store is restored from an older copy.
+    /// Increases whenever the store is restored from a backup.
     pub era: u64,
     /// Increases with each change within an era.
     pub revision: u64,
@@ -94,7 +94,7 @@
 pub struct AppliedUpdate {
     /// The changes that are new to the replica, in order.
     pub changes: Vec<Change>,
-    /// Whether the store was restored from an older copy.
+    /// Whether the store was restored from a backup.
     pub is_new_era: bool,
 }
 
@@ -256,8 +256,8 @@
                 return false;
             }
             if write_order < entry.registration.write_order() {
-                // A late write from before a restart of the target, or from an older copy of the store: the known entry
-                // is newer.
+                // A late write from before a restart of the target, or from a backup of the store: the known entry is
+                // newer.
                 entry.revision = revision;
                 return false;
             }
--- a/crates/mesh/src/store_reader.rs
+++ b/crates/mesh/src/store_reader.rs
@@ -1,9 +1,9 @@
 //! Which read of the platform's store is next, and how long to wait before it.
 //!
 //! A node lists and watches: it reads everything once, and then only the changes after the revision that it has
-//! reached. The first list may come from a stale copy of the store, which costs a tenth of a current one; the following
-//! watch returns what the copy lacked. After an outage the watch continues from the same revision. Everything is listed
-//! again only if the store no longer has the changes in between.
+//! reached. The first list may come from a lagging replica of the store, which costs a tenth of a current list; the
+//! following watch returns what that replica lacked. After an outage the watch continues from the same revision.
+//! Everything is listed again only if the store no longer has the changes in between.
 
 use std::time::Duration;
 
@@ -31,13 +31,13 @@
 /// The maximum timeout of a watch as a fraction of the bound on revocation, if there is one. All nodes depend on what
 /// the readers know, which may be as old as two watches and a [`Bounds::batch_window`].
 const REVOCATION_WATCH_TIMEOUT_FRACTION: f64 = 0.15;
-/// How late a target's registration may be, beyond one heartbeat, after the store was restored from an older copy.
+/// How late a target's registration may be, beyond one heartbeat, after the store was restored from a backup.
 const REREGISTRATION_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// The next read of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextRead {
-    /// Lists everything, from a copy that may lag behind the store.
+    /// Lists everything, from a replica that may lag behind the store.
     StaleList,
     /// Lists everything in its current state.
     List,
@@ -93,8 +93,8 @@
     bounds.recovery.mul_f64(WATCH_TIMEOUT_FRACTION).min(for_revocation)
 }
 
-/// How long targets that an older copy of the store lacks, since they were registered after it was made, may take to be
-/// registered again after the store was restored from that copy.
+/// How long targets that a backup of the store lacks, since they were registered after it was made, may take to be
+/// registered again after the store was restored from it.
 pub fn reregistration_timeout_after_restore(bounds: &Bounds) -> Duration {
     REREGISTRATION_TIMEOUT.max(bounds.heartbeat + REREGISTRATION_TOLERANCE)
 }
--- a/crates/mesh/src/targets/mod.rs
+++ b/crates/mesh/src/targets/mod.rs
@@ -26,11 +26,12 @@
     partitioned: HashMap<IpAddr, Timestamp>,
     /// Targets that were recently removed, and when.
     recently_removed: VecDeque<(Timestamp, Arc<Target>)>,
-    /// Superseded targets whose registrations recently ended, and when.
+    /// Superseded targets whose registrations were recently removed, and when.
     recently_ended: VecDeque<(Timestamp, TargetId)>,
 }
 
-/// The minimum share of all targets that must be missing at once for the store's list to be suspicious.
+/// The minimum share of all targets that must be missing at once for the store's list to be suspicious: it may have
+/// lost entries of targets that still serve.
 const MIN_SUSPICIOUS_SHARE: f64 = 0.3;
 /// The minimum number of targets that must be missing at once for the store's list to be suspicious.
 const MIN_SUSPICIOUS_COUNT: usize = 2;
