--- a/crates/mesh/src/feed/schedule.rs
+++ b/crates/mesh/src/feed/schedule.rs
@@ -21,7 +21,8 @@
 const PROPAGATION_RESERVE: Duration = Duration::from_millis(500);
 /// The minimum timeout of a watch, also where the bounds leave less time: each watch is a call that costs money.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// The base of the pause after a read in which a node has found no other node; it doubles with each such read.
+/// The base of the pause after a read in which a node has found no target in the store, neither its own nor another; it
+/// doubles with each such read.
 const SOLO_READ_PAUSE: Duration = Duration::from_millis(400);
 /// The number of such reads after which the node assumes that it is the only one and acts as a reader.
 const MAX_SOLO_READS: u32 = 4;
@@ -53,7 +54,8 @@
     OnChange,
 }
 
-/// How often a node has read the store without finding another node in it, and when it last did.
+/// How often a node has read the store without finding any target in it, neither its own nor another, and when it last
+/// did.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SoloReads {
     count: u32,
@@ -110,7 +112,7 @@
     pub store_read_at: Option<Timestamp>,
     /// Whether none of its candidates responds.
     pub is_isolated: bool,
-    /// The reads in which it found no other node.
+    /// The reads in which it found no target in the store.
     pub solo_reads: SoloReads,
     /// The time until it must renew its proof that the configuration is recent ([`crate::freshness`]), if there is a
     /// bound on revocation.
--- a/crates/mesh/src/replica.rs
+++ b/crates/mesh/src/replica.rs
@@ -1,7 +1,7 @@
 //! A node's replica of the platform's store, and the differences between two positions of it.
 //!
 //! Few nodes read the store; the others receive its changes from them. So besides the list of targets that a node works
-//! with, it stores the contents of the store with the revision of each entry, and for some time also the entries that
+//! with, it holds the contents of the store with the revision of each entry, and for some time also the entries that
 //! were removed. From that it computes what has changed since the position of another node, or sends everything.
 //!
 //! The store may be restored from a backup. Its era is higher then, and its revisions start again from an earlier one.
--- a/crates/sidecar/src/caller_io.rs
+++ b/crates/sidecar/src/caller_io.rs
@@ -40,7 +40,7 @@
 struct Shared {
     stream: RefCell<TcpStream>,
     split: RefCell<SplitState>,
-    ahead: RefCell<Vec<u8>>,
+    read_ahead: RefCell<Vec<u8>>,
     closed: Cell<bool>,
     last_read: Cell<Instant>,
 }
@@ -57,7 +57,7 @@
         CallerIo(Rc::new(Shared {
             stream: RefCell::new(stream),
             split: RefCell::new(SplitState { is_off: !splits_requests, ..SplitState::default() }),
-            ahead: RefCell::default(),
+            read_ahead: RefCell::default(),
             closed: Cell::new(false),
             last_read: Cell::new(Instant::now()),
         }))
@@ -66,8 +66,8 @@
     /// The next request that was read ahead and has not been returned before.
     pub fn next_pipelined_request(&self) -> Option<Box<Parts>> {
         let mut split = self.0.split.borrow_mut();
-        let ahead = self.0.ahead.borrow();
-        let rest = &ahead[split.found..];
+        let read_ahead = self.0.read_ahead.borrow();
+        let rest = &read_ahead[split.found..];
         if split.is_off || rest.is_empty() {
             return None;
         }
@@ -97,10 +97,10 @@
 
     /// The number of bytes at the front of the buffer that hyper may read now.
     fn available(&self) -> usize {
-        let ahead = self.0.ahead.borrow().len();
+        let read_ahead = self.0.read_ahead.borrow().len();
         let mut split = self.0.split.borrow_mut();
         if split.is_off && split.lengths.is_empty() && split.released == 0 {
-            return ahead;
+            return read_ahead;
         }
         if split.released == 0 {
             split.released = split.lengths.pop_front().unwrap_or(0);
@@ -118,7 +118,7 @@
     /// Whether a request has arrived in part. hyper does not get it before its head is complete.
     pub fn has_partial_request(&self) -> bool {
         let split = self.0.split.borrow();
-        !split.is_off && self.0.ahead.borrow().len() > split.found
+        !split.is_off && self.0.read_ahead.borrow().len() > split.found
     }
 
     /// Writes bytes if the connection accepts them without waiting. hyper must have nothing to write.
@@ -140,7 +140,7 @@
             if shared.closed.get() {
                 return Poll::Ready(());
             }
-            if shared.ahead.borrow().len() >= MAX_READ_AHEAD_BYTES {
+            if shared.read_ahead.borrow().len() >= MAX_READ_AHEAD_BYTES {
                 return Poll::Pending;
             }
             let mut buffer = ReadBuf::new(&mut storage);
@@ -148,7 +148,7 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
                     shared.last_read.set(Instant::now());
-                    shared.ahead.borrow_mut().extend_from_slice(buffer.filled());
+                    shared.read_ahead.borrow_mut().extend_from_slice(buffer.filled());
                 }
                 Poll::Ready(_) => shared.closed.set(true),
             }
@@ -160,10 +160,10 @@
     /// Discards all bytes that arrive. Ready once the caller has closed the connection.
     pub fn poll_discard(&self, context: &mut Context<'_>) -> Poll<()> {
         loop {
-            self.0.ahead.borrow_mut().clear();
+            self.0.read_ahead.borrow_mut().clear();
             self.0.split.borrow_mut().is_off = true;
             let polled = self.poll_closed(context);
-            if polled.is_ready() || self.0.ahead.borrow().is_empty() {
+            if polled.is_ready() || self.0.read_ahead.borrow().is_empty() {
                 return polled;
             }
         }
@@ -184,11 +184,11 @@
                 return polled.map(Ok);
             }
         }
-        let mut ahead = self.0.ahead.borrow_mut();
+        let mut read_ahead = self.0.read_ahead.borrow_mut();
         let count = available.min(buffer.remaining());
-        buffer.put_slice(&ahead[..count]);
-        ahead.drain(..count);
-        drop(ahead);
+        buffer.put_slice(&read_ahead[..count]);
+        read_ahead.drain(..count);
+        drop(read_ahead);
         self.consume(count);
         Poll::Ready(Ok(()))
     }
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -38,9 +38,9 @@
 /// The minimum admission level of a route, as a share of the priorities, at which its service has spare capacity. A
 /// call that takes long is then slow because of its target, and one more attempt does not add to an overload.
 const SPARE_CAPACITY_MIN_LEVEL: f64 = 0.95;
-/// How many mean response times of the route must remain until the deadline for a slow attempt to be abandoned for
-/// another target.
-const MIN_MEAN_TIMES_LEFT: u32 = 2;
+/// The minimum time until the deadline for a slow attempt to be abandoned for another target, as a multiple of the mean
+/// response time of the route.
+const MIN_REMAINING_FACTOR: u32 = 2;
 
 /// The retry delay of a quarantined request if the gate's response has no valid `Retry-After` header.
 const DEFAULT_QUARANTINE_DELAY: Duration = Duration::from_secs(60);
@@ -137,7 +137,7 @@
             node.load_balancer.borrow_mut().record_unfinished(&target.id, &call.route.name, now.since(started), now);
             return Attempt::Abandoned;
         }
-        Exchanged::Unresponsive => return Attempt::NoResponse("node did not answer the liveness probe".to_owned()),
+        Exchanged::Unresponsive => return Attempt::NoResponse("node did not respond to the liveness probe".to_owned()),
         Exchanged::Failed(ExchangeError::ConnectionRefused | ExchangeError::NotSent(_)) => {
             return Attempt::NotRun("unreachable")
         }
@@ -213,7 +213,7 @@
     Failed(ExchangeError),
     /// The call's deadline has passed.
     DeadlineExceeded,
-    /// The node did not answer the liveness probe. Only for calls that may be retried.
+    /// The node did not respond to the liveness probe. Only for calls that may be retried.
     Unresponsive,
     /// The node is alive but slow, and the attempt was abandoned. Only for calls that may be retried.
     Abandoned,
@@ -238,7 +238,7 @@
         && !node.is_stopping()
         && call.is_nested
         && node.admission_levels.borrow().level(&call.route.name, now).priority_share() >= SPARE_CAPACITY_MIN_LEVEL
-        && now.until(call.deadline) >= mean * MIN_MEAN_TIMES_LEFT
+        && now.until(call.deadline) >= mean * MIN_REMAINING_FACTOR
 }
 
 /// Waits for a response until the call's deadline. Ends earlier if the target's node fails the liveness probe, or if
--- a/crates/sidecar/src/edge/entry.rs
+++ b/crates/sidecar/src/edge/entry.rs
@@ -26,10 +26,10 @@
     match origin {
         _ if !node.is_enabled(Mechanism::InheritedPriority) => new_root,
         CallOrigin::KnownParent(_, inherited) => inherited.clone(),
-        CallOrigin::UnknownParent(Some(likely)) => InheritedContext {
-            priority: likely.priority,
-            is_retry: node.random.borrow_mut().gen_bool(likely.retry_share.min(1.0)),
-            admitted_permille: likely.admitted_permille,
+        CallOrigin::UnknownParent(Some(estimate)) => InheritedContext {
+            priority: estimate.priority,
+            is_retry: node.random.borrow_mut().gen_bool(estimate.retry_share.min(1.0)),
+            admitted_permille: estimate.admitted_permille,
             ..new_root
         },
         CallOrigin::UnknownParent(None) | CallOrigin::Caller => new_root,
@@ -67,8 +67,9 @@
     body: Option<&Incoming>,
 ) -> Option<StatusCode> {
     let limits = &configuration.limits;
-    let head: usize = parts.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
-    if head + parts.uri.path().len() > limits.header_bytes {
+    // Each header line has four more bytes: the colon, a space and the line break.
+    let head_bytes: usize = parts.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
+    if head_bytes + parts.uri.path().len() > limits.header_bytes {
         return Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     }
     let length = body.and_then(|body| body.size_hint().exact());
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! The edge: accepts calls from callers and from this node's own target, and returns the responses.
+//! The edge: accepts calls from callers and from the local target, and returns the responses.
 
 mod attempt;
 mod entry;
@@ -47,7 +47,7 @@
     pub(super) method: Method,
     pub(super) uri: hyper::Uri,
     pub(super) headers: HeaderMap,
-    /// Whether this node's target makes the call while it serves another one. Otherwise it is a root call.
+    /// Whether the local target makes the call while it serves another one. Otherwise it is a root call.
     pub(super) is_nested: bool,
     pub(super) inherited: InheritedContext,
     /// The tenant that sends the call, if any.
--- a/crates/sidecar/src/edge/responses.rs
+++ b/crates/sidecar/src/edge/responses.rs
@@ -18,8 +18,8 @@
 /// late: on two days with a shortage of 18 s the score was 0.745 instead of 0.754 and 0.730 instead of 0.735.
 const RETRY_AFTER_FRACTION: std::ops::Range<f64> = 0.15..0.4;
 
-/// The final response to a call that no target has answered. If the call has not run, the response tells its caller to
-/// retry after `retry_after`.
+/// The final response to a call that no target has responded to. If the call has not run, the response tells its caller
+/// to retry after `retry_after`.
 pub(super) fn give_up(
     node: &Node,
     call: &Call,
--- a/crates/sidecar/src/edge/run.rs
+++ b/crates/sidecar/src/edge/run.rs
@@ -88,12 +88,12 @@
         let runs_once = call.route.retryability == Retryability::AtMostOnce;
         if runs_once && !liveness::is_live_now(node, &target).await {
             node.log_failure(|| {
-                failed_attempt_line(&call, &target, "node did not answer the liveness probe; not sent")
+                failed_attempt_line(&call, &target, "node did not respond to the liveness probe; not sent")
             });
             progress.tried.push(target.id.clone());
             continue;
         }
-        let Some(sent) = body.as_ref().and_then(Body::clone_if_buffered).or_else(|| body.take()) else {
+        let Some(attempt_body) = body.as_ref().and_then(Body::clone_if_buffered).or_else(|| body.take()) else {
             return give_up(&call, &progress, "body-gone");
         };
         let may_abandon = || {
@@ -103,9 +103,9 @@
                 && should_abandon(node, &call)
                 && node.try_retry(&service)
         };
-        let ended = attempt(node, &call, &target, sent, may_abandon).await;
+        let outcome = attempt(node, &call, &target, attempt_body, may_abandon).await;
         progress.tried.push(target.id.clone());
-        match ended {
+        match outcome {
             Attempt::Response(response) => {
                 record_response(node, &call, &target, &response, progress.tried.len());
                 return *response;
@@ -129,7 +129,7 @@
                 if !node.try_retry(&service) {
                     return give_up(&call, &progress, "rejected");
                 }
-                note_retry(node, &mut call);
+                record_retry(node, &mut call);
             }
             // The other gates of the service have the same quarantine entries.
             Attempt::Quarantined(retry_after) => return give_up_with(&call, &progress, "quarantined", retry_after),
@@ -139,13 +139,13 @@
                 if !progress.may_retry(&call) || !node.try_retry(&service) {
                     return give_up(&call, &progress, "broken");
                 }
-                note_retry(node, &mut call);
+                record_retry(node, &mut call);
             }
             Attempt::Abandoned => {
                 // The retry was taken from the budget when the attempt was abandoned.
                 node.log_failure(|| failed_attempt_line(&call, &target, "target is slow; trying another one"));
                 progress.runs += 1;
-                note_retry(node, &mut call);
+                record_retry(node, &mut call);
             }
             Attempt::DeadlineExceeded => {
                 progress.runs += 1;
@@ -159,11 +159,11 @@
     let targets = node.targets.borrow();
     let members = targets.of_service(service);
     let mut random = node.random.borrow_mut();
-    let balance = node.load_balancer.borrow();
+    let load_balancer = node.load_balancer.borrow();
     let now = node.now();
     let response_time = call.route.latency_objective.min(now.until(call.deadline));
-    let zone_preference = balance.zone_preference(&node.settings.zone, &call.route.name, response_time);
-    balance.choose(members, tried, zone_preference, now, &mut *random)
+    let zone_preference = load_balancer.zone_preference(&node.settings.zone, &call.route.name, response_time);
+    load_balancer.choose(members, tried, zone_preference, now, &mut *random)
 }
 
 /// Whether the service has another target that is not draining and was not tried yet.
@@ -179,12 +179,12 @@
 }
 
 /// Counts a retry and marks the call as one, so that the calls nested in it count as retries too.
-fn note_retry(node: &Node, call: &mut Call) {
+fn record_retry(node: &Node, call: &mut Call) {
     call.inherited.is_retry = true;
     Counters::increment(&node.counters.retries);
 }
 
-/// Counts and logs a call that a target has answered.
+/// Counts and logs a call that a target has responded to.
 fn record_response(node: &Node, call: &Call, target: &Target, response: &Response<Body>, tried: usize) {
     let took = node.now().since(call.arrived);
     node.counters.count_edge_call("answered", took);
--- a/crates/sidecar/src/edge/sender.rs
+++ b/crates/sidecar/src/edge/sender.rs
@@ -34,13 +34,13 @@
 }
 
 impl CallerEvidence<'_> {
-    /// Whether the call comes from this node's machine, on which its target runs.
+    /// Whether the call comes from this node's machine, on which the local target runs.
     fn is_local(&self, node: &Node) -> bool {
         self.peer.ip() == node.settings.local_target.ip()
     }
 }
 
-/// Authenticates the sender of a call: a tenant, this node's target, or anyone.
+/// Authenticates the sender of a call: a tenant, the local target, or anyone.
 ///
 /// # Errors
 ///
@@ -54,7 +54,7 @@
 ) -> Result<Sender, Denial> {
     let mut keys = evidence.headers.get_all(headers::API_KEY).iter();
     let (key, has_more) = (keys.next(), keys.next().is_some());
-    // No tenant holds two keys at once: a call with more than one is checked with an empty key.
+    // No tenant sends several keys in one call, so such a call is checked with an empty key, which no tenant has.
     let key = key.map(|key| if has_more { b"".as_slice() } else { key.as_bytes() });
     let may_be_target = key.is_none()
         && evidence.is_local(node)
@@ -95,8 +95,8 @@
 /// Returns when to retry if the call exceeds the limit.
 pub(super) fn check_limit(node: &Node, tenant: Option<&Tenant>, now: Timestamp) -> Result<(), OverLimit> {
     let Some(tenant) = tenant else { return Ok(()) };
-    let draw = node.random.borrow_mut().gen();
-    node.tenancy.admit(tenant, draw, now)
+    let random = node.random.borrow_mut().gen();
+    node.tenancy.admit(tenant, random, now)
 }
 
 /// The response to a call that exceeds its tenant's rate limit.
@@ -118,7 +118,7 @@
     refuse_with_status(node, StatusCode::TOO_MANY_REQUESTS, id, "over-limit", retry_after, now)
 }
 
-/// The origin of a call. A call of this node's target is recorded in the call graph.
+/// The origin of a call. A call of the local target is recorded in the call graph.
 pub(super) fn origin_of(
     node: &Node,
     route: &Route,
@@ -129,20 +129,20 @@
     let Some(time_left) = evidence.time_left.filter(|_| evidence.is_local(node)) else { return CallOrigin::Caller };
     let origin = {
         let graph = node.call_graph.borrow();
-        let rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
-        let mut parents = node.parent_tracker.borrow_mut();
+        let call_rate = |parent: &Arc<str>| graph.call_rate(parent, &route.name);
+        let mut tracker = node.parent_tracker.borrow_mut();
         match sender {
             Sender::Tenant(_) => CallOrigin::Caller,
-            Sender::Target => parents.target_call_origin(&route.name, time_left, now, rate),
-            Sender::Anyone => parents.origin(&route.name, time_left, now, rate),
+            Sender::Target => tracker.target_call_origin(&route.name, time_left, now, call_rate),
+            Sender::Anyone => tracker.origin(&route.name, time_left, now, call_rate),
         }
     };
     match &origin {
         CallOrigin::KnownParent(parent, _) => {
             node.call_graph.borrow_mut().record_call(&route.name, [(parent, 1.0)], now)
         }
-        CallOrigin::UnknownParent(Some(likely)) => {
-            let parents = likely.parent_routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
+        CallOrigin::UnknownParent(Some(estimate)) => {
+            let parents = estimate.parent_routes.iter().map(|(parent, likelihood)| (parent, *likelihood));
             node.call_graph.borrow_mut().record_call(&route.name, parents, now);
         }
         CallOrigin::UnknownParent(None) | CallOrigin::Caller => {}
--- a/crates/sidecar/src/feed/mod.rs
+++ b/crates/sidecar/src/feed/mod.rs
@@ -1,8 +1,8 @@
 //! Replicates changes of the platform's store between nodes: receives them from another node and serves them to others.
 //!
 //! [`quillhatch_mesh::feed`] decides which node queries which, [`quillhatch_mesh::replica`] what an update contains. A
-//! node queries one other node at a time with a long poll, which is answered when something has changed. So a change
-//! travels down the tree in a few round trips, and a queried node keeps no state about the nodes that query it.
+//! node queries one other node at a time with a long poll, which ends when something has changed. So a change travels
+//! down the tree in a few round trips, and a queried node keeps no state about the nodes that query it.
 
 mod codec;
 mod query;
@@ -42,21 +42,21 @@
 /// The maximum pause after all candidates have failed, as a fraction of the hold time of a query.
 const ROUND_PAUSE_FRACTION: f64 = 0.5;
 
-/// A node's state in the feed and its path to the store, which is direct or over other nodes.
+/// A node's state in the feed and its access to the store, which is direct or through other nodes.
 #[derive(Default)]
 pub struct FeedState {
     /// Its role in the feed tree: the nodes that it may query, and whether it reads the store.
     pub role: RefCell<FeedRole>,
     /// Notified when the role changes or the store must be probed.
     pub role_changed: Notify,
-    /// Since when it has no path to the store.
+    /// Since when it has no access to the store.
     pub store_loss: Cell<StoreAccessLoss>,
     /// Whether none of the other nodes that it may query has responded at all.
     pub is_isolated: Cell<bool>,
     /// When the store was last read, by this node or by a node upstream of it.
     pub store_read_at: Cell<Option<Timestamp>>,
-    /// Notified when the position advances or the path to the store is lost or regained. Wakes the held queries of
-    /// other nodes and the task that waits for its turn to read the store.
+    /// Notified when the position advances or the access to the store is lost or regained. Wakes the held queries of
+    /// other nodes and the task that waits until a read of the store is due.
     pub view_changed: Notify,
     /// The latest position that another node has reported beyond this node's, and the node's address.
     pub latest_peer_position: Cell<Option<(Position, IpAddr)>>,
@@ -113,8 +113,8 @@
             continue;
         };
         let peer = candidate.machine;
-        let can_wait = !choice.is_searching() && node.position().is_known();
-        let hold = if can_wait {
+        let can_hold = !choice.is_searching() && node.position().is_known();
+        let hold = if can_hold {
             long_poll_timeout(node.feed.role.borrow().is_head, &node.settings.bounds)
         } else {
             Duration::ZERO
@@ -170,7 +170,7 @@
     verdict
 }
 
-/// Records that the node queried at `queried_at` is unusable. Unless this node reads the store itself, it has no path
+/// Records that the node queried at `queried_at` is unusable. Unless this node reads the store itself, it has no access
 /// to the store until it finds another source.
 fn record_source_failure(node: &Node, queried_at: Timestamp) {
     if !reads_store(node) {
--- a/crates/sidecar/src/feed/query.rs
+++ b/crates/sidecar/src/feed/query.rs
@@ -1,4 +1,4 @@
-//! Queries another node for changes of the platform's store, and applies its answer.
+//! Queries another node for changes of the platform's store, and applies its response.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -35,10 +35,10 @@
     /// The other node has no data or is stopping.
     #[display("status {_0}")]
     Status(StatusCode),
-    /// The answer can't be decoded.
-    #[display("the answer can't be decoded")]
+    /// The response can't be decoded.
+    #[display("the response can't be decoded")]
     Undecodable,
-    /// The update in the answer is malformed.
+    /// The update in the response is malformed.
     #[display("{_0}")]
     Malformed(MalformedUpdate),
     /// The update can't be applied to this node's replica.
@@ -58,11 +58,11 @@
     Unregistered,
 }
 
-/// Queries the node at `peer` and applies its answer.
+/// Queries the node at `peer` and applies its response.
 pub(super) async fn query(node: &Rc<Node>, peer: IpAddr, requested: Requested) -> Result<SourceStatus, QueryError> {
     let sent = node.now();
-    let answer = exchange(node, peer, requested).await?;
-    if let Some(update) = &answer.update {
+    let response = exchange(node, peer, requested).await?;
+    if let Some(update) = &response.update {
         let update = decode_update(update).map_err(QueryError::Malformed)?;
         // This node may have read a lagging replica of the store itself; the other node has had the time to catch up.
         node.targets_known.set(true);
@@ -72,16 +72,16 @@
             Err(error) => return Err(QueryError::Update(error)),
         }
     }
-    retain_unregistered(node, &answer.kept);
-    if let Some(proof) = &answer.proof {
+    retain_unregistered(node, &response.kept);
+    if let Some(proof) = &response.proof {
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
         node.tenancy.record_replica_proof(proof, &node.configuration.borrow(), sent);
     }
-    let lost_for = Duration::from_millis(answer.lost_ms);
+    let lost_for = Duration::from_millis(response.lost_ms);
     let now = node.now();
     let lost_since =
-        (answer.lost_ms > 0).then(|| Timestamp::ZERO + now.since(Timestamp::ZERO).saturating_sub(lost_for));
-    Ok(SourceStatus { store_read_at: store_read_at(sent, answer.read_ms), lost_since })
+        (response.lost_ms > 0).then(|| Timestamp::ZERO + now.since(Timestamp::ZERO).saturating_sub(lost_for));
+    Ok(SourceStatus { store_read_at: store_read_at(sent, response.read_ms), lost_since })
 }
 
 /// Converts the age of a store read, `age_ms` before this node's query arrived at the other node, to this node's clock.
@@ -134,6 +134,6 @@
         }
         decode(&bytes).map_err(|_| QueryError::Undecodable)
     };
-    let limit = response_timeout(hold, &node.settings.bounds);
-    timeout(limit, exchange).await.unwrap_or(Err(QueryError::TimedOut))
+    let time_limit = response_timeout(hold, &node.settings.bounds);
+    timeout(time_limit, exchange).await.unwrap_or(Err(QueryError::TimedOut))
 }
--- a/crates/sidecar/src/feed/serve.rs
+++ b/crates/sidecar/src/feed/serve.rs
@@ -38,7 +38,7 @@
     let from = query.position.as_ref().map(decode_position).unwrap_or_default();
     let hold = Duration::from_millis(u64::from(query.hold_ms)).min(long_poll_timeout(false, &node.settings.bounds));
     if node.position().is_known() && !node.is_stopping() {
-        // If the hold time ends first there are no changes, and the answer says so.
+        // If the hold time ends first there are no changes, and the response says so.
         let _ = timeout(hold, advance_beyond(node, from)).await;
     }
     if !node.position().is_known() || node.is_stopping() {
@@ -59,8 +59,8 @@
     response
 }
 
-/// Waits until this node's replica is beyond `from`, or the node is known to have no path to the store. A query that
-/// arrived before the loss is held while the node searches another path, since it mostly finds one at once.
+/// Waits until this node's replica is beyond `from`, or the node is known to have no access to the store. A query that
+/// arrived before the loss is held while the node searches for another source, since it mostly finds one immediately.
 async fn advance_beyond(node: &Node, from: Position) {
     if node.feed.store_loss.get().since().is_some() {
         return;
@@ -79,7 +79,7 @@
     let lost_ms = node.feed.store_loss.get().since().map_or(0, |since| now.since(since).as_millis().max(1) as u64);
     let read_at = node.feed.store_read_at.get().unwrap_or_default();
     let proof = node.tenancy.replica_proof(&node.configuration.borrow(), arrived);
-    let answer = wire::ReplicaAnswer {
+    let response = wire::ReplicaAnswer {
         update: encoded_update(node, from),
         lost_ms,
         read_ms: age_at(arrived, read_at),
@@ -87,7 +87,7 @@
         proof: proof
             .map(|proof| wire::ReplicaProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms }),
     };
-    encode(&answer).into()
+    encode(&response).into()
 }
 
 /// The targets that run without a registration: those that the list retains, and the local target if this node is
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -1,4 +1,4 @@
-//! The gate: accepts calls of other nodes for this node's target, and admits as many as the target has slots for.
+//! The gate: accepts calls of other nodes for the local target, and admits as many as the target has slots for.
 
 mod retained_target;
 mod slots;
@@ -170,7 +170,7 @@
     }
 }
 
-/// Why the gate has no response of the target.
+/// Why the gate has no response from the target.
 struct Failure {
     outcome: GateOutcome,
     why: String,
@@ -260,7 +260,7 @@
             slot.connection_lost();
             return Err(Failure::new(GateOutcome::NoResponse, format!("{why}, signature {}", signature.narrow)));
         }
-        Ok(Ok(answered)) => answered,
+        Ok(Ok(exchanged)) => exchanged,
     };
     let is_of_this_call = response.headers().get(headers::REQUEST_ID) == call.id.as_ref();
     if !is_of_this_call {
@@ -275,8 +275,8 @@
         let _ = relay_response(response, lease).await;
         return Err(Failure::new(GateOutcome::Rejected, format!("target refused the call with status {status}")));
     }
-    let is_signed = response.headers().contains_key(headers::SERVER_STAMP);
-    if response.status().is_success() && (!is_signed || response.headers().contains_key(CONTENT_ENCODING)) {
+    let has_stamp = response.headers().contains_key(headers::SERVER_STAMP);
+    if response.status().is_success() && (!has_stamp || response.headers().contains_key(CONTENT_ENCODING)) {
         return Err(Failure::new(GateOutcome::NoResponse, "response is encoded or has no server stamp"));
     }
     let relayed = node
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -20,7 +20,7 @@
 pub struct Slot {
     node: Rc<Node>,
     route: Option<Arc<str>>,
-    running: Option<RunningCallId>,
+    running_call: Option<RunningCallId>,
     run: Option<RunId>,
     acquired_at: Timestamp,
 }
@@ -30,18 +30,18 @@
         if let Some(route) = &route {
             node.call_graph.borrow_mut().call_started(route, node.now());
         }
-        Slot { node: Rc::clone(node), route, running: None, run: None, acquired_at: node.now() }
+        Slot { node: Rc::clone(node), route, running_call: None, run: None, acquired_at: node.now() }
     }
 
     /// Records that the call is sent to the target with `deadline`.
     pub(super) fn start_run(&mut self, deadline: Timestamp, inherited: InheritedContext, signature: RequestSignature) {
         self.run = Some(self.node.run_tracker.borrow_mut().begin(signature, self.node.now()));
         if let Some(route) = self.route.clone() {
-            self.running = Some(self.node.parent_tracker.borrow_mut().call_started(deadline, route, inherited));
+            self.running_call = Some(self.node.parent_tracker.borrow_mut().call_started(deadline, route, inherited));
         }
     }
 
-    /// Releases the slot after a complete response of the target.
+    /// Releases the slot after a complete response from the target.
     pub fn complete(mut self) {
         if let Some(run) = self.run.take() {
             let signature = self.node.run_tracker.borrow_mut().completed(run);
@@ -66,12 +66,12 @@
         if let Some(run) = self.run.take() {
             self.node.run_tracker.borrow_mut().abandoned(run);
         }
-        if let Some(running) = self.running.take() {
+        if let Some(running_call) = self.running_call.take() {
             let held_for = self.node.now().since(self.acquired_at);
             if let Some(route) = &self.route {
                 self.node.capacity.borrow_mut().record_slot_time(route, held_for, self.node.now());
             }
-            self.node.parent_tracker.borrow_mut().call_ended(running);
+            self.node.parent_tracker.borrow_mut().call_ended(running_call);
         }
         if let Some(route) = &self.route {
             self.node.call_graph.borrow_mut().call_ended(route, self.node.now());
@@ -182,11 +182,11 @@
     let position = if orders_by_root { position } else { 0 };
     let priority = if node.is_enabled(Mechanism::GatePriority) { priority } else { 0 };
     let rank = Rank { priority, is_root: context.is_root, position };
-    let (arrival, displaced) = node.gate.borrow_mut().admit(rank, context.max_wait, now);
+    let (decision, displaced) = node.gate.borrow_mut().admit(rank, context.max_wait, now);
     if let Some(ticket) = displaced {
         refuse_waiting(node, ticket);
     }
-    match arrival {
+    match decision {
         GateDecision::Runs => Ok(Slot::new(node, call.route.clone())),
         GateDecision::Refused(refusal) => {
             record_refusal(node, context, refusal);
--- a/crates/sidecar/src/gate/target_crash.rs
+++ b/crates/sidecar/src/gate/target_crash.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Clears requests of this signature in the quarantine, since the target has answered one.
+/// Clears requests of this signature in the quarantine, since the target has completed one.
 pub(super) fn request_completed(node: &Node, signature: &RequestSignature) {
     if !node.is_enabled(Mechanism::Quarantine) {
         return;
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -87,7 +87,7 @@
 /// How a call ended at a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateOutcome {
-    /// The target answered the call; the response is the target's.
+    /// The target has responded; the response is the target's.
     Answered,
     /// The call has not run: the gate had no slot for it in time.
     Full,
@@ -156,9 +156,9 @@
     /// The admission level of the call's route: the lowest of the gate's own and of the routes that the route calls.
     /// Edges apply it to root calls.
     pub admission_level: AdmissionLevel,
-    /// The share of the target's responses that are successful.
+    /// The share of the target's responses that are good ([`quillhatch_mesh::health`]).
     pub health: f64,
-    /// Whether targets or callers call the route.
+    /// The kinds of clients that call the route.
     pub caller_kind: CallerKind,
     /// The gate's view of the store.
     pub store_view: StoreView,
--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -1,8 +1,8 @@
 //! Exchanges usage reports for tenants' rate limits between nodes and their coordinator, in datagrams.
 //! `quillhatch_mesh::limits` makes the decisions.
 //!
-//! The answer to a report also contains a proof of how recent the coordinator's configuration is, so that nodes without
-//! traffic receive one too.
+//! The response to a report also contains a proof of how recent the coordinator's configuration is, so that nodes
+//! without traffic receive one too.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -29,10 +29,10 @@
 /// The maximum number of tenants in one report, which keeps it well below the maximum datagram size. The busiest
 /// tenants have precedence.
 const MAX_REPORTED_TENANTS: usize = 1000;
-/// The maximum number of reports that await an answer; answers to older ones are ignored.
+/// The maximum number of reports that await a response; responses to older ones are ignored.
 const MAX_PENDING_REPORTS: usize = 4;
 
-/// Reports that were sent and are not answered yet.
+/// Reports that were sent and have no response yet.
 #[derive(Default)]
 struct PendingReports {
     /// The machine to which the last report was sent.
@@ -63,7 +63,7 @@
     }
 }
 
-/// Sends reports to the coordinator and answers the reports of other nodes until the process ends.
+/// Sends reports to the coordinator and responds to the reports of other nodes until the process ends.
 pub async fn exchange(node: Rc<Node>, socket: UdpSocket) {
     let mut pending = PendingReports::default();
     let mut choice = CoordinatorChoice::default();
@@ -172,7 +172,7 @@
     let Some(message) = datagrams::read::<wire::LimitMessage>(node, bytes, from) else { return };
     if let Some(report) = message.report {
         let shares = record_usages(node, &report, from.ip(), arrived);
-        send(node, socket, &answer(node, report.sequence, &shares, arrived), from.ip()).await;
+        send(node, socket, &usage_response(node, report.sequence, &shares, arrived), from.ip()).await;
         send_shares(node, socket, &shares, None, arrived).await;
     }
     if let Some(report) = message.surge_report {
@@ -183,14 +183,14 @@
         let shares: Vec<TenantShare> = update.shares.iter().filter_map(decode_share).collect();
         node.tenancy.limits.borrow_mut().apply_shares(&shares, arrived);
     }
-    let Some(answer) = message.answer else { return };
-    let Some(sent) = pending.remove(answer.sequence) else { return };
+    let Some(response) = message.answer else { return };
+    let Some(sent) = pending.remove(response.sequence) else { return };
     choice.record_response();
-    if !answer.settling {
-        let shares: Vec<TenantShare> = answer.shares.iter().filter_map(decode_share).collect();
+    if !response.settling {
+        let shares: Vec<TenantShare> = response.shares.iter().filter_map(decode_share).collect();
         node.tenancy.limits.borrow_mut().apply_shares(&shares, arrived);
     }
-    if let Some(proof) = answer.proof {
+    if let Some(proof) = response.proof {
         let proof = FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms };
         node.tenancy.record_peer_proof(proof, &node.configuration.borrow(), sent);
     }
@@ -215,22 +215,22 @@
     node.tenancy.coordinator.borrow_mut().apply_surge_report(&surges, limit_of, period, arrived)
 }
 
-/// The answer to a usage report.
-fn answer(node: &Node, sequence: u64, shares: &[TenantShare], arrived: Timestamp) -> wire::LimitMessage {
+/// The response to a usage report.
+fn usage_response(node: &Node, sequence: u64, shares: &[TenantShare], arrived: Timestamp) -> wire::LimitMessage {
     let period = report_period(node.tenancy.machine_count.get());
     let settling = !node.tenancy.coordinator.borrow().is_settled(period, arrived);
     let proof = node.tenancy.peer_proof(&node.configuration.borrow(), arrived);
-    let answer = wire::UsageAnswer {
+    let response = wire::UsageAnswer {
         sequence,
         shares: shares.iter().filter(|_| !settling).map(encode_share).collect(),
         settling,
         proof: proof
             .map(|proof| wire::FreshnessProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms }),
     };
-    wire::LimitMessage { answer: Some(answer), ..Default::default() }
+    wire::LimitMessage { answer: Some(response), ..Default::default() }
 }
 
-/// Sends the shares to the node that has reported a surge, and to all nodes if a share has fallen so steeply that they
+/// Sends the shares to the node that has reported a surge, and to all nodes if a share has dropped so steeply that they
 /// need it before their next reports.
 async fn send_shares(
     node: &Node,
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -127,7 +127,7 @@
 }
 
 /// Accepts connections and serves their requests with `handler`. Does not return.
-pub async fn serve<Handler, ResponseFuture>(listener: TcpListener, connections: ConnectionConfig, handler: Handler)
+pub async fn serve<Handler, ResponseFuture>(listener: TcpListener, config: ConnectionConfig, handler: Handler)
 where
     Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> ResponseFuture + Clone + 'static,
     ResponseFuture: Future<Output = Response<Body>> + 'static,
@@ -138,12 +138,12 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let connections = connections.clone();
+        let config = config.clone();
         let handler = handler.clone();
         tokio::task::spawn_local(async move {
-            let open = Rc::clone(&connections.open_connections);
+            let open = Rc::clone(&config.open_connections);
             open.set(open.get() + 1);
-            serve_connection(stream, peer, connections, handler).await;
+            serve_connection(stream, peer, config, handler).await;
             open.set(open.get() - 1);
         });
     }
@@ -152,19 +152,19 @@
 async fn serve_connection<Handler, ResponseFuture>(
     stream: TcpStream,
     peer: SocketAddr,
-    connections: ConnectionConfig,
+    config: ConnectionConfig,
     handler: Handler,
 ) where
     Handler: Fn(Parts, Option<Incoming>, SocketAddr) -> ResponseFuture + Clone + 'static,
     ResponseFuture: Future<Output = Response<Body>> + 'static,
 {
-    let io = CallerIo::new(stream, connections.concurrent_pipelining);
+    let io = CallerIo::new(stream, config.concurrent_pipelining);
     let watched = io.clone();
     let active = Rc::new(Cell::new(0_usize));
     let pipelined = Rc::new(PipelinedCalls::default());
     let is_closing = Rc::new(Cell::new(false));
-    let draining = Rc::clone(&connections.draining);
-    let (open, keep_alive_limit) = (Rc::clone(&connections.open_connections), connections.keep_alive_limit);
+    let draining = Rc::clone(&config.draining);
+    let (open, keep_alive_limit) = (Rc::clone(&config.open_connections), config.keep_alive_limit);
     let service = {
         let (handler, active, pipelined) = (handler.clone(), Rc::clone(&active), Rc::clone(&pipelined));
         let is_closing = Rc::clone(&is_closing);
@@ -182,7 +182,7 @@
                     None if is_ambiguous => refuse_ambiguous(),
                     None => handler(parts, Some(body), peer).await,
                 };
-                // Pipelined calls that were started are answered before the connection closes.
+                // The responses to pipelined calls that were started are written before the connection closes.
                 let closes = draining.get() || open.get() > keep_alive_limit;
                 if closes && pipelined.is_empty() {
                     is_closing.set(true);
@@ -199,9 +199,9 @@
     builder
         .auto_date_header(false)
         .pipeline_flush(false)
-        .max_buf_size((connections.limits)().header_bytes.max(8192) * HEAD_BUFFER_FACTOR);
+        .max_buf_size((config.limits)().header_bytes.max(8192) * HEAD_BUFFER_FACTOR);
     let mut connection = pin!(builder.serve_connection(io, service));
-    let mut shutdown = connections.shutdown.clone();
+    let mut shutdown = config.shutdown.clone();
     let mut is_shutting_down = false;
     let mut timeout_check = pin!(tokio::time::sleep(TIMEOUT_CHECK_INTERVAL));
     loop {
@@ -211,7 +211,7 @@
                 return Poll::Ready(());
             }
             if !is_closing.get() {
-                start_pipelined_calls(&watched, &pipelined, active.get(), &connections, &handler, peer);
+                start_pipelined_calls(&watched, &pipelined, active.get(), &config, &handler, peer);
             }
             connection.as_mut().poll(context).map(|_| ())
         });
@@ -220,14 +220,14 @@
             () = connection_ended => break,
             _ = shutdown.changed(), if !is_shutting_down => {
                 is_shutting_down = true;
-                // Pipelined calls have already been forwarded and must be answered; the last of their responses closes
+                // Pipelined calls have already been forwarded, so their responses must be written; the last one closes
                 // the connection.
                 if pipelined.is_empty() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
             () = &mut timeout_check => {
-                let limits = (connections.limits)();
+                let limits = (config.limits)();
                 // By the monotonic clock, which stops while the machine is suspended: what arrived meanwhile must be
                 // read before a timeout applies.
                 let idle_for = Instant::now().duration_since(watched.last_read());
@@ -260,7 +260,7 @@
     io: &CallerIo,
     pipelined: &PipelinedCalls,
     active: usize,
-    connections: &ConnectionConfig,
+    config: &ConnectionConfig,
     handler: &Handler,
     peer: SocketAddr,
 ) where
@@ -268,7 +268,7 @@
     ResponseFuture: Future<Output = Response<Body>> + 'static,
 {
     let mut first_is_for_hyper = active == 0 && pipelined.is_empty();
-    while !connections.draining.get() || first_is_for_hyper {
+    while !config.draining.get() || first_is_for_hyper {
         if pipelined.len() >= MAX_PIPELINED_CALLS {
             return;
         }
--- a/crates/sidecar/src/liveness.rs
+++ b/crates/sidecar/src/liveness.rs
@@ -33,7 +33,7 @@
     is_live: bool,
 }
 
-/// Whether the node beside `target`, from which nothing was received since `since`, is live. Probes it unless a recent
+/// Whether the node of `target`, from which nothing was received since `since`, is live. Probes it unless a recent
 /// probe failed.
 pub async fn is_live(node: &Rc<Node>, target: &Target, since: Timestamp) -> bool {
     if !node.is_enabled(Mechanism::LivenessProbes) {
@@ -60,8 +60,7 @@
     is_live
 }
 
-/// Whether something was received from the node beside `target` within `MAX_CONTACT_AGE`, or it responds to a probe
-/// now.
+/// Whether something was received from the node of `target` within `MAX_CONTACT_AGE`, or it responds to a probe now.
 ///
 /// A call that may run only once can't be retried elsewhere after it was sent to a node that doesn't respond, so this
 /// check precedes it.
--- a/crates/sidecar/src/local_target.rs
+++ b/crates/sidecar/src/local_target.rs
@@ -150,7 +150,7 @@
 }
 
 /// Handles a restart of the target under the same identity, which the list shows: the calls that it was running were
-/// aborted.
+/// interrupted.
 pub fn handle_restart(node: &Rc<Node>, id: &TargetId) {
     gate::target_restarted(node, id);
     mark_unverified(node);
--- a/crates/sidecar/src/node.rs
+++ b/crates/sidecar/src/node.rs
@@ -83,7 +83,7 @@
     pub retained_target: RetainedTargetState,
     /// Whether the list of targets was received at least once.
     pub targets_known: Cell<bool>,
-    /// Load and latency of other targets, for load balancing.
+    /// The measured load, latency and health of targets, for load balancing.
     pub load_balancer: RefCell<LoadBalancer>,
     /// The admission levels of routes, as other nodes reported them.
     pub admission_levels: RefCell<RouteAdmissionLevels>,
@@ -91,15 +91,15 @@
     pub call_graph: RefCell<CallGraph>,
     /// The calls that run at the local target, as parents of the calls that it makes.
     pub parent_tracker: RefCell<ParentTracker>,
-    /// The origins of the calls of each route.
+    /// The number of calls of each route, by the service of the machine where they entered.
     pub caller_counts: RefCell<RouteCallerCounts>,
     /// The gate of the local target.
     pub gate: RefCell<Gate>,
-    /// The load on the local target.
+    /// The demand for the local target's slots, and their capacity.
     pub capacity: RefCell<CapacityMeter>,
-    /// The share of successful responses of the local target.
+    /// The share of good responses of the local target.
     pub target_health: RefCell<TargetHealth>,
-    /// The calls that are running at the local target, and those that were aborted.
+    /// The calls that are running at the local target, and those that were interrupted.
     pub run_tracker: RefCell<RunTracker>,
     /// Whether a probe is running that shows whether the local target has crashed.
     pub is_probing_target: Cell<bool>,
@@ -144,14 +144,14 @@
     pub store_reader: RefCell<StoreReader>,
     /// Until when targets whose registrations expired in the last outage of the store may register again.
     pub reregistration_deadline: Cell<Timestamp>,
-    /// Until when data that is missing in a backup, from which the store was restored, may be written again.
+    /// Until when data that was missing in the backup from which the store was restored may be written again.
     pub rewrite_deadline: Cell<Timestamp>,
     /// Whether this machine's last call to the store has failed, if it makes any.
     pub store_access_lost: Cell<bool>,
     /// Whether this node must read the store once: the local target's registration has ended, or the connection to the
-    /// store has changed.
+    /// store was lost or opened again.
     pub must_probe_store: Cell<bool>,
-    /// The reads of the store in which this node found no other node.
+    /// The reads of the store in which this node found no target, neither its own nor another.
     pub solo_reads: Cell<SoloReads>,
     /// A random number in 0..1 that is fixed for the process. It spreads the times at which nodes act independently.
     pub jitter: f64,
--- a/crates/sidecar/src/quarantine/gates.rs
+++ b/crates/sidecar/src/quarantine/gates.rs
@@ -10,7 +10,7 @@
 
 /// How long a machine counts as a gate of the service after its target was last listed. A target that has crashed is
 /// listed again within seconds, and its gate must receive evidence in between.
-const UNLISTED_PEER_RETENTION: Duration = Duration::from_secs(60);
+const UNLISTED_GATE_RETENTION: Duration = Duration::from_secs(60);
 
 /// The machines of the other targets of the service, whose nodes are their gates.
 #[derive(Debug, Default)]
@@ -24,13 +24,13 @@
 impl ServiceGates {
     /// Updates the machines after a change of the list of targets; `machines` are those of the service now.
     pub(super) fn update(&mut self, machines: impl Iterator<Item = IpAddr>, now: Timestamp) {
-        let former = std::mem::replace(&mut self.current, machines.collect());
-        for machine in former.iter().chain(&self.current) {
+        let previous = std::mem::replace(&mut self.current, machines.collect());
+        for machine in previous.iter().chain(&self.current) {
             self.last_listed.insert(*machine, now);
         }
         let current = &self.current;
         self.last_listed.retain(|machine, last_listed| {
-            current.contains(machine) || now.since(*last_listed) < UNLISTED_PEER_RETENTION
+            current.contains(machine) || now.since(*last_listed) < UNLISTED_GATE_RETENTION
         });
     }
 
@@ -41,9 +41,9 @@
 
     /// A random sample of at most `limit` machines.
     pub(super) fn sample(&self, random: &mut impl Rng, limit: usize) -> Vec<IpAddr> {
-        let mut peers: Vec<IpAddr> = self.last_listed.keys().copied().collect();
-        peers.sort_unstable();
-        let (sample, _) = peers.partial_shuffle(random, limit);
+        let mut machines: Vec<IpAddr> = self.last_listed.keys().copied().collect();
+        machines.sort_unstable();
+        let (sample, _) = machines.partial_shuffle(random, limit);
         sample.to_vec()
     }
 }
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -34,7 +34,7 @@
 /// The interval of gossip: a fraction of the time within which a machine that was partitioned must keep all bounds
 /// again.
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
-/// The interval at which a gate that has started sends queries, until one is answered.
+/// The interval at which a gate that has started sends queries, until a gate responds.
 const QUERY_INTERVAL: Duration = Duration::from_millis(300);
 /// The number of gates that receive each query.
 const QUERY_FANOUT: usize = 3;
@@ -67,6 +67,7 @@
     }
 }
 
+/// The exchange of evidence over one socket.
 struct Channel {
     node: Rc<Node>,
     socket: UdpSocket,
--- a/crates/sidecar/src/quarantine/outbox.rs
+++ b/crates/sidecar/src/quarantine/outbox.rs
@@ -12,7 +12,7 @@
 use super::messages::message;
 use crate::node::Node;
 
-/// The maximum number of queries. If no gate has answered by then, there is none.
+/// The maximum number of queries. If no gate has responded by then, there is none.
 const MAX_QUERIES: u32 = 10;
 
 /// The evidence and queries to be sent to the other gates.
@@ -69,7 +69,7 @@
         self.filled.notify_one();
     }
 
-    /// Stops the queries after a gate has answered.
+    /// Stops the queries after a gate has responded.
     pub(super) fn stop_queries(&self) {
         self.remaining_queries.set(0);
     }
--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -100,9 +100,9 @@
 }
 
 async fn run_node(node: Rc<Node>, path: String) -> Result<(), StartError> {
-    let failed = |what| move |source| StartError::System { what, source };
-    let mut hangups = signal(SignalKind::hangup()).map_err(failed("signals"))?;
-    let mut terminations = signal(SignalKind::terminate()).map_err(failed("signals"))?;
+    let system_error = |what| move |source| StartError::System { what, source };
+    let mut hangups = signal(SignalKind::hangup()).map_err(system_error("signals"))?;
+    let mut terminations = signal(SignalKind::terminate()).map_err(system_error("signals"))?;
     let running = start(node)?;
     loop {
         tokio::select! {
@@ -151,10 +151,10 @@
         ..callers.clone()
     };
 
-    let failed = |what| move |source| StartError::System { what, source };
-    let outbound = bind(settings.outbound).map_err(failed("outbound"))?;
-    let inbound = bind(settings.inbound).map_err(failed("inbound"))?;
-    let ready = bind(settings.ready).map_err(failed("ready"))?;
+    let system_error = |what| move |source| StartError::System { what, source };
+    let outbound = bind(settings.outbound).map_err(system_error("outbound"))?;
+    let inbound = bind(settings.inbound).map_err(system_error("inbound"))?;
+    let ready = bind(settings.ready).map_err(system_error("ready"))?;
     let mut tasks = JoinSet::new();
 
     let for_edge = Rc::clone(&node);
@@ -168,18 +168,18 @@
     let for_ready = Rc::clone(&node);
     tasks.spawn_local(serve(ready, peers.clone(), move |parts, _, _| serve_readiness(Rc::clone(&for_ready), parts)));
     if let Some((address, metrics_path)) = settings.metrics.clone() {
-        let listener = bind(address).map_err(failed("metrics"))?;
+        let listener = bind(address).map_err(system_error("metrics"))?;
         let for_metrics = Rc::clone(&node);
         tasks.spawn_local(serve(listener, peers, move |parts, _, _| {
             serve_metrics(Rc::clone(&for_metrics), parts, metrics_path.clone())
         }));
     }
     if let Some(address) = settings.limits {
-        let socket = datagrams::bind(address).map_err(failed("limits"))?;
+        let socket = datagrams::bind(address).map_err(system_error("limits"))?;
         tasks.spawn_local(limits::exchange(Rc::clone(&node), socket));
     }
     if let Some(address) = settings.quarantine {
-        let socket = datagrams::bind(address).map_err(failed("quarantine"))?;
+        let socket = datagrams::bind(address).map_err(system_error("quarantine"))?;
         tasks.spawn_local(quarantine::exchange(Rc::clone(&node), socket));
     }
     tasks.spawn_local(store::follow(Rc::clone(&node)));
--- a/crates/sidecar/src/store/access.rs
+++ b/crates/sidecar/src/store/access.rs
@@ -18,9 +18,10 @@
 
 /// The timeout of a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The interval of keepalive probes on the open connection. It is closed after `MAX_UNANSWERED_PROBES` probes without
-/// an answer, which is before three heartbeats have passed.
+/// The interval of keepalive probes on the open connection.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of keepalive probes without a response after which the connection is closed, which is before three
+/// heartbeats have passed.
 const MAX_UNANSWERED_PROBES: u32 = 2;
 /// The pause before a reconnect.
 const RECONNECT_PAUSE: Duration = Duration::from_secs(1);
@@ -75,7 +76,7 @@
     }
 }
 
-/// Makes this node read the store once, at once.
+/// Makes this node read the store once, immediately.
 fn request_probe(node: &Node, why: &str) {
     node.log(&format!("\"event\":\"store-probed\",\"why\":{why:?}"));
     node.must_probe_store.set(true);
--- a/crates/sidecar/src/store/apply.rs
+++ b/crates/sidecar/src/store/apply.rs
@@ -25,17 +25,17 @@
     // The sender of this update may have reached the store again before this node did.
     extend_reregistration_deadline(node, node.feed.store_loss.get().outage_since());
     let scope = update.scope;
-    let former = node.position();
+    let previous = node.position();
     let result = node.replica.borrow_mut().apply(update, now)?;
     let position = node.position();
-    if position == former {
+    if position == previous {
         return Ok(());
     }
     if result.is_new_era {
         let until = now + reregistration_timeout_after_restore(&node.settings.bounds);
         node.reregistration_deadline.set(node.reregistration_deadline.get().max(until));
         node.rewrite_deadline.set(until);
-        node.log(&format!("\"event\":\"store-era\",\"era\":{},\"before\":{}", position.era, former.era));
+        node.log(&format!("\"event\":\"store-era\",\"era\":{},\"before\":{}", position.era, previous.era));
     }
     let has_changes = !result.changes.is_empty();
     if has_changes {
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Records that this node has a path to the store again, after it had none since `lost_since`. If the store was in an
+/// Records that this node has access to the store again, after it had none since `lost_since`. If the store was in an
 /// outage since `outage_since`, registrations may have expired meanwhile.
 pub fn on_access_regained(node: &Node, lost_since: Option<Timestamp>, outage_since: Option<Timestamp>) {
     extend_reregistration_deadline(node, outage_since);
@@ -86,8 +86,8 @@
                 node.log(&format!("\"event\":\"configuration-unusable\",\"why\":{:?}", findings.join("; ")));
             }
             Change::Target(id, registration) => {
-                // One response may contain the removal of a target and its return.
-                gone.retain(|former| *former != id);
+                // One response may contain the removal of a target and then its registration.
+                gone.retain(|removed| *removed != id);
                 node.log(&format!(
                     "\"event\":\"target\",\"target\":\"{id}\",\"service\":\"{}\",\"address\":\"{}\",\"draining\":{}",
                     registration.service, registration.address, registration.draining
--- a/crates/sidecar/src/store/client.rs
+++ b/crates/sidecar/src/store/client.rs
@@ -57,12 +57,13 @@
     pub page: Page,
 }
 
-/// Requests `path` from the store and parses the response with `read`.
+/// Requests `path` from the store and parses the response with `parse`. Fails if the whole response has not arrived
+/// within `time_limit`.
 pub(super) async fn get(
     node: &Rc<Node>,
     path: &str,
-    limit: Duration,
-    read: impl Fn(&[u8]) -> Result<Page, PageError>,
+    time_limit: Duration,
+    parse: impl Fn(&[u8]) -> Result<Page, PageError>,
 ) -> Result<StoreResponse, StoreError> {
     Counters::increment(&node.counters.store_requests);
     let address = node.settings.store;
@@ -80,8 +81,8 @@
         if status != StatusCode::OK {
             return Err(StoreError::Status(status));
         }
-        let page = read(&bytes).map_err(StoreError::Page)?;
+        let page = parse(&bytes).map_err(StoreError::Page)?;
         Ok(StoreResponse { era, page })
     };
-    timeout(limit, exchange).await.unwrap_or(Err(StoreError::TimedOut))
+    timeout(time_limit, exchange).await.unwrap_or(Err(StoreError::TimedOut))
 }
--- a/crates/sidecar/src/store/mod.rs
+++ b/crates/sidecar/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's store when it is this node's turn: lists everything once, then watches for changes, and resumes
-//! at the last position after an outage.
+//! Reads the platform's store when a read is due at this node: lists everything once, then watches for changes, and
+//! resumes at the last position after an outage.
 //!
 //! [`StoreReader`](quillhatch_mesh::store_reader::StoreReader) decides what is read next, [`quillhatch_mesh::feed`]
 //! which nodes read.
@@ -44,7 +44,7 @@
 /// nothing within this time there are none, since the store responds within a few milliseconds.
 const CATCH_UP_TIME: Duration = Duration::from_millis(150);
 
-/// Reads the store, whenever it is this node's turn, until the process ends.
+/// Reads the store whenever a read is due at this node, until the process ends.
 pub async fn follow(node: Rc<Node>) {
     loop {
         let reason = wait_until_due(&node).await;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads the store until this node's turn ends or a call fails.
+/// Reads the store until no further read is due at this node or a call fails.
 async fn read_while_due(node: &Rc<Node>, reason: ReadReason) -> Result<(), StoreError> {
     if reason == ReadReason::Initial {
         node.solo_reads.set(node.solo_reads.get().increment(node.now()));
@@ -102,7 +102,7 @@
     node.log(&format!("\"event\":\"store-lost\",\"why\":{:?}", error.to_string()));
 }
 
-/// Records that the store has answered a call that was sent at `sent`.
+/// Records that the store has responded to a call that was sent at `sent`.
 fn record_success(node: &Rc<Node>, sent: Timestamp) {
     node.store_reader.borrow_mut().read_succeeded();
     if node.store_access_lost.replace(false) {
@@ -110,7 +110,7 @@
     }
     node.must_probe_store.set(false);
     let mut loss = node.feed.store_loss.get();
-    // Until the first read of the store the process has had no path to it.
+    // Until the first read of the store the process has had no access to it.
     let lost_since = node.feed.store_read_at.get().map_or(Some(node.clock.started()), |_| loss.since());
     node.feed.record_store_read(sent);
     let outage_since = loss.store_read();
@@ -201,7 +201,7 @@
     }
 }
 
-/// Watches the store for changes as long as it is this node's turn.
+/// Watches the store for changes as long as reads are due at this node.
 async fn watch(node: &Rc<Node>, reason: ReadReason) -> Result<(), StoreError> {
     let mut is_probing = reason == ReadReason::Once || node.feed.store_loss.get().since().is_some();
     loop {
--- a/crates/sidecar/src/store/schedule.rs
+++ b/crates/sidecar/src/store/schedule.rs
@@ -1,4 +1,4 @@
-//! Waits until it is this node's turn to read the platform's store. [`quillhatch_mesh::feed`] decides on the turn.
+//! Waits until this node's next read of the platform's store is due, which [`quillhatch_mesh::feed`] decides.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// How long a node that has just started waits for the full view from other nodes before it reads all pages itself.
 const MAX_PEER_WAIT: Duration = Duration::from_millis(1200);
 
-/// Waits until it is this node's turn, and returns why.
+/// Waits until a read is due at this node, and returns why.
 pub(super) async fn wait_until_due(node: &Rc<Node>) -> ReadReason {
     loop {
         let role_changed = node.feed.role_changed.notified();
@@ -32,7 +32,7 @@
     }
 }
 
-/// Whether it is this node's turn now.
+/// Whether a read is due at this node now.
 pub(super) fn is_due(node: &Node) -> bool {
     matches!(read_schedule(node), ReadSchedule::Now(_))
 }
@@ -59,7 +59,7 @@
 
 /// Waits for the full view from other nodes, and returns whether it has arrived.
 pub(super) async fn wait_for_peers(node: &Rc<Node>) -> bool {
-    let limit = node.random.borrow_mut().gen_range(MAX_PEER_WAIT / 2..MAX_PEER_WAIT);
+    let max_wait = node.random.borrow_mut().gen_range(MAX_PEER_WAIT / 2..MAX_PEER_WAIT);
     let view_known = async {
         loop {
             let view_changed = node.feed.view_changed.notified();
@@ -70,6 +70,6 @@
         }
     };
     // Whether the wait timed out shows in the position.
-    let _ = timeout(limit, view_known).await;
+    let _ = timeout(max_wait, view_known).await;
     node.position().is_known()
 }
--- a/crates/sidecar/src/tenancy.rs
+++ b/crates/sidecar/src/tenancy.rs
@@ -71,7 +71,7 @@
         is_newest.then(|| self.freshness.borrow().proof(in_force.version(), arrived)).flatten()
     }
 
-    /// Records the proof of the node whose data was replicated, from the answer to a query that was sent at `sent`.
+    /// Records the proof of the node whose data was replicated, from the response to a query that was sent at `sent`.
     pub fn record_replica_proof(&self, proof: FreshnessProof, in_force: &ConfigurationInForce, sent: Timestamp) {
         if !self.newer_is_unusable.get() {
             self.freshness.borrow_mut().record_proof(proof, in_force.version(), sent);
@@ -102,7 +102,7 @@
         admitted
     }
 
-    /// Returns the quota of an admitted call of `tenant` that has not run.
+    /// Reverts the admission of a call of `tenant` that has not run.
     pub fn refund(&self, tenant: &Tenant, now: Timestamp) {
         self.limits.borrow_mut().refund(&tenant.name, now);
     }
