--- a/crates/mesh/tests/decisions/balance.rs
+++ b/crates/mesh/tests/decisions/balance.rs
@@ -72,7 +72,8 @@
 
 #[test]
 fn a_target_whose_calls_all_time_out_is_used_less() {
-    // A target that worked twelve times as long answered 504 to each call, and still received its full share of calls.
+    // A target that worked twelve times as long responded with 504 to each call, and still received its full share of
+    // calls.
     let mut random = Pcg64::seed_from_u64(5);
     let targets = [target("slow", "here"), target("good", "here")];
     let mut balancer = LoadBalancer::default();
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn a_target_with_bad_answers_only_gets_calls_that_the_others_cannot_serve() {
+fn a_target_with_bad_responses_only_gets_calls_that_the_others_cannot_serve() {
     let mut random = Pcg64::seed_from_u64(8);
     let targets = [target("bad", "here"), target("good", "here")];
     let (bad, good): (Arc<str>, Arc<str>) = (Arc::from("bad"), Arc::from("good"));
--- a/crates/mesh/tests/decisions/health.rs
+++ b/crates/mesh/tests/decisions/health.rs
@@ -1,4 +1,4 @@
-//! The share of good answers of a target.
+//! The share of good responses of a target.
 
 use crate::milliseconds;
 use quillhatch_mesh::health::TargetHealth;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn one_failure_among_few_answers_is_little_evidence() {
+fn one_failure_among_few_responses_is_little_evidence() {
     let mut health = TargetHealth::new(Timestamp::ZERO);
     health.record_bad(Timestamp::ZERO);
     assert!(health.good_share(Timestamp::ZERO) > 0.8);
--- a/crates/mesh/tests/decisions/quarantine.rs
+++ b/crates/mesh/tests/decisions/quarantine.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_lost_answer_of_a_running_target_is_no_crash() {
+fn a_lost_response_of_a_running_target_is_no_crash() {
     let mut runs = RunTracker::default();
     let signature = RequestSignature::of(&parts());
     let lost = runs.begin(signature, at(0));
@@ -105,7 +105,7 @@
     let signature = RequestSignature::of(&parts());
     let (lost, answered) = (runs.begin(signature, at(0)), runs.begin(signature, at(1)));
     runs.connection_lost(lost, Some("i-1".into()), at(10));
-    // Its answer was on its way when the target crashed.
+    // Its response was on its way when the target crashed.
     runs.completed(answered);
     let crash = runs.target_identified("i-2").expect("another target is identified");
     assert_eq!((&*crash.target, crash.signatures.len()), ("i-1", 1));
@@ -215,7 +215,7 @@
     assert_eq!(cleared, signature.keys());
     second.record_cleared(&cleared, seconds(13));
     assert!(first.is_empty() && second.is_empty());
-    // Old evidence that arrives late is answered with the cleared keys and not counted.
+    // Old evidence that arrives late is not counted; the cleared keys are returned to its sender.
     let mut completed_there = second.merge(&stale, seconds(12));
     completed_there.sort();
     assert_eq!(completed_there, sorted(signature.keys()));
--- a/crates/mesh/tests/decisions/replica.rs
+++ b/crates/mesh/tests/decisions/replica.rs
@@ -161,10 +161,10 @@
 #[test]
 fn a_new_era_is_later_than_any_revision_of_the_previous_one() {
     let mut replica = replica();
-    let copy = vec![configuration_change(2, 6), listed(3, "a", registered(1, 1, false))];
-    let applied = replica.apply(full(at(4, 3), copy), NOW).expect("a later era");
+    let backup = vec![configuration_change(2, 6), listed(3, "a", registered(1, 1, false))];
+    let applied = replica.apply(full(at(4, 3), backup), NOW).expect("a later era");
     assert!(applied.is_new_era);
-    assert_eq!(summary(&applied.changes), ["-b"], "the copy lacks it, and its configuration is older");
+    assert_eq!(summary(&applied.changes), ["-b"], "the backup lacks it, and its configuration is older");
     // The restored store assigns the same revisions again.
     let again = vec![listed(4, "b", registered(1, 2, false)), configuration_change(5, 8)];
     let applied = replica.apply(changes_after(at(4, 3), at(4, 5), again), NOW).expect("it applies");
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_acknowledged_configuration_is_still_sent_if_the_restored_copy_lacks_it() {
+fn an_acknowledged_configuration_is_still_sent_if_the_backup_lacks_it() {
     let mut replica = replica();
     replica.apply(full(at(4, 3), vec![configuration_change(2, 6)]), NOW).expect("a later era");
     let update = replica.update_since(Position::default(), NOW).expect("a full update");
@@ -192,12 +192,12 @@
 }
 
 #[test]
-fn a_restored_copy_revives_neither_draining_nor_removed_targets() {
+fn a_restored_backup_revives_neither_draining_nor_removed_targets() {
     let mut replica = replica();
     let changes = vec![listed(11, "a", registered(1, 2, true)), removed(12, "b")];
     replica.apply(changes_after(at(3, 10), at(3, 12), changes), NOW).expect("it applies");
-    let copy = vec![listed(8, "a", registered(1, 1, false)), listed(9, "b", registered(1, 1, false))];
-    let applied = replica.apply(full(at(4, 10), copy), NOW).expect("a later era");
+    let backup = vec![listed(8, "a", registered(1, 1, false)), listed(9, "b", registered(1, 1, false))];
+    let applied = replica.apply(full(at(4, 10), backup), NOW).expect("a later era");
     assert_eq!(summary(&applied.changes), Vec::<String>::new());
     assert_eq!(ids(&replica), ["a"], "b was removed");
     let update = replica.update_since(Position::default(), NOW).expect("a full update");
--- a/crates/mesh/tests/decisions/store_reader.rs
+++ b/crates/mesh/tests/decisions/store_reader.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn targets_that_a_restored_copy_lacks_have_a_heartbeat_to_register_again() {
+fn targets_that_a_restored_backup_lacks_have_a_heartbeat_to_register_again() {
     assert!(reregistration_timeout_after_restore(&BOUNDS) > BOUNDS.heartbeat);
     let slow_heartbeat = Bounds { heartbeat: Duration::from_secs(5), ..BOUNDS };
     assert!(reregistration_timeout_after_restore(&slow_heartbeat) > slow_heartbeat.heartbeat);
--- a/crates/mesh/tests/feed/exploration.rs
+++ b/crates/mesh/tests/feed/exploration.rs
@@ -18,9 +18,10 @@
 const DELAYS_MS: [u64; 3] = [0, 350, 1_100];
 /// The durations of the outage of the store before an era change, in milliseconds.
 const OUTAGES_MS: [u64; 2] = [0, 2_600];
-/// The number of changes that the copy lacks from which the store is restored.
+/// The number of changes that the backup lacks from which the store is restored.
 const LOST_CHANGES: usize = 1;
-/// How long after the store is restored the target registers again whose registration the copy lacks, in milliseconds.
+/// How long after the store is restored the target registers again whose registration the backup lacks, in
+/// milliseconds.
 const REREGISTRATION_DELAY_MS: u64 = 600;
 
 /// A failure of a reader: its own fault, and how the store responds to it.
@@ -42,7 +43,7 @@
     (NodeFault::Crashed, StoreAccess::Available),
 ];
 
-/// Whether the store is restored from an older copy, and when.
+/// Whether the store is restored from a backup, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EraChange {
     None,
@@ -92,7 +93,7 @@
 /// The description of a violated promise.
 type Violation = String;
 
-/// A fleet, and what is known at its nodes and must not be lost there.
+/// A fleet, and what its nodes know and must not lose.
 struct ObservedFleet {
     fleet: Fleet,
     /// The position that each node has reached.
--- a/crates/mesh/tests/feed/fleet.rs
+++ b/crates/mesh/tests/feed/fleet.rs
@@ -56,7 +56,7 @@
 /// A rule of the decisions that is broken on purpose, to show that the tests notice it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A node discards its replica when the store was restored from an older copy.
+    /// A node discards its replica when the store was restored from a backup.
     ForgetsOnNewEra,
     /// An update of an earlier era is applied as if it were of a later one.
     AppliesEarlierEras,
@@ -112,7 +112,7 @@
                 next_read_at: Timestamp::ZERO,
                 is_isolated: false,
                 has_unverified_source: false,
-                has_answer: false,
+                has_response: false,
                 solo_reads: SoloReads::default(),
                 jitter: random.gen(),
                 ahead_peer: None,
@@ -165,7 +165,7 @@
         self.store.is_down = is_down;
     }
 
-    /// Restores the store from a copy that lacks its last `lost` changes.
+    /// Restores the store from a backup that lacks its last `lost` changes.
     pub fn restore(&mut self, lost: usize) {
         self.store.restore(lost);
     }
@@ -187,10 +187,10 @@
 
     /// Runs until all connected nodes are up to date; returns how long it took.
     pub fn run_until_up_to_date(&mut self, timeout: Duration) -> Duration {
-        let begun = self.now;
+        let started = self.now;
         while !self.is_up_to_date() {
             self.tick();
-            let took = self.now.since(begun);
+            let took = self.now.since(started);
             if took > timeout {
                 let behind: Vec<_> = self
                     .nodes
@@ -205,7 +205,7 @@
                 );
             }
         }
-        self.now.since(begun)
+        self.now.since(started)
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -268,7 +268,7 @@
             }
             NodeFault::Unresponsive => {}
             NodeFault::FalseStatus if now.since(sent) >= long_poll => {
-                self.query_answered(number, None, Some(now), None)
+                self.query_succeeded(number, None, Some(now), None)
             }
             NodeFault::FalseStatus => {}
             NodeFault::None => {
@@ -282,7 +282,7 @@
                 other.answered_queries += 1;
                 other.sent_changes += update.as_ref().map_or(0, |update| update.changes.len());
                 let (store_read_at, lost_since) = (other.store_read_at, other.loss.since());
-                self.query_answered(number, update, store_read_at, lost_since);
+                self.query_succeeded(number, update, store_read_at, lost_since);
             }
         }
     }
@@ -319,7 +319,7 @@
         let _ = replica.apply(update, self.now);
     }
 
-    fn query_answered(
+    fn query_succeeded(
         &mut self,
         number: usize,
         update: Option<Update>,
@@ -341,14 +341,14 @@
         };
         if verdict == SourceVerdict::Usable {
             node.is_isolated = false;
-            node.has_answer = false;
+            node.has_response = false;
             node.loss.source_available(store_read_at);
             node.source_choice.succeeded();
             node.has_unverified_source = false;
             node.query = None;
             return;
         }
-        node.has_answer = true;
+        node.has_response = true;
         node.has_unverified_source |= verdict == SourceVerdict::Unverified;
         self.query_failed(number);
     }
@@ -367,8 +367,8 @@
             return;
         }
         node.next_query_at = now + pause;
-        node.is_isolated = !node.has_answer;
-        node.has_answer = false;
+        node.is_isolated = !node.has_response;
+        node.has_response = false;
         if !is_reading && !node.has_unverified_source {
             node.loss.all_sources_failed(sent);
         }
@@ -404,7 +404,7 @@
                     NextRead::StaleList | NextRead::List => true,
                 };
                 if has_news || now.since(read.sent) >= read.timeout {
-                    self.store_read_answered(number);
+                    self.store_read_succeeded(number);
                 }
             }
         }
@@ -432,7 +432,7 @@
         self.store.calls += 1;
     }
 
-    fn store_read_answered(&mut self, number: usize) {
+    fn store_read_succeeded(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
         let Some(read) = node.read.take() else { return };
--- a/crates/mesh/tests/feed/main.rs
+++ b/crates/mesh/tests/feed/main.rs
@@ -64,7 +64,7 @@
     }
     let busiest = fleet.nodes.iter().map(|node| node.answered_queries).max().expect("nodes");
     let max_sent = fleet.nodes.iter().map(|node| node.sent_changes).max().expect("nodes");
-    assert!(busiest < 10 * 20 * 3, "{busiest} answers in 10 s");
+    assert!(busiest < 10 * 20 * 3, "{busiest} responses in 10 s");
     assert!(max_sent <= 10 * 20 * 2, "{max_sent} changes sent for 10");
 }
 
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn all_nodes_follow_a_store_that_is_restored_from_an_older_copy_and_none_loses_a_drain() {
+fn all_nodes_follow_a_store_that_is_restored_from_a_backup_and_none_loses_a_drain() {
     let mut fleet = Fleet::new(100, 5, 7);
     for number in 0..5 {
         fleet.set_draining(number, true, 2);
--- a/crates/mesh/tests/feed/node.rs
+++ b/crates/mesh/tests/feed/node.rs
@@ -32,7 +32,7 @@
     FalseStatus,
 }
 
-/// A query to another node that has not been answered yet.
+/// A query to another node that has no response yet.
 pub(super) struct PendingQuery {
     pub(super) peer: usize,
     pub(super) is_upstream: bool,
@@ -41,7 +41,7 @@
     pub(super) from: Position,
 }
 
-/// A call to the store that has not been answered yet.
+/// A call to the store that has no response yet.
 pub(super) struct PendingRead {
     pub(super) sent: Timestamp,
     pub(super) timeout: Duration,
@@ -71,15 +71,15 @@
     ///
     /// [`SourceVerdict::Unverified`]: quillhatch_mesh::feed::SourceVerdict::Unverified
     pub(super) has_unverified_source: bool,
-    /// Whether any source in the current round of failures has answered.
-    pub(super) has_answer: bool,
+    /// Whether any source in the current round of failures has responded.
+    pub(super) has_response: bool,
     pub(super) solo_reads: SoloReads,
     pub(super) jitter: f64,
     /// When this node learned that another node has a later position, and which node.
     pub(super) ahead_peer: Option<(Timestamp, usize)>,
-    /// The number of queries that it has answered.
+    /// The number of queries that it has responded to.
     pub answered_queries: usize,
-    /// The number of changes in those answers.
+    /// The number of changes in those responses.
     pub sent_changes: usize,
 }
 
--- a/crates/mesh/tests/feed/store.rs
+++ b/crates/mesh/tests/feed/store.rs
@@ -22,7 +22,7 @@
         self.log.push(RevisedChange { revision: self.position.revision, change });
     }
 
-    /// Restores the store from a copy that was made `lost` changes ago.
+    /// Restores the store from a backup that was made `lost` changes ago.
     pub(super) fn restore(&mut self, lost: usize) {
         self.log.truncate(self.log.len() - lost);
         self.position.revision = self.log.last().map_or(1, |revised| revised.revision);
--- a/crates/mesh/tests/quarantine/fleet.rs
+++ b/crates/mesh/tests/quarantine/fleet.rs
@@ -27,7 +27,7 @@
 pub enum Exchange {
     /// In datagrams: broadcast at once, and gossiped to one random node each second.
     Datagrams,
-    /// With calls: an answer carries the gate's evidence, and the edge's next call carries it on.
+    /// With calls: a response carries the gate's evidence, and the edge's next call carries it on.
     WithCalls,
 }
 
@@ -38,13 +38,14 @@
     pub exchange: Exchange,
     /// The number of nodes; each has a target of the service.
     pub nodes: usize,
-    /// Calls a second: most with a path of their own, the others with one popular path.
+    /// Calls per second, without copies of the crashing request: most with a path of their own, the others with one
+    /// popular path.
     pub rate: f64,
-    /// The minimum and maximum run time of such a call, in seconds.
+    /// The minimum and maximum run time of these calls, in seconds.
     pub run_time_s: (f64, f64),
     /// The maximum number of attempts of a call whose targets crash, by edges and by its caller.
     pub attempts: u32,
-    /// Copies of the crashing request a second.
+    /// Copies of the crashing request per second.
     pub crashing_rate: f64,
     /// The share of datagrams that are lost.
     pub datagram_loss: f64,
@@ -71,6 +72,7 @@
     pub datagrams: usize,
 }
 
+/// The time that a crashed target takes to restart, in seconds.
 const TARGET_RESTART_S: f64 = 1.5;
 const CRASHING_REQUEST: u64 = 0;
 const POPULAR_REQUEST: u64 = 1;
@@ -78,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
     Arrives { request: u64, edge: usize, attempt: u32 },
-    Answers { node: usize, incarnation: u32, run: RunId, request: u64, edge: usize },
+    Completes { node: usize, incarnation: u32, run: RunId, request: u64, edge: usize },
     Crashes { node: usize, incarnation: u32, is_by_request: bool },
     TargetUp { node: usize },
     Datagram { to: usize, records: Vec<SuspectRecord>, cleared: Vec<SignatureKey>, from: usize },
@@ -103,7 +105,7 @@
     random: Pcg64,
     now: Timestamp,
     outcome: Outcome,
-    /// The evidence that each edge has received with answers.
+    /// The evidence that each edge has received with responses.
     carried: Vec<Vec<SuspectRecord>>,
     next_path: u64,
 }
@@ -203,8 +205,8 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrives { request, edge, attempt } => self.handle_arrival(request, edge, attempt),
-            Event::Answers { node, incarnation, run, request, edge } => {
-                self.handle_answer(node, incarnation, run, request, edge)
+            Event::Completes { node, incarnation, run, request, edge } => {
+                self.handle_completion(node, incarnation, run, request, edge)
             }
             Event::Crashes { node, incarnation, is_by_request } => self.handle_crash(node, incarnation, is_by_request),
             Event::TargetUp { node } => self.nodes[node].is_up = true,
@@ -233,7 +235,7 @@
         if self.scenario.exchange != Exchange::Datagrams {
             return;
         }
-        // It queries another gate, which answers with all its evidence.
+        // It queries another gate, which responds with all its evidence.
         let queried = (node + 1) % self.scenario.nodes;
         let records = self.nodes[queried].quarantine.all_records(self.now);
         self.send(queried, node, records, Vec::new());
@@ -290,11 +292,11 @@
             self.after(after, Event::Crashes { node, incarnation, is_by_request: true });
         } else {
             let after = self.random.gen_range(self.scenario.run_time_s.0..self.scenario.run_time_s.1);
-            self.after(after, Event::Answers { node, incarnation, run, request, edge });
+            self.after(after, Event::Completes { node, incarnation, run, request, edge });
         }
     }
 
-    fn handle_answer(&mut self, node: usize, incarnation: u32, run: RunId, request: u64, edge: usize) {
+    fn handle_completion(&mut self, node: usize, incarnation: u32, run: RunId, request: u64, edge: usize) {
         let gate = &mut self.nodes[node];
         if gate.incarnation != incarnation {
             return;
--- a/crates/mesh/tests/quarantine/main.rs
+++ b/crates/mesh/tests/quarantine/main.rs
@@ -40,7 +40,7 @@
 #[test_case(Scenario { ..SCENARIO }; "four gates")]
 #[test_case(Scenario { nodes: 34, rate: 400.0, ..SCENARIO }; "34 gates")]
 #[test_case(Scenario { datagram_loss: 0.3, ..SCENARIO }; "a third of the datagrams lost")]
-#[test_case(Scenario { crashing_rate: 1.0, ..SCENARIO }; "a copy a second")]
+#[test_case(Scenario { crashing_rate: 1.0, ..SCENARIO }; "one copy per second")]
 #[test_case(Scenario { gate_restarts: &[(0, 5.0), (1, 8.0), (2, 11.0), (0, 20.0)], ..SCENARIO }; "gates that restart")]
 #[test_case(Scenario { partition: Some((1, 1.0, 20.0)), ..SCENARIO }; "one gate partitioned")]
 fn crashes_are_bounded(scenario: Scenario) {
@@ -60,7 +60,7 @@
 #[test_case(Scenario { ..SCENARIO }; "beside the crashing request")]
 #[test_case(Scenario { nodes: 12, run_time_s: (0.3, 0.6), attempts: 4, ..SCENARIO }; "long calls with many attempts")]
 #[test_case(Scenario { crashing_rate: 0.0, unrelated_crashes: &[(0, 5.0), (1, 5.0), (2, 5.0), (3, 5.0)], ..SCENARIO }; "all at once")]
-#[test_case(Scenario { crashing_rate: 0.0, unrelated_crashes: &[(0, 5.0), (1, 7.0), (2, 9.0), (3, 11.0), (0, 13.0), (1, 15.0)], ..SCENARIO }; "in turn")]
+#[test_case(Scenario { crashing_rate: 0.0, unrelated_crashes: &[(0, 5.0), (1, 7.0), (2, 9.0), (3, 11.0), (0, 13.0), (1, 15.0)], ..SCENARIO }; "one after the other")]
 #[test_case(Scenario { crashing_rate: 0.0, unrelated_crashes: &[(0, 5.0), (1, 5.1), (2, 5.2), (3, 5.3), (0, 7.0), (1, 7.1)], ..SCENARIO }; "shortly after each other")]
 fn other_requests_are_not_refused(scenario: Scenario) {
     for seed in seeds() {
@@ -93,8 +93,8 @@
             crashes.push((holder, exchange, sums.0));
         }
     }
-    // Edges that inform all other edges do as well. But they take a lost answer for a crash, and a fleet has many more
-    // edges than a service has gates.
+    // Edges that inform all other edges do as well. But they count a lost response as a crash, and a fleet has many
+    // more edges than a service has gates.
     for group in crashes.chunks(4) {
         let [nobody, edges, with_calls, broadcast] = [0, 1, 2, 3].map(|index| group[index].2);
         assert!(broadcast < nobody && broadcast < with_calls && broadcast * 4 <= edges * 5, "{group:?}");
--- a/crates/mesh/tests/shortage/fleet.rs
+++ b/crates/mesh/tests/shortage/fleet.rs
@@ -230,7 +230,7 @@
         self.intermediates[root.intermediate].record_report(&self.route, level, now);
     }
 
-    /// Reports the admission level of the node in between to the entry, with the answer of a root.
+    /// Reports the admission level of the node in between to the entry, with the response to a root.
     fn report_to_entry(&mut self, root: &Root) {
         let now = self.time();
         let level = self.intermediates[root.intermediate].level(&self.route, now);
--- a/crates/mesh/tests/shortage/main.rs
+++ b/crates/mesh/tests/shortage/main.rs
@@ -2,7 +2,7 @@
 //! virtual clock.
 //!
 //! Roots enter at many entries and make four calls of the bottleneck service one after the other. Each gate's admission
-//! level goes to a node in between with each answer, and on to the entry with the answer of the root, as in the
+//! level goes to a node in between with each response, and on to the entry with the response to the root, as in the
 //! sidecar.
 
 mod fleet;
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -20,10 +20,10 @@
 fn a_call_reaches_its_target_unaltered() {
     run(async {
         let (_store, alpha, beta) = two_machines().await;
-        let answer = call(beta.outbound(), &pay("one")).await.expect("a response");
-        assert_eq!((answer.status, answer.body.as_slice()), (200, b"the answer to one".as_slice()));
-        assert_eq!(answer.header("quillhatch-server-stamp"), "stamp-one");
-        assert_eq!(answer.header("quillhatch-hop"), "", "the hop header is not sent to callers");
+        let response = call(beta.outbound(), &pay("one")).await.expect("a response");
+        assert_eq!((response.status, response.body.as_slice()), (200, b"the answer to one".as_slice()));
+        assert_eq!(response.header("quillhatch-server-stamp"), "stamp-one");
+        assert_eq!(response.header("quillhatch-hop"), "", "the hop header is not sent to callers");
         let seen = alpha.target.started_requests().remove(0);
         assert_eq!(
             (seen.method.as_str(), seen.path.as_str(), seen.body.as_slice()),
@@ -79,9 +79,9 @@
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(habit);
-        let answer = call(beta.outbound(), &pay("one")).await.expect("a response");
-        assert_eq!(answer.status, 502);
-        assert_eq!(answer.header("quillhatch-server-stamp"), "", "an error of the node itself has no server stamp");
+        let response = call(beta.outbound(), &pay("one")).await.expect("a response");
+        assert_eq!(response.status, 502);
+        assert_eq!(response.header("quillhatch-server-stamp"), "", "an error of the node itself has no server stamp");
         assert_eq!(alpha.target.started_requests().len(), 1);
         alpha.target.set_behaviour(TargetBehaviour::Normal);
         let next = call(beta.outbound(), &pay("two")).await.expect("a response");
@@ -98,9 +98,9 @@
         for number in 0..6 {
             let id = format!("call-{number}");
             caller.send(&read(&id)).await;
-            let answer = caller.next_response().await.expect("a response");
-            if answer.status == 200 {
-                assert_eq!(answer.body, format!("the answer to {id}").as_bytes());
+            let response = caller.next_response().await.expect("a response");
+            if response.status == 200 {
+                assert_eq!(response.body, format!("the answer to {id}").as_bytes());
             }
             sleep(Duration::from_millis(if number % 2 == 0 { 0 } else { 60 })).await;
         }
@@ -112,8 +112,8 @@
     run(async {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::NoContentLength);
-        let answer = call(beta.outbound(), &read("one")).await.expect("a response");
-        assert_eq!((answer.status, answer.body.as_slice()), (200, b"the answer to one".as_slice()));
+        let response = call(beta.outbound(), &read("one")).await.expect("a response");
+        assert_eq!((response.status, response.body.as_slice()), (200, b"the answer to one".as_slice()));
     });
 }
 
@@ -122,15 +122,15 @@
     run(async {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::ServerError);
-        let answer = call(beta.outbound(), &read("one")).await.expect("a response");
-        assert_eq!((answer.status, answer.header("quillhatch-server-stamp")), (500, "stamp-one"));
+        let response = call(beta.outbound(), &read("one")).await.expect("a response");
+        assert_eq!((response.status, response.header("quillhatch-server-stamp")), (500, "stamp-one"));
         assert_eq!(alpha.target.started_requests().len(), 1, "a call that has run and failed is not retried here");
     });
 }
 
 /// The value of `Retry-After` in a response, in seconds.
-fn retry_after_s(answer: &Response) -> f64 {
-    answer.header("retry-after").parse().expect("a time")
+fn retry_after_s(response: &Response) -> f64 {
+    response.header("retry-after").parse().expect("a time")
 }
 
 /// The expected range of `Retry-After`, in seconds, for routes with a latency objective of one second.
@@ -148,9 +148,9 @@
                 AdmissionLevel::from_priority_share(0.0),
                 node.now(),
             );
-            let answer = call(beta.outbound(), &read(&format!("r{number}"))).await.expect("a response");
-            if answer.status == 503 {
-                assert!(RETRY_AFTER_S.contains(&retry_after_s(&answer)), "{}", retry_after_s(&answer));
+            let response = call(beta.outbound(), &read(&format!("r{number}"))).await.expect("a response");
+            if response.status == 503 {
+                assert!(RETRY_AFTER_S.contains(&retry_after_s(&response)), "{}", retry_after_s(&response));
                 refused += 1;
             }
         }
@@ -164,9 +164,9 @@
     run(async {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::RefusesRequests);
-        let answer = call(beta.outbound(), &pay("one")).await.expect("a response");
-        assert_eq!(answer.status, 503);
-        assert!(RETRY_AFTER_S.contains(&retry_after_s(&answer)), "{}", retry_after_s(&answer));
+        let response = call(beta.outbound(), &pay("one")).await.expect("a response");
+        assert_eq!(response.status, 503);
+        assert!(RETRY_AFTER_S.contains(&retry_after_s(&response)), "{}", retry_after_s(&response));
         assert!(alpha.target.started_requests().is_empty());
     });
 }
@@ -177,8 +177,8 @@
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
         let begun = Instant::now();
-        let answer = call(beta.outbound(), &read("one")).await.expect("a response");
-        assert_eq!(answer.status, 504);
+        let response = call(beta.outbound(), &read("one")).await.expect("a response");
+        assert_eq!(response.status, 504);
         assert!((950..1200).contains(&begun.elapsed().as_millis()), "{:?}", begun.elapsed());
     });
 }
@@ -195,8 +195,8 @@
         let calls: Vec<_> = calls.collect();
         let mut refused = 0;
         for call in calls {
-            let answer = call.await.expect("the caller ends").expect("a response");
-            refused += usize::from(answer.status == 503);
+            let response = call.await.expect("the caller ends").expect("a response");
+            refused += usize::from(response.status == 503);
         }
         assert!(alpha.target.max_running() <= 4, "{}", alpha.target.max_running());
         assert_eq!(alpha.target.started_requests().len() + refused, 12, "a call that does not run is refused");
@@ -245,15 +245,15 @@
         let mut slowest = Duration::ZERO;
         for number in 0..60 {
             let begun = Instant::now();
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
             slowest = slowest.max(begun.elapsed());
         }
         assert!(slowest > Duration::from_millis(100), "no call was sent to the unresponsive node");
         assert!(slowest < Duration::from_millis(800), "{slowest:?}");
         for number in 0..20 {
-            let answer = call(beta.outbound(), &pay(&format!("pay-{number}"))).await.expect("a response");
-            assert_eq!(answer.status, 200, "an at-most-once call is not sent to an unresponsive node");
+            let response = call(beta.outbound(), &pay(&format!("pay-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200, "an at-most-once call is not sent to an unresponsive node");
         }
         acceptor.abort();
         drop(alpha);
@@ -272,11 +272,11 @@
         let chunked = request("POST", HOST, "/pay/", "two", 5000, "")
             .replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n");
         let chunks = format!("{:x}\r\n{half}\r\n{:x}\r\n{rest}\r\n0\r\n\r\n", half.len(), rest.len());
-        let answer = call(beta.outbound(), &(chunked + &chunks)).await.expect("a response");
+        let response = call(beta.outbound(), &(chunked + &chunks)).await.expect("a response");
         let ran = alpha.target.started_requests();
         assert!(ran[0].body == body.as_bytes(), "{} of {length} bytes", ran[0].body.len());
         if length < 64 * 1024 {
-            assert_eq!(answer.status, 200);
+            assert_eq!(response.status, 200);
             assert!(ran[1].body == body.as_bytes(), "{} of {length} bytes", ran[1].body.len());
         }
     });
@@ -306,8 +306,8 @@
         eventually("all are listed", || beta.node().targets.borrow().len() == 3).await;
         let chain = |id: &str| request("GET", HOST, "/chain/x", id, 3000, "");
         for number in 0..16 {
-            let answer = call(beta.outbound(), &chain(&format!("good-{number}"))).await.expect("a response");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &chain(&format!("good-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
         }
         let counted = || {
             let repeats =
@@ -352,8 +352,8 @@
     alpha.target.set_chained_call(ChainedCall { outbound, host: HOST.to_owned(), path: "/read/x".to_owned() });
     eventually("all are listed", || betas[0].node().targets.borrow().len() == 3).await;
     for number in 0..40 {
-        let answer = call(betas[0].outbound(), &chain(&format!("good-{number}"))).await.expect("a response");
-        assert_eq!(answer.status, 200);
+        let response = call(betas[0].outbound(), &chain(&format!("good-{number}"))).await.expect("a response");
+        assert_eq!(response.status, 200);
     }
     (store, alpha, betas)
 }
@@ -361,7 +361,7 @@
 #[test]
 fn a_nested_call_abandons_a_slow_target_while_time_remains() {
     // Guards against this failure: each edge learned by itself which targets were slow, at the cost of two failed calls
-    // and their parents. Found on the users' bench.
+    // and their parents.
     run(async {
         let (_store, _alpha, betas) = chained_machines().await;
         // The target that is chosen now is made slow: which of the two is faster depends on the machine that runs the
@@ -372,8 +372,8 @@
         slow.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(4)));
         let begun = Instant::now();
         for number in 0..20 {
-            let answer = call(betas[0].outbound(), &chain(&format!("slow-{number}"))).await.expect("a response");
-            assert_eq!(answer.status, 200, "call {number} after {:?}", begun.elapsed());
+            let response = call(betas[0].outbound(), &chain(&format!("slow-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200, "call {number} after {:?}", begun.elapsed());
         }
         assert!(slow.target.abandoned() > 0, "the slow target was tried");
         assert!(slow.target.abandoned() <= 8, "the slow target is avoided afterwards: {}", slow.target.abandoned());
@@ -389,8 +389,8 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             alpha.node().stage.set(Stage::Stopping);
         };
-        let (answer, ()) = tokio::join!(async { call(betas[0].outbound(), &chain("slow")).await }, stops);
-        assert_eq!(answer.expect("a response").status, 200);
+        let (response, ()) = tokio::join!(async { call(betas[0].outbound(), &chain("slow")).await }, stops);
+        assert_eq!(response.expect("a response").status, 200);
         let abandoned: usize = betas.iter().map(|beta| beta.target.abandoned()).sum();
         assert_eq!(abandoned, 0, "an attempt was abandoned while its target worked on it");
     });
@@ -405,8 +405,8 @@
         for number in 0..3 {
             let body = "b".repeat(length - number);
             let text = request("POST", HOST, "/pay/", &format!("early-{number}"), 5000, &body);
-            let answer = call(beta.outbound(), &text).await.expect("a response");
-            assert_eq!((answer.status, answer.body), (200, format!("the answer to early-{number}").into_bytes()));
+            let response = call(beta.outbound(), &text).await.expect("a response");
+            assert_eq!((response.status, response.body), (200, format!("the answer to early-{number}").into_bytes()));
         }
         alpha.target.set_behaviour(TargetBehaviour::Normal);
         assert_eq!(call(beta.outbound(), &pay("after")).await.expect("a response").status, 200);
--- a/crates/sidecar/tests/changes.rs
+++ b/crates/sidecar/tests/changes.rs
@@ -18,7 +18,7 @@
         let version = || beta.node().configuration.borrow().version();
         store.write_configuration(&document(7, "beta"));
         eventually("version 7", || version() == 7).await;
-        assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
         assert_eq!((alpha.target.started_requests().len(), beta.target.started_requests().len()), (0, 1));
         for refused in [document(6, "alpha"), "{\"version\":\"r9\",".to_owned(), document(9, "x").replace("r9", "9")] {
             store.write_configuration(&refused);
@@ -39,9 +39,9 @@
         let sidecar = start_sidecar(address, "alpha", target.address, store.address);
         sleep(Duration::from_millis(200)).await;
         assert!(!sidecar.node.is_ready());
-        let answer = call((address, OUTBOUND).into(), &read("one")).await.expect("an answer");
-        assert_eq!(answer.status, 503);
-        assert_ne!(answer.header("retry-after"), "");
+        let response = call((address, OUTBOUND).into(), &read("one")).await.expect("a response");
+        assert_eq!(response.status, 503);
+        assert_ne!(response.header("retry-after"), "");
     });
 }
 
@@ -54,8 +54,8 @@
         eventually("alpha's gate closes", || alpha.node().gate.borrow().is_closed()).await;
         let before = alpha.target.received_count();
         for number in 0..10 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
         }
         assert_eq!(alpha.target.received_count(), before);
         assert_eq!(second.target.started_requests().len(), 10);
@@ -81,7 +81,7 @@
         eventually("beta lists the second", || beta.node().targets.borrow().len() == 3).await;
         store.deregister(&alpha.target.id());
         for call in calls {
-            let status = call.await.expect("the caller ends").expect("an answer").status;
+            let status = call.await.expect("the caller ends").expect("a response").status;
             assert!(status == 200 || status == 503, "{status}");
         }
         assert_eq!(alpha.target.started_requests().len(), ran, "no queued call has reached the removed target");
@@ -93,14 +93,14 @@
 fn a_target_that_restarts_at_its_address_is_detected_while_the_store_does_not_respond() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
         store.set_mode(StoreMode::Unresponsive);
         alpha.target.restart();
         let before = alpha.target.received_count();
         let mut served = 0;
         for number in 0..20 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            served += usize::from(answer.status == 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            served += usize::from(response.status == 200);
         }
         assert!(served >= 19, "{served}");
         let rejected = alpha.target.received_count() - before - served;
@@ -113,7 +113,7 @@
     // Found by a soak test (seed 930021).
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
         let former = alpha.target.id();
         alpha.target.restart();
         store.register(&alpha.target, "ready");
@@ -121,22 +121,22 @@
         eventually("beta lists the new identity", || beta.node().targets.borrow().get(&present).is_some()).await;
         let mut served = 0;
         for number in 0..20 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            served += usize::from(answer.status == 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            served += usize::from(response.status == 200);
         }
         assert!(served >= 19, "{served}");
         store.deregister(&former);
         eventually("beta has removed the former identity", || beta.node().targets.borrow().get(&former).is_none())
             .await;
         assert!(beta.node().targets.borrow().get(&present).is_some());
-        assert_eq!(call(beta.outbound(), &read("last")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("last")).await.expect("a response").status, 200);
     });
 }
 
 #[test]
 fn a_target_is_queried_once_when_another_one_is_listed_at_its_address() {
-    // Found on the users' test bench after all machines had lost power: former and current targets were listed
-    // together, and each call queried the target's identity.
+    // Guards against this failure: after all machines had lost power, former and current targets were listed together,
+    // and each call queried the target's identity.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let other = format!(
@@ -147,8 +147,8 @@
         eventually("alpha lists it", || alpha.node().targets.borrow().get("i-another").is_some()).await;
         let before = alpha.target.probes();
         for number in 0..20 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
         }
         assert!(alpha.target.probes() - before <= 1, "{} queries", alpha.target.probes() - before);
     });
@@ -163,15 +163,15 @@
         let second = Machine::start(&store, "alpha", 8).await;
         eventually("beta lists both", || beta.node().targets.borrow().len() == 3).await;
         for number in 0..40 {
-            call(beta.outbound(), &read(&format!("good-{number}"))).await.expect("an answer");
+            call(beta.outbound(), &read(&format!("good-{number}"))).await.expect("a response");
         }
         alpha.target.set_behaviour(TargetBehaviour::RefusesRequests);
         let before = alpha.target.received_count();
         let started = tokio::time::Instant::now();
         let mut served = 0;
         for number in 0..60 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            served += usize::from(answer.status == 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            served += usize::from(response.status == 200);
             sleep(Duration::from_millis(10)).await;
         }
         assert!(served >= 58, "{served}");
@@ -187,7 +187,7 @@
     // target only with a former one that was still listed.
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
         let former = alpha.target.id();
         alpha.target.restart();
         // No task runs in between, so one response of the store contains both changes.
@@ -200,8 +200,8 @@
         }
         sleep(BOUNDS.batch_window()).await;
         for number in 0..10 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200, "call {number}");
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200, "call {number}");
         }
     });
 }
@@ -215,8 +215,8 @@
         // Only the list still contains the former identity.
         alpha.target.restart();
         let beta = Machine::start(&store, "beta", 8).await;
-        let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
-        assert_eq!(answer.status, 200);
+        let response = call(beta.outbound(), &read("one")).await.expect("a response");
+        assert_eq!(response.status, 200);
         assert_eq!((alpha.target.probes(), alpha.target.received_count()), (1, 1), "one query, no rejected call");
     });
 }
@@ -232,8 +232,8 @@
         let local = alpha.target.address;
         alpha.target.restart();
         let gamma = start_sidecar(address, "gamma", local, store.address);
-        let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
-        assert_eq!(answer.status, 503);
+        let response = call(beta.outbound(), &read("one")).await.expect("a response");
+        assert_eq!(response.status, 503);
         assert!(alpha.target.started_requests().is_empty());
         assert!(beta.node().targets.borrow().get(&former).is_some(), "no target of another service replaces it");
         drop(gamma);
@@ -244,7 +244,7 @@
 fn the_metrics_page_shows_calls_and_the_configuration() {
     run(async {
         let (_store, _alpha, beta) = two_machines().await;
-        call(beta.outbound(), &read("one")).await.expect("an answer");
+        call(beta.outbound(), &read("one")).await.expect("a response");
         let page = call(beta.metrics(), "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").await.expect("a page");
         let text = String::from_utf8(page.body).expect("text");
         assert!(text.contains("quillhatch_edge_calls_total{outcome=\"answered\"} 1"), "{text}");
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -22,8 +22,8 @@
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::LongBody(length));
         for id in ["one", "two", "three"] {
-            let answer = call(beta.outbound(), &read(id)).await.expect("a response");
-            assert_eq!((answer.status, answer.body.len()), (200, length));
+            let response = call(beta.outbound(), &read(id)).await.expect("a response");
+            assert_eq!((response.status, response.body.len()), (200, length));
         }
         assert_eq!(alpha.target.connections(), 1, "the connection to the target is reused");
     });
@@ -40,8 +40,8 @@
         sleep(Duration::from_millis(20)).await;
         caller.send(&(read("two") + &read("three"))).await;
         for id in ["one", "two", "three"] {
-            let answer = caller.next_response().await.expect("a response");
-            assert_eq!(answer.body, format!("the answer to {id}").as_bytes());
+            let response = caller.next_response().await.expect("a response");
+            assert_eq!(response.body, format!("the answer to {id}").as_bytes());
         }
         assert!(
             begun.elapsed() < Duration::from_millis(600),
@@ -86,8 +86,8 @@
         let (_store, alpha, beta) = two_machines().await;
         let mut caller = Caller::connect(beta.outbound()).await;
         caller.send("GET /read/x HTTP/1.1\r\nHost: ").await;
-        let answer = caller.next_response().await.expect("a response");
-        assert_eq!((answer.status, answer.header("connection")), (408, "close"));
+        let response = caller.next_response().await.expect("a response");
+        assert_eq!((response.status, response.header("connection")), (408, "close"));
         assert_eq!(caller.next_response().await, None);
         assert_eq!(alpha.target.received_count(), 0);
     });
@@ -109,7 +109,7 @@
 #[test]
 fn connections_that_only_a_burst_needed_are_closed_soon() {
     // Guards against this failure: edges kept the connections of a burst, so a gate ran out of file descriptors, and
-    // calls waited unaccepted until their callers had disconnected. Found on the users' bench.
+    // calls waited unaccepted until their callers had disconnected.
     run(async {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(150)));
@@ -153,9 +153,9 @@
         for number in 0..3 {
             let mut caller = Caller::connect(to).await;
             caller.send(&read(&format!("call-{number}"))).await;
-            let answer = caller.next_response().await.expect("a response");
-            let closes = answer.header("connection") == "close";
-            assert_eq!((answer.status, closes), (200, number == 2));
+            let response = caller.next_response().await.expect("a response");
+            let closes = response.header("connection") == "close";
+            assert_eq!((response.status, closes), (200, number == 2));
             callers.push(caller);
         }
         drop(alpha);
@@ -178,10 +178,10 @@
         store.write("servers/i-unreached", Some(&entry));
         eventually("the list changes", || beta.node().targets.borrow().get("i-unreached").is_some()).await;
         eventually("alpha is removed", || beta.node().targets.borrow().get(&alpha.target.id()).is_none()).await;
-        let answer = call(beta.outbound(), &request("GET", HOST, "/read/x", "one", SHORT_MS, "")).await;
-        let answer = answer.expect("a response");
-        assert_eq!(answer.status, 503);
-        assert_ne!(answer.header("retry-after"), "", "the response has a Retry-After header");
+        let response = call(beta.outbound(), &request("GET", HOST, "/read/x", "one", SHORT_MS, "")).await;
+        let response = response.expect("a response");
+        assert_eq!(response.status, 503);
+        assert_ne!(response.header("retry-after"), "", "the response has a Retry-After header");
     });
 }
 
@@ -197,7 +197,7 @@
         if !is_known {
             quillhatch_sidecar::local_target::mark_unverified(alpha.node());
         }
-        let answer = call(beta.outbound(), &request("POST", HOST, "/pay/", "one", SHORT_MS, "amount=7")).await;
-        assert_eq!(answer.expect("a response").status, 503);
+        let response = call(beta.outbound(), &request("POST", HOST, "/pay/", "one", SHORT_MS, "amount=7")).await;
+        assert_eq!(response.expect("a response").status, 503);
     });
 }
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -1,10 +1,10 @@
 //! Requests that crash the targets that run them.
 //!
-//! Guards against this failure: copies of one request, with different ids and through different machines, ended all
+//! Guards against this failure: copies of one request, with different ids and through different machines, crashed all
 //! targets of a service within half a second, and again after each restart, five times in a row, and the same later.
 //! Its callers got failures for 16 s, although the targets had spare capacity and all other services were healthy. No
 //! node recorded what a request had done to a target: each treated every copy as a new request, and its retries sent it
-//! to a second target. The calls that kept ending targets were first attempts, seconds after the previous crash,
+//! to a second target. The calls that kept crashing targets were first attempts, seconds after the previous crash,
 //! through machines that had not seen the request before.
 
 mod support;
@@ -94,7 +94,7 @@
     /// Sends copies of one request through all machines in turn for some time.
     async fn send_copies(&self, path: &str, name: &str, time: Duration) -> Vec<Response> {
         let begun = Instant::now();
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         let machines: Vec<&Machine> = self.all().collect();
         for number in 0.. {
             if begun.elapsed() >= time {
@@ -103,10 +103,10 @@
             self.heartbeat();
             let machine = machines[number % machines.len()];
             let text = request("GET", HOST, path, &format!("{name}-{number}"), 3000, "");
-            answers.extend(call(machine.outbound(), &text).await);
+            responses.extend(call(machine.outbound(), &text).await);
             sleep(Duration::from_millis(40)).await;
         }
-        answers
+        responses
     }
 }
 
@@ -117,7 +117,7 @@
         for number in 0.. {
             fleet.heartbeat();
             let text = request("GET", HOST, path, &format!("served-{number}-{}", machine.address), 3000, "");
-            if call(machine.outbound(), &text).await.is_some_and(|answer| answer.status == 200) {
+            if call(machine.outbound(), &text).await.is_some_and(|response| response.status == 200) {
                 break;
             }
             assert!(begun.elapsed() < Duration::from_secs(3), "{path} is not served at {}", machine.address);
@@ -157,9 +157,9 @@
         for machine in fleet.all() {
             let begun = Instant::now();
             let text = request("GET", HOST, CRASHING_PATH, &format!("late-{}", machine.address), 3000, "");
-            let answer = call(machine.outbound(), &text).await.expect("a response");
-            assert_eq!(answer.status, 503);
-            let seconds: f64 = answer.header("retry-after").parse().expect("a time");
+            let response = call(machine.outbound(), &text).await.expect("a response");
+            assert_eq!(response.status, 503);
+            let seconds: f64 = response.header("retry-after").parse().expect("a time");
             assert!((60.0..=200.0).contains(&seconds), "{seconds} s");
             assert!(begun.elapsed() < Duration::from_millis(300), "{:?}", begun.elapsed());
         }
--- a/crates/sidecar/tests/draining_targets.rs
+++ b/crates/sidecar/tests/draining_targets.rs
@@ -75,8 +75,8 @@
                 return;
             }
             for (number, machine) in self.machines.iter().enumerate() {
-                let answer = call(machine.outbound(), &read(&format!("{name}-{round}-{number}"))).await;
-                assert_eq!(answer.expect("a response").status, 200, "{name}, after {:?}", begun.elapsed());
+                let response = call(machine.outbound(), &read(&format!("{name}-{round}-{number}"))).await;
+                assert_eq!(response.expect("a response").status, 200, "{name}, after {:?}", begun.elapsed());
             }
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -69,7 +69,7 @@
         call(machines[0].outbound(), &read("reveals-a-source")).await;
         eventually("it has the other node's data", || restarted.node.position().is_known()).await;
         let unread_for = restarted.node.feed.store_read_at.get().map(|read_at| restarted.node.now().since(read_at));
-        // A watch that was waiting when the store stopped responding was still answered at its end.
+        // A watch that was waiting when the store stopped responding still got its response at its end.
         let min_age = lost.elapsed() - BOUNDS.recovery / 2;
         assert!(unread_for >= Some(min_age), "{unread_for:?}, expected at least {min_age:?}");
     });
@@ -176,8 +176,8 @@
         eventually("the new era is known", || beta.node().position().era == 2).await;
         let arrivals = draining.target.received_count();
         for number in 0..20 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
         }
         assert_eq!(draining.target.received_count(), arrivals, "a draining target receives no calls");
         assert_eq!(beta.node().configuration.borrow().version(), 6);
@@ -208,14 +208,14 @@
             if started.elapsed() > Duration::from_millis(1500) {
                 break;
             }
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200, "after {:?}", started.elapsed());
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200, "after {:?}", started.elapsed());
             sleep(Duration::from_millis(30)).await;
         }
         assert!(!late.target.started_requests().is_empty());
         lost.iter().for_each(|write| store.rewrite(write));
         sleep(Duration::from_secs(3)).await;
-        assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("later")).await.expect("a response").status, 200);
     });
 }
 
@@ -223,7 +223,7 @@
 fn a_target_that_restarts_under_the_same_identity_receives_calls_again() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("before")).await.expect("a response").status, 200);
         store.register(&alpha.target, "draining");
         let id = alpha.target.id();
         let is_draining = || beta.node().targets.borrow().get(&id).is_some_and(|target| target.registration.draining);
@@ -232,7 +232,7 @@
         store.register(&alpha.target, "ready");
         eventually("the restart is known", || !is_draining()).await;
         eventually("its gate is open", || !alpha.node().gate.borrow().is_closed()).await;
-        assert_eq!(call(beta.outbound(), &read("after")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("after")).await.expect("a response").status, 200);
         // A late write from before the restart.
         let entry = format!(
             r#"{{"service":"alpha","address":"{}","zone":"zone-a","version":"v1","slots":8,"state":"draining","cold_remaining_s":0,"seq":99,"born":7}}"#,
@@ -242,7 +242,7 @@
         store.write_configuration(&document(6, "alpha"));
         eventually("the next change is known", || beta.node().configuration.borrow().version() == 6).await;
         assert!(!is_draining());
-        assert_eq!(call(beta.outbound(), &read("later")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("later")).await.expect("a response").status, 200);
     });
 }
 
@@ -265,7 +265,7 @@
         store.write_configuration(&document(6, "alpha"));
         eventually("version 6", || beta.node().configuration.borrow().version() == 6).await;
         assert_eq!(beta.node().targets.borrow().len(), 2);
-        assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
         // A node that starts reads the malformed entries with all others.
         let gamma = Machine::start(&store, "beta", 8).await;
         assert_eq!(gamma.node().targets.borrow().len(), 3);
@@ -325,7 +325,7 @@
                 break;
             }
             assert!(started.elapsed() < Duration::from_secs(5), "the new node does not list it");
-            call(alpha.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
+            call(alpha.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
             sleep(Duration::from_millis(10)).await;
         }
         drop(others);
--- a/crates/sidecar/tests/partial_store_outage.rs
+++ b/crates/sidecar/tests/partial_store_outage.rs
@@ -46,8 +46,8 @@
             }
             assert!(started.elapsed() < limit, "not within {limit:?}: {what}");
             for entry in [self.beta.outbound(), self.alpha.outbound()] {
-                let answer = call(entry, &read(&format!("{what}-{number}-{entry}"))).await.expect("an answer");
-                assert_eq!(answer.status, 200, "{what}, after {:?}", started.elapsed());
+                let response = call(entry, &read(&format!("{what}-{number}-{entry}"))).await.expect("a response");
+                assert_eq!(response.status, 200, "{what}, after {:?}", started.elapsed());
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -94,11 +94,11 @@
                 break;
             }
             assert!(started.elapsed() < Duration::from_secs(5), "it is not ready in time");
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
             sleep(Duration::from_millis(20)).await;
         }
-        let own = call((address, OUTBOUND).into(), &read("own")).await.expect("an answer");
+        let own = call((address, OUTBOUND).into(), &read("own")).await.expect("a response");
         assert_eq!(own.status, 200);
         drop((store, gamma));
     });
@@ -126,8 +126,8 @@
                 break;
             }
             for entry in [beta.outbound(), alpha.outbound()] {
-                let answer = call(entry, &read(&format!("call-{number}-{entry}"))).await.expect("an answer");
-                assert_eq!(answer.status, 200);
+                let response = call(entry, &read(&format!("call-{number}-{entry}"))).await.expect("a response");
+                assert_eq!(response.status, 200);
             }
             sleep(Duration::from_millis(50)).await;
         }
@@ -153,15 +153,14 @@
             store.set_mode(StoreMode::Reset);
         }
         for call in calls {
-            assert_eq!(call.await.expect("the caller ends").expect("an answer").status, 200);
+            assert_eq!(call.await.expect("the caller ends").expect("a response").status, 200);
         }
     });
 }
 
 #[test]
 fn a_change_is_in_force_in_time_when_all_watches_hang_at_once() {
-    // Found on the users' test bench (inc-1720): after an outage every watch hung, so no node could send the change to
-    // the others.
+    // Guards against this failure: after an outage every watch hung, so no node could send the change to the others.
     run(async {
         let store = StandInStore::start().await;
         store.write_configuration(&document(5, "alpha"));
@@ -184,8 +183,8 @@
             }
             assert!(written.elapsed() < BOUNDS.recovery, "the change is not in force everywhere in time");
             for machine in &machines {
-                let answer = call(machine.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-                assert_eq!(answer.status, 200);
+                let response = call(machine.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+                assert_eq!(response.status, 200);
             }
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/sidecar/tests/stops.rs
+++ b/crates/sidecar/tests/stops.rs
@@ -38,8 +38,7 @@
 
 #[test]
 fn a_stop_answers_a_caller_whose_next_request_is_unread() {
-    // Guards against this failure: hyper closed the connection without having written the response. Found on the users'
-    // bench.
+    // Guards against this failure: hyper closed the connection without having written the response.
     run(async {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
@@ -74,7 +73,7 @@
             callers.push(tokio::task::spawn_local(async move {
                 let mut caller = Caller::try_connect(outbound).await?;
                 caller.send(&read(&id)).await;
-                Some((id, caller.next_response().await.map(|answer| answer.status)))
+                Some((id, caller.next_response().await.map(|response| response.status)))
             }));
             sleep(Duration::from_millis(20)).await;
         }
@@ -110,8 +109,8 @@
         // Until after the time in which the node drains its callers, when idle connections are closed.
         sleep(Duration::from_millis(3000)).await;
         for id in ["one", "two", "three"] {
-            let answer = caller.next_response().await.unwrap_or_else(|| panic!("the response to {id} is lost"));
-            assert_eq!((answer.status, answer.body.len()), (200, LENGTH), "{id}");
+            let response = caller.next_response().await.unwrap_or_else(|| panic!("the response to {id} is lost"));
+            assert_eq!((response.status, response.body.len()), (200, LENGTH), "{id}");
         }
         stopping.await.expect("it stops");
     });
--- a/crates/sidecar/tests/store.rs
+++ b/crates/sidecar/tests/store.rs
@@ -23,7 +23,7 @@
         store.set_mode(mode);
         sleep(Duration::from_millis(1200)).await;
         assert!(beta.node().is_ready());
-        assert_eq!(call(beta.outbound(), &read("one")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
         assert!(store.calls() - before < 20, "two nodes make {} calls in 1.2 s", store.calls() - before);
         store.set_mode(StoreMode::Normal);
         store.write_configuration(&document(6, "beta"));
@@ -68,7 +68,7 @@
         store.write_configuration(&document(6, "alpha"));
         let started = Instant::now();
         eventually("alpha has it", || alpha.node().configuration.borrow().version() == 6).await;
-        call(beta.outbound(), &read("one")).await.expect("an answer");
+        call(beta.outbound(), &read("one")).await.expect("a response");
         eventually("beta has it", || beta.node().configuration.borrow().version() == 6).await;
         assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
     });
@@ -97,7 +97,7 @@
         // The watch's connection still gets no response; a new one does.
         store_of_beta.set_mode(StoreMode::Normal);
         assert!(!beta.node().gate.borrow().is_closed());
-        call(beta.outbound(), &read("one")).await.expect("an answer");
+        call(beta.outbound(), &read("one")).await.expect("a response");
         eventually("beta's gate is closed", || beta.node().gate.borrow().is_closed()).await;
         assert!(started.elapsed() < support::BOUNDS.drain, "{:?}", started.elapsed());
     });
@@ -152,12 +152,12 @@
         alpha.sidecar.stop().await;
         let restarted = start_sidecar(address, "alpha", local, store.address);
         assert!(!restarted.node.is_ready());
-        let answer = call(beta.outbound(), &read("one")).await.expect("an answer");
-        assert_eq!(answer.status, 200);
+        let response = call(beta.outbound(), &read("one")).await.expect("a response");
+        assert_eq!(response.status, 200);
         eventually("the restarted node is ready", || restarted.node.is_ready()).await;
         assert_eq!(restarted.node.configuration.borrow().version(), 5);
         assert_eq!(restarted.node.targets.borrow().len(), 2);
-        let own = call((address, OUTBOUND).into(), &read("two")).await.expect("an answer");
+        let own = call((address, OUTBOUND).into(), &read("two")).await.expect("a response");
         assert_eq!(own.status, 200);
     });
 }
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_target_whose_machine_is_partitioned_from_the_store_serves_after_its_registration_expires() {
-    // Found on the users' test bench: two of three targets of a service were removed from the list while they were
+    // Guards against this failure: two of three targets of a service were removed from the list while they were
     // serving.
     run(async {
         let store = StandInStore::start().await;
@@ -198,22 +198,22 @@
             view.store_unreachable
         })
         .await;
-        assert_eq!(call(beta.outbound(), &read("before")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("before")).await.expect("a response").status, 200);
         store.deregister(&alpha.target.id());
         let started = Instant::now();
         for number in 0.. {
             if started.elapsed() > Duration::from_secs(6) {
                 break;
             }
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200, "after {:?}", started.elapsed());
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200, "after {:?}", started.elapsed());
             sleep(Duration::from_millis(50)).await;
         }
         // The partition ends, and the target has registered again.
         store.register(&alpha.target, "ready");
         store_of_alpha.set_mode(StoreMode::Normal);
         sleep(Duration::from_millis(4500)).await;
-        assert_eq!(call(beta.outbound(), &read("healed")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("healed")).await.expect("a response").status, 200);
         // A target whose registration ends while its machine can read the store is removed.
         store.deregister(&alpha.target.id());
         eventually("it is removed", || beta.node().targets.borrow().len() == 1).await;
@@ -222,7 +222,7 @@
 
 #[test]
 fn targets_whose_registrations_expired_in_a_store_outage_are_retained_until_they_are_listed_again() {
-    // Found on the users' test bench: after an outage the store listed one of twelve targets.
+    // Guards against this failure: after an outage the store listed one of twelve targets.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(StoreMode::Status(503));
@@ -232,20 +232,20 @@
         store.set_mode(StoreMode::Normal);
         eventually("the store is read", || beta.node().feed.store_loss.get().since().is_none()).await;
         for number in 0..5 {
-            let answer = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("an answer");
-            assert_eq!(answer.status, 200);
+            let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
+            assert_eq!(response.status, 200);
         }
         store.register(&alpha.target, "ready");
         sleep(Duration::from_millis(4500)).await;
         let targets = || beta.node().targets.borrow().len();
         eventually("the one that was not listed again is removed", || targets() == 1).await;
-        assert_eq!(call(beta.outbound(), &read("after")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("after")).await.expect("a response").status, 200);
     });
 }
 
 #[test]
 fn a_target_that_is_updated_and_removed_in_one_response_is_removed() {
-    // Found on the users' test bench: several changes of one target in one batch listed it again after its removal.
+    // Guards against this failure: several changes of one target in one batch listed it again after its removal.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         sleep(Duration::from_millis(1500)).await;
@@ -351,7 +351,7 @@
         store.set_mode(StoreMode::Normal);
         eventually("the store is read", || beta.node().feed.store_loss.get().since().is_none()).await;
         let read_at = Instant::now();
-        assert_eq!(call(beta.outbound(), &read("retained")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &read("retained")).await.expect("a response").status, 200);
         eventually("it did not register again", || beta.node().targets.borrow().len() == 3).await;
         let retained_for = read_at.elapsed();
         assert!(
--- a/crates/sidecar/tests/support/tenancy.rs
+++ b/crates/sidecar/tests/support/tenancy.rs
@@ -48,7 +48,7 @@
 
 /// Sends a read with an API key through `machine`.
 pub async fn read(machine: &Machine, id: &str, key: &str) -> Response {
-    call(machine.outbound(), &get("read", id, &with_key(key))).await.expect("an answer")
+    call(machine.outbound(), &get("read", id, &with_key(key))).await.expect("a response")
 }
 
 /// Adds a bound on revocation to the settings.
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -25,8 +25,8 @@
         store_of_beta.set_mode(StoreMode::Unresponsive);
         store.write_configuration(&tenancy::document(6, &["another-key"]));
         beta.node().clock.suspend_for(REVOCATION);
-        let answer = tenancy::read(&beta, "after", FREE_KEY).await;
-        assert_eq!(answer.status, 503, "the configuration is too old to accept keys");
+        let response = tenancy::read(&beta, "after", FREE_KEY).await;
+        assert_eq!(response.status, 503, "the configuration is too old to accept keys");
         assert!(!beta.node().is_ready());
     });
 }
@@ -35,7 +35,7 @@
 fn the_store_is_read_at_once_after_a_suspension() {
     run(async {
         let (store, alpha, beta) = shop::two_machines().await;
-        // The store never answers the current watch.
+        // The store never responds to the current watch.
         store.set_mode(StoreMode::WatchHangs);
         store.register(&alpha.target, "draining");
         sleep(Duration::from_millis(100)).await;
@@ -62,8 +62,8 @@
         let started = Instant::now();
         // Any call makes the node detect the suspension.
         call(beta.outbound(), &request("GET", shop::HOST, "/none/", "wakes", 1000, "")).await;
-        let answer = caller.next_response_within(Duration::from_secs(2)).await.expect("an answer");
-        assert!((500..600).contains(&answer.status), "{}", answer.status);
+        let response = caller.next_response_within(Duration::from_secs(2)).await.expect("a response");
+        assert!((500..600).contains(&response.status), "{}", response.status);
         assert!(started.elapsed() < Duration::from_millis(300), "{:?}", started.elapsed());
     });
 }
@@ -89,7 +89,7 @@
                 let node = machine.node();
                 node.tenancy.limits.borrow().has_coordinator(period, node.now())
             };
-            eventually("a coordinator answers", || has_coordinator(&beta)).await;
+            eventually("a coordinator responds", || has_coordinator(&beta)).await;
             alpha.sidecar.stop().await;
             beta.node().clock.suspend_for(Duration::from_secs(3));
             assert!(!has_coordinator(&beta), "the coordinator's shares have expired");
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -31,7 +31,7 @@
         let (_store, alpha, beta) = start().await;
         let forged = format!("{}Quillhatch-Tenant: limited\r\n", with_key(FREE_KEY));
         for (id, headers) in [("one", with_key(FREE_KEY)), ("two", forged)] {
-            assert_eq!(call(beta.outbound(), &get("read", id, &headers)).await.expect("an answer").status, 200);
+            assert_eq!(call(beta.outbound(), &get("read", id, &headers)).await.expect("a response").status, 200);
         }
         for seen in alpha.target.started_requests() {
             assert_eq!((seen.header("quillhatch-tenant"), seen.header("x-api-key")), ("free", ""), "{}", seen.id());
@@ -49,7 +49,7 @@
     let request = get("read", "one", headers);
     run(async move {
         let (_store, alpha, beta) = start().await;
-        assert_eq!(call(beta.outbound(), &request).await.expect("an answer").status, status);
+        assert_eq!(call(beta.outbound(), &request).await.expect("a response").status, status);
         assert_eq!(alpha.target.received_count(), usize::from(status == 200));
     });
 }
@@ -61,7 +61,7 @@
         let source = IpAddr::V4(beta.address);
         let mut caller = Caller::connect_from(source, beta.outbound()).await.expect("a connection");
         caller.send(&get("read", "one", "")).await;
-        assert_eq!(caller.next_response().await.expect("an answer").status, 401);
+        assert_eq!(caller.next_response().await.expect("a response").status, 401);
         assert_eq!(alpha.target.received_count(), 0);
     });
 }
@@ -73,7 +73,7 @@
         for (id, headers) in [("one", String::new()), ("two", with_key("key-of-nobody")), ("three", with_key(FREE_KEY))]
         {
             let forged = format!("{headers}Quillhatch-Tenant: limited\r\n");
-            assert_eq!(call(beta.outbound(), &get("open", id, &forged)).await.expect("an answer").status, 200);
+            assert_eq!(call(beta.outbound(), &get("open", id, &forged)).await.expect("a response").status, 200);
         }
         for seen in alpha.target.started_requests() {
             assert_eq!((seen.header("quillhatch-tenant"), seen.header("x-api-key")), ("", ""), "{}", seen.id());
@@ -92,7 +92,7 @@
         });
         for number in 0..20 {
             let request = get("chain", &format!("c{number}"), &with_key(FREE_KEY));
-            assert_eq!(call(beta.outbound(), &request).await.expect("an answer").status, 200, "{number}");
+            assert_eq!(call(beta.outbound(), &request).await.expect("a response").status, 200, "{number}");
         }
         assert_eq!(beta.target.started_requests().len(), 20);
     });
@@ -127,7 +127,7 @@
 fn calls_beyond_a_limit_get_retry_after_and_other_tenants_are_unaffected() {
     run(async {
         let (_store, alpha, beta) = start().await;
-        eventually("a coordinator answers", || {
+        eventually("a coordinator responds", || {
             let machines = beta.node().tenancy.machine_count.get();
             let period = quillhatch_mesh::limits::report_period(machines);
             beta.node().tenancy.limits.borrow().has_coordinator(period, beta.node().now())
@@ -136,13 +136,13 @@
         let (mut served, mut refused) = (0, 0);
         let started = Instant::now();
         while started.elapsed() < Duration::from_secs(4) {
-            let answer = read(&beta, &format!("l{}", served + refused), LIMITED_KEY).await;
-            if answer.status == 429 {
-                let pause: f64 = answer.header("retry-after").parse().expect("a time");
+            let response = read(&beta, &format!("l{}", served + refused), LIMITED_KEY).await;
+            if response.status == 429 {
+                let pause: f64 = response.header("retry-after").parse().expect("a time");
                 assert!((0.1..10.0).contains(&pause), "{pause}");
                 refused += 1;
             } else {
-                assert_eq!(answer.status, 200);
+                assert_eq!(response.status, 200);
                 served += 1;
             }
             sleep(Duration::from_millis(20)).await;
@@ -176,8 +176,8 @@
             if started.elapsed() >= window {
                 break;
             }
-            let answer = read(machine, &format!("l{number}"), LIMITED_KEY).await;
-            served += usize::from(answer.status == 200);
+            let response = read(machine, &format!("l{number}"), LIMITED_KEY).await;
+            served += usize::from(response.status == 200);
             sleep(Duration::from_millis(1)).await;
         }
         assert!(served <= max_calls, "{served} of {max_calls}");
@@ -208,11 +208,11 @@
             sleep(Duration::from_millis(20)).await;
         }
         assert!(outage_start.elapsed() < REVOCATION, "{:?}", outage_start.elapsed());
-        let answer = read(&beta, "late", FREE_KEY).await;
-        assert_eq!(answer.status, 503);
-        assert!(answer.header("retry-after").parse::<f64>().is_ok(), "it contains a retry delay");
+        let response = read(&beta, "late", FREE_KEY).await;
+        assert_eq!(response.status, 503);
+        assert!(response.header("retry-after").parse::<f64>().is_ok(), "it contains a retry delay");
         assert!(!beta.node().is_ready(), "callers are directed elsewhere");
-        assert_eq!(call(beta.outbound(), &get("open", "open", "")).await.expect("an answer").status, 200);
+        assert_eq!(call(beta.outbound(), &get("open", "open", "")).await.expect("a response").status, 200);
         store.set_mode(StoreMode::Normal);
         eventually("keys are accepted again", || beta.node().is_ready() && alpha.node().is_ready()).await;
         assert_eq!(read(&beta, "again", FREE_KEY).await.status, 200);
