--- a/crates/settings/src/node_settings/checks.rs
+++ b/crates/settings/src/node_settings/checks.rs
@@ -212,7 +212,7 @@
             longer: ("probe_interval", timings.probe_interval),
             shorter: ("acknowledge_timeout", timings.acknowledge_timeout),
             factor: 1,
-            reason: "a direct probe must time out before the next one starts",
+            reason: "an unanswered probe must time out before the next one starts",
         },
         TimingConstraint {
             longer: ("suspicion_timeout", timings.suspicion_timeout),
