--- a/crates/calls/src/gate/admission.rs
+++ b/crates/calls/src/gate/admission.rs
@@ -17,19 +17,19 @@
 const BUCKET_RANKS: u16 = 64;
 const BUCKETS: usize = (BANDS * RANKS_PER_BAND / BUCKET_RANKS) as usize;
 /// What remains of earlier periods' counts in each new period.
-const RETENTION: f64 = 0.8;
-const SMALLEST_CUT: u16 = 16;
-const LARGEST_CUT: u16 = RANKS_PER_BAND;
-const FIRST_STEP: u16 = 32;
-const LARGEST_STEP: u16 = RANKS_PER_BAND;
+const COUNT_RETENTION: f64 = 0.8;
+const MIN_DECREASE: u16 = 16;
+const MAX_DECREASE: u16 = RANKS_PER_BAND;
+const INITIAL_STEP: u16 = 32;
+const MAX_STEP: u16 = RANKS_PER_BAND;
 /// The growth of the step from one calm period to the next.
-const FACTOR: u16 = 2;
+const STEP_FACTOR: u16 = 2;
 /// The same while slots are free and nothing waits: the overload is over.
-const IDLE_FACTOR: u16 = 4;
+const IDLE_STEP_FACTOR: u16 = 4;
 /// Calm periods that are made up for at once after a gate was not stepped for long.
-const LARGEST_BACKLOG: u64 = 64;
+const MAX_ELAPSED_PERIODS: u64 = 64;
 /// The time after a refusal during which the gate counts as overloaded.
-const OVERLOAD_MEMORY: Duration = Duration::from_millis(500);
+const OVERLOAD_DURATION: Duration = Duration::from_millis(500);
 
 /// What the controller is told of its gate at the end of a period.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     arrivals: [f64; BUCKETS],
     served: f64,
     period_start: Timestamp,
-    pressed: bool,
+    under_pressure: bool,
     unprotected_served: bool,
     step: u16,
     last_pressure: Option<Timestamp>,
@@ -60,9 +60,9 @@
             arrivals: [0.0; BUCKETS],
             served: 0.0,
             period_start: Timestamp::ZERO,
-            pressed: false,
+            under_pressure: false,
             unprotected_served: false,
-            step: FIRST_STEP,
+            step: INITIAL_STEP,
             last_pressure: None,
         }
     }
@@ -78,7 +78,7 @@
 
     /// Whether the gate refused calls a moment ago or still asks edges to refuse some.
     pub(super) fn overloaded(&self, now: Timestamp) -> bool {
-        let recent = self.last_pressure.is_some_and(|at| now.since(at) < OVERLOAD_MEMORY);
+        let recent = self.last_pressure.is_some_and(|at| now.since(at) < OVERLOAD_DURATION);
         recent || self.level < AdmissionLevel::OPEN.0
     }
 
@@ -94,14 +94,14 @@
     }
 
     /// The gate refused a call for want of capacity, or the queue stands.
-    pub(super) fn pressure(&mut self, now: Timestamp) {
-        self.pressed = true;
+    pub(super) fn record_pressure(&mut self, now: Timestamp) {
+        self.under_pressure = true;
         self.last_pressure = Some(now);
     }
 
     /// When the next period ends, while that matters.
     pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        let waits = self.pressed || self.level < AdmissionLevel::OPEN.0;
+        let waits = self.under_pressure || self.level < AdmissionLevel::OPEN.0;
         waits.then(|| self.period_start + PERIOD)
     }
 
@@ -111,36 +111,36 @@
         if periods == 0 {
             return;
         }
-        if self.pressed {
+        if self.under_pressure {
             self.lower(state.unprotected_present || self.unprotected_served);
-            self.step = FIRST_STEP;
+            self.step = INITIAL_STEP;
         } else {
-            self.raise(if state.idle { IDLE_FACTOR } else { FACTOR });
+            self.raise(if state.idle { IDLE_STEP_FACTOR } else { STEP_FACTOR });
         }
-        for _ in 1..periods.min(LARGEST_BACKLOG) {
-            self.raise(FACTOR);
+        for _ in 1..periods.min(MAX_ELAPSED_PERIODS) {
+            self.raise(STEP_FACTOR);
         }
-        let retention = RETENTION.powi(periods.min(LARGEST_BACKLOG) as i32);
+        let retention = COUNT_RETENTION.powi(periods.min(MAX_ELAPSED_PERIODS) as i32);
         self.arrivals.iter_mut().for_each(|count| *count *= retention);
         self.served *= retention;
-        self.pressed = false;
+        self.under_pressure = false;
         self.unprotected_served = false;
         self.period_start = now;
     }
 
     fn raise(&mut self, factor: u16) {
         self.level = self.level.saturating_add(self.step).min(AdmissionLevel::OPEN.0);
-        self.step = (self.step * factor).min(LARGEST_STEP);
+        self.step = (self.step * factor).min(MAX_STEP);
         if self.level == AdmissionLevel::OPEN.0 {
-            self.step = FIRST_STEP;
+            self.step = INITIAL_STEP;
         }
     }
 
     fn lower(&mut self, unprotected_present: bool) {
         // Edges must not refuse protected calls while this gate serves less important ones.
         let floor = if unprotected_present { PROTECTED_RANKS } else { 0 };
-        let largest = self.level.saturating_sub(LARGEST_CUT);
-        let smallest = self.level.saturating_sub(SMALLEST_CUT);
+        let largest = self.level.saturating_sub(MAX_DECREASE);
+        let smallest = self.level.saturating_sub(MIN_DECREASE);
         let target = self.fitting_rank().clamp(largest, smallest);
         self.level = target.max(floor.min(self.level));
     }
--- a/crates/calls/src/gate/arrival.rs
+++ b/crates/calls/src/gate/arrival.rs
@@ -8,7 +8,7 @@
 use super::io::GateOutput;
 use super::machine::Gate;
 use super::queue::{Ticket, Waiting};
-use super::tokens::TokenPurse;
+use super::tokens::TokenAccount;
 
 /// A waiting attempt that gives way to a more important one.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
 }
 
 /// A longer remaining time is taken as this; it keeps a forged value from holding memory.
-const LONGEST_REMAINING: Duration = Duration::from_secs(3600);
+const MAX_REMAINING_TIME: Duration = Duration::from_secs(3600);
 
 impl Gate {
     pub(super) fn arrive(&mut self, now: Timestamp, context: Box<CallContext>, outputs: &mut Vec<GateOutput>) {
@@ -37,12 +37,12 @@
             self.admission.arrived(context.rank);
         }
         if is_protected(context.rank) {
-            self.protected_seen = Some(now);
+            self.last_protected_arrival = Some(now);
         }
-        let starts_at_once =
-            self.would_start_next(lane, &context) && self.has_room(now, lane, is_protected(context.rank));
-        if !starts_at_once {
-            if let Some(refusal) = self.make_room_to_wait(now, lane, &context, outputs) {
+        let starts_immediately =
+            self.would_start_next(lane, &context) && self.has_free_slot(now, lane, is_protected(context.rank));
+        if !starts_immediately {
+            if let Some(refusal) = self.admit_to_queue(now, lane, &context, outputs) {
                 self.refuse_arrival(now, &context, refusal, outputs);
                 return;
             }
@@ -95,7 +95,7 @@
     }
 
     /// Decides whether a newcomer that finds no free slot may wait; evicts less important work if the queue is full.
-    fn make_room_to_wait(
+    fn admit_to_queue(
         &mut self,
         now: Timestamp,
         lane: Lane,
@@ -105,22 +105,22 @@
         if lane == Lane::Short {
             self.limit.blocked();
         }
-        let gives_way = self.less_important(lane, context);
-        let protected_work_first = is_protected(context.rank) && gives_way.is_some();
+        let candidate = self.eviction_candidate(lane, context);
+        let displaces_unprotected = is_protected(context.rank) && candidate.is_some();
         let above_level = lane == Lane::Short && !self.level().admits(context.rank);
-        let too_late = self.expected_wait(now, lane, context) > self.longest_useful_wait(now, context);
-        if !protected_work_first && (above_level || too_late) {
+        let too_late = self.expected_wait(now, lane, context) > self.max_useful_wait(now, context);
+        if !displaces_unprotected && (above_level || too_late) {
             // A refusal that the level itself caused must not count as pressure: the level would hold itself down.
             if !above_level {
                 self.note_pressure(now, lane);
             }
             return Some(self.overload_refusal(RefusalReason::Overloaded));
         }
-        if self.queue(lane).len() < self.queue_bound(now, lane) {
+        if self.queue(lane).len() < self.max_queue_len(now, lane) {
             return None;
         }
         self.note_pressure(now, lane);
-        let Some(victim) = gives_way else {
+        let Some(victim) = candidate else {
             return Some(self.overload_refusal(RefusalReason::Overloaded));
         };
         self.evict(now, victim, outputs);
@@ -128,7 +128,7 @@
     }
 
     /// The waiting attempt that would give way to `context`: no protected one while a less important one waits in any lane.
-    fn less_important(&self, lane: Lane, context: &CallContext) -> Option<Victim> {
+    fn eviction_candidate(&self, lane: Lane, context: &CallContext) -> Option<Victim> {
         let of_lane = |lane: Lane| {
             let least = self.queue(lane).least_important().filter(|(_, waiting)| waiting.rank > context.rank);
             least.map(|(ticket, waiting)| Victim { lane, ticket, attempt: waiting.attempt, rank: waiting.rank })
@@ -143,14 +143,14 @@
     /// The number of attempts that may wait: no more than get a slot within the queue timeout.
     ///
     /// Otherwise the least important would wait in vain, overtaken until their time is over.
-    fn queue_bound(&mut self, now: Timestamp, lane: Lane) -> usize {
+    fn max_queue_len(&mut self, now: Timestamp, lane: Lane) -> usize {
         let bound = self.settings.maximum_waiting;
         if lane == Lane::Large {
             // Protected short calls may have taken the places of waiting large answers, beyond their own bound.
             let beyond = self.short_queue.len().saturating_sub(bound);
             return self.settings.maximum_waiting_large.saturating_sub(beyond);
         }
-        if !self.settings.mechanisms.early_refusal || self.hold_seconds <= 0.0 {
+        if !self.settings.mechanisms.early_refusal || self.mean_slot_seconds <= 0.0 {
             return bound;
         }
         let served = self.queue_timeout().as_secs_f64() * self.slot_rate(now);
@@ -159,26 +159,26 @@
 
     /// The rate at which slots become free, by Little's law, per second.
     fn slot_rate(&mut self, now: Timestamp) -> f64 {
-        f64::from(self.short_limit(now).max(1)) / self.hold_seconds
+        f64::from(self.short_limit(now).max(1)) / self.mean_slot_seconds
     }
 
     /// The expected wait: those ahead, over the rate at which slots become free.
     fn expected_wait(&mut self, now: Timestamp, lane: Lane, context: &CallContext) -> Duration {
-        if lane == Lane::Large || !self.settings.mechanisms.early_refusal || self.hold_seconds <= 0.0 {
+        if lane == Lane::Large || !self.settings.mechanisms.early_refusal || self.mean_slot_seconds <= 0.0 {
             return Duration::ZERO;
         }
         let ahead = self.short_queue.ahead_of(context.rank, self.overloaded(now)) as f64;
         Duration::from_secs_f64(ahead / self.slot_rate(now))
     }
 
-    fn longest_useful_wait(&self, now: Timestamp, context: &CallContext) -> Duration {
+    fn max_useful_wait(&self, now: Timestamp, context: &CallContext) -> Duration {
         let spare = context.remaining.saturating_sub(self.needed_time(now, context));
         spare.min(self.queue_timeout())
     }
 
     fn queue_timeout(&self) -> Duration {
         if !self.settings.mechanisms.queue_timeout {
-            return LONGEST_REMAINING;
+            return MAX_REMAINING_TIME;
         }
         self.target.as_ref().map_or(Duration::ZERO, |target| target.queue_timeout)
     }
@@ -186,13 +186,13 @@
     pub(super) fn note_pressure(&mut self, now: Timestamp, lane: Lane) {
         // Downloads have slots of their own: their queue says nothing about the slots of short calls.
         if lane == Lane::Short {
-            self.admission.pressure(now);
+            self.admission.record_pressure(now);
         }
     }
 
     fn enqueue(&mut self, now: Timestamp, lane: Lane, context: Box<CallContext>) {
         let attempt = context.attempt_id();
-        let deadline = now + context.remaining.min(LONGEST_REMAINING);
+        let deadline = now + context.remaining.min(MAX_REMAINING_TIME);
         let queue_expires = now + self.queue_timeout();
         let expires = queue_expires.min(self.latest_start(now, deadline, &context));
         let waiting = Waiting { attempt, rank: context.rank, since: now, expires };
@@ -201,7 +201,7 @@
             lane,
             deadline,
             phase: Phase::Waiting { ticket, queue_expires },
-            tokens: TokenPurse::new(context.tokens),
+            tokens: TokenAccount::new(context.tokens),
             slot_since: now,
             counted_bytes: 0,
             context,
@@ -224,7 +224,7 @@
             if at > now {
                 break;
             }
-            if !self.stays_in_place_of_another(now, lane, ticket, outputs) {
+            if !self.extend_by_eviction(now, lane, ticket, outputs) {
                 self.refuse_expired(now, lane, ticket, outputs);
             }
         }
@@ -246,7 +246,7 @@
     }
 
     /// A protected attempt at the end of its queue time stays while less important work waits, which is refused for it.
-    fn stays_in_place_of_another(
+    fn extend_by_eviction(
         &mut self,
         now: Timestamp,
         lane: Lane,
@@ -256,17 +256,17 @@
         let Some(waiting) = self.queue(lane).get(ticket) else { return false };
         let Some(entry) = self.attempts.get(&waiting.attempt) else { return false };
         let latest = self.latest_start(now, entry.deadline, &entry.context);
-        let less_important = self.less_important(lane, &entry.context);
-        let Some(victim) = less_important.filter(|_| entry.is_protected() && latest > now) else {
+        let eviction_candidate = self.eviction_candidate(lane, &entry.context);
+        let Some(victim) = eviction_candidate.filter(|_| entry.is_protected() && latest > now) else {
             return false;
         };
         self.note_pressure(now, lane);
         self.evict(now, victim, outputs);
-        self.wait_on(now, lane, ticket, latest);
+        self.extend_wait(now, lane, ticket, latest);
         true
     }
 
-    fn wait_on(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, latest: Timestamp) {
+    fn extend_wait(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, latest: Timestamp) {
         let queue_expires = now + self.queue_timeout();
         let Some(waiting) = self.queue_mut(lane).remove(ticket) else { return };
         let ticket = self.queue_mut(lane).push(Waiting { expires: queue_expires.min(latest), ..waiting });
--- a/crates/calls/src/gate/attempt.rs
+++ b/crates/calls/src/gate/attempt.rs
@@ -7,7 +7,7 @@
 use quillhatch_types::{AdmissionRank, CallContext, Timestamp};
 
 use super::queue::Ticket;
-use super::tokens::TokenPurse;
+use super::tokens::TokenAccount;
 
 /// The rank below which calls are protected: first tries and retries of the highest priority.
 pub(super) const PROTECTED_RANKS: u16 = 2 * RANKS_PER_BAND;
@@ -40,7 +40,7 @@
     /// It waits for a slot.
     Waiting { ticket: Ticket, queue_expires: Timestamp },
     /// It holds a slot; its claim is being recorded.
-    Claiming { gives_up: Timestamp },
+    Claiming { claim_expires: Timestamp },
     /// It is at the back end.
     Running { since: Timestamp, answer_started: bool, cancel_sent: bool, timer: Timestamp },
 }
@@ -52,7 +52,7 @@
     pub(super) lane: Lane,
     pub(super) deadline: Timestamp,
     pub(super) phase: Phase,
-    pub(super) tokens: TokenPurse,
+    pub(super) tokens: TokenAccount,
     pub(super) slot_since: Timestamp,
     pub(super) counted_bytes: u64,
 }
--- a/crates/calls/src/gate/large_answers.rs
+++ b/crates/calls/src/gate/large_answers.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether another large answer may begin; one may always run, however large.
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         if self.streams == 0 {
             return true;
         }
--- a/crates/calls/src/gate/limit/baseline.rs
+++ b/crates/calls/src/gate/limit/baseline.rs
@@ -12,18 +12,18 @@
 /// The weight of a period a little below the baseline, which may be chance.
 const SLIGHT_DOWNWARD_GAIN: f64 = 0.05;
 /// The share of the baseline below which a period is clearly below it.
-const CLEARLY_BELOW: f64 = 0.7;
+const CLEARLY_BELOW_RATIO: f64 = 0.7;
 /// The weight of a period above the baseline while the back end is far from its limit.
 const UPWARD_GAIN: f64 = 0.1;
 /// The weight of a period slightly above the baseline under about the configured limit. It evens out the chance downward
 /// steps; more would let queueing creep into the baseline.
 const SLIGHT_UPWARD_GAIN: f64 = 0.02;
-/// Measurements of a class that move its baseline; fewer would pull it down by chance.
-const SAMPLES_TO_MOVE: u32 = 20;
+/// PeriodMeasurements of a class that move its baseline; fewer would pull it down by chance.
+const MIN_SAMPLES_TO_MOVE: u32 = 20;
 /// Classes measured; further ones share the mean inflation of the others. The configuration lists far fewer.
-const LARGEST_CLASSES: usize = 64;
+const MAX_CLASSES: usize = 64;
 /// Latencies below this are taken as this; a shorter one is below what the gate can measure.
-const SMALLEST_LATENCY: f64 = 20e-6;
+const MIN_LATENCY_SECONDS: f64 = 20e-6;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassBaseline {
@@ -31,15 +31,15 @@
     count: u32,
     sum: f64,
     sum_of_squares: f64,
-    banked: Bank,
+    pending: PendingSamples,
 }
 
-/// Measurements of several periods, until they are enough to move the baseline.
+/// PeriodMeasurements of several periods, until they are enough to move the baseline.
 #[derive(Clone, Copy, Debug, Default)]
-struct Bank {
+struct PendingSamples {
     count: u32,
     sum: f64,
-    load: Load,
+    load: LoadLevel,
 }
 
 /// The baselines and the measurements of the current period.
@@ -50,7 +50,7 @@
 
 /// What the latencies of a period may do to the baselines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Load {
+pub(super) enum LoadLevel {
     /// The back end was far from its limit.
     #[default]
     Low,
@@ -70,12 +70,12 @@
 
 impl Baselines {
     pub(super) fn record(&mut self, class: &ClassName, latency: Duration) {
-        let latency = latency.as_secs_f64().max(SMALLEST_LATENCY);
+        let latency = latency.as_secs_f64().max(MIN_LATENCY_SECONDS);
         if let Some(entry) = self.classes.get_mut(class) {
             entry.count += 1;
             entry.sum += latency;
             entry.sum_of_squares += latency * latency;
-        } else if self.classes.len() < LARGEST_CLASSES {
+        } else if self.classes.len() < MAX_CLASSES {
             let sum_of_squares = latency * latency;
             let entry = ClassBaseline { count: 1, sum: latency, sum_of_squares, ..ClassBaseline::default() };
             self.classes.insert(class.clone(), entry);
@@ -101,7 +101,7 @@
     /// Takes the period's means into the baselines and begins a new period.
     ///
     /// `inflation` places a class that is seen for the first time.
-    pub(super) fn end_period(&mut self, load: Load, inflation: f64) {
+    pub(super) fn end_period(&mut self, load: LoadLevel, inflation: f64) {
         for class in self.classes.values_mut().filter(|class| class.count > 0) {
             class.end_period(load, inflation);
         }
@@ -110,36 +110,36 @@
     /// Multiplies all baselines: the latency has changed for a reason other than concurrency.
     pub(super) fn scale(&mut self, factor: f64) {
         for class in self.classes.values_mut() {
-            class.seconds = class.seconds.map(|seconds| (seconds * factor).max(SMALLEST_LATENCY));
-            class.banked = Bank::default();
+            class.seconds = class.seconds.map(|seconds| (seconds * factor).max(MIN_LATENCY_SECONDS));
+            class.pending = PendingSamples::default();
         }
     }
 }
 
 impl ClassBaseline {
-    fn end_period(&mut self, load: Load, inflation: f64) {
-        self.banked.count += self.count;
-        self.banked.sum += self.sum;
-        self.banked.load = self.banked.load.max(load);
+    fn end_period(&mut self, load: LoadLevel, inflation: f64) {
+        self.pending.count += self.count;
+        self.pending.sum += self.sum;
+        self.pending.load = self.pending.load.max(load);
         self.count = 0;
         self.sum = 0.0;
         self.sum_of_squares = 0.0;
-        let mean = self.banked.sum / f64::from(self.banked.count);
+        let mean = self.pending.sum / f64::from(self.pending.count);
         match self.seconds {
             None => self.seconds = Some(mean / inflation.max(1.0)),
-            Some(_) if self.banked.count < SAMPLES_TO_MOVE => return,
-            Some(old) => self.seconds = Some(old + gain(mean / old, self.banked.load) * (mean - old)),
+            Some(_) if self.pending.count < MIN_SAMPLES_TO_MOVE => return,
+            Some(old) => self.seconds = Some(old + gain(mean / old, self.pending.load) * (mean - old)),
         }
-        self.banked = Bank::default();
+        self.pending = PendingSamples::default();
     }
 }
 
-fn gain(ratio: f64, load: Load) -> f64 {
+fn gain(ratio: f64, load: LoadLevel) -> f64 {
     match load {
-        _ if ratio < CLEARLY_BELOW => DOWNWARD_GAIN,
+        _ if ratio < CLEARLY_BELOW_RATIO => DOWNWARD_GAIN,
         _ if ratio < 1.0 => SLIGHT_DOWNWARD_GAIN,
-        Load::Low => UPWARD_GAIN,
-        Load::Slight => SLIGHT_UPWARD_GAIN,
-        Load::High => 0.0,
+        LoadLevel::Low => UPWARD_GAIN,
+        LoadLevel::Slight => SLIGHT_UPWARD_GAIN,
+        LoadLevel::High => 0.0,
     }
 }
--- a/crates/calls/src/gate/limit/fixed.rs
+++ b/crates/calls/src/gate/limit/fixed.rs
@@ -15,7 +15,7 @@
 impl FixedLimit {
     /// A limit at the first guess of `bounds`.
     pub fn new(bounds: LimitBounds) -> Self {
-        FixedLimit { limit: bounds.first_guess.clamp(1, bounds.maximum.max(1)) }
+        FixedLimit { limit: bounds.initial_limit.clamp(1, bounds.maximum.max(1)) }
     }
 }
 
--- a/crates/calls/src/gate/limit/mod.rs
+++ b/crates/calls/src/gate/limit/mod.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitBounds {
     /// The configured slots: where the limit begins.
-    pub first_guess: u32,
+    pub initial_limit: u32,
     /// The back end's connections: what the limit never exceeds.
     pub maximum: u32,
 }
--- a/crates/calls/src/gate/limit/period.rs
+++ b/crates/calls/src/gate/limit/period.rs
@@ -4,33 +4,34 @@
 
 /// What was measured since `start`.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Measurements {
+pub(super) struct PeriodMeasurements {
     pub(super) start: Timestamp,
     last_change: Timestamp,
     pub(super) running: u32,
-    area: f64,
+    running_seconds: f64,
     pub(super) samples: u32,
     pub(super) refused: u32,
     pub(super) latency_sum: f64,
     pub(super) blocked: bool,
 }
 
-impl Measurements {
+impl PeriodMeasurements {
     pub(super) fn integrate(&mut self, now: Timestamp) {
-        self.area += f64::from(self.running) * now.since(self.last_change).as_secs_f64();
+        self.running_seconds += f64::from(self.running) * now.since(self.last_change).as_secs_f64();
         self.last_change = self.last_change.max(now);
     }
 
     pub(super) fn concurrency(&self, now: Timestamp) -> f64 {
         let length = now.since(self.start).as_secs_f64();
         if length > 0.0 {
-            self.area / length
+            self.running_seconds / length
         } else {
             f64::from(self.running)
         }
     }
 
     pub(super) fn restart(&mut self, now: Timestamp) {
-        *self = Measurements { start: now, last_change: now, running: self.running, ..Measurements::default() };
+        *self =
+            PeriodMeasurements { start: now, last_change: now, running: self.running, ..PeriodMeasurements::default() };
     }
 }
--- a/crates/calls/src/gate/limit/trial.rs
+++ b/crates/calls/src/gate/limit/trial.rs
@@ -6,11 +6,11 @@
 use quillhatch_types::Timestamp;
 
 /// The smallest part of a change in concurrency that must show in latency. At the knee and above it is one, below zero.
-const RESPONSIVE_ELASTICITY: f64 = 0.4;
+const MIN_RESPONSIVE_ELASTICITY: f64 = 0.4;
 /// The smallest relative change in concurrency that can be judged.
-const SMALLEST_CHANGE: f64 = 0.08;
+const MIN_CONCURRENCY_CHANGE: f64 = 0.08;
 /// Periods after which a trial that could not be judged ends.
-const LONGEST_TRIAL: u32 = 8;
+const MAX_TRIAL_PERIODS: u32 = 8;
 
 /// Why a trial is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,12 +18,12 @@
     /// A cut because latency rose, or to verify a limit that has grown beyond the first guess.
     Cut,
     /// A rise at the smallest limit, to find out whether it is held down for nothing.
-    Rise,
+    Raise,
 }
 
 /// What one period measured.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Period {
+pub(super) struct PeriodResult {
     /// Mean number of running attempts.
     pub(super) concurrency: f64,
     /// Measured latency over baseline.
@@ -36,13 +36,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// Not yet known.
-    Open,
+    Pending,
     /// Latency follows concurrency: the back end queues.
     Responsive,
     /// Latency does not follow concurrency: the back end is slow for another reason.
     Unresponsive,
     /// The concurrency did not change enough to tell.
-    Undecided,
+    Inconclusive,
 }
 
 /// A limit on trial.
@@ -50,29 +50,29 @@
 pub(super) struct Trial {
     pub(super) kind: TrialKind,
     pub(super) previous_limit: f64,
-    before: Period,
-    settled: Timestamp,
+    before: PeriodResult,
+    settled_at: Timestamp,
     periods: u32,
 }
 
 impl Trial {
-    /// Begins a trial; attempts measured before `settled` ran under the previous limit.
-    pub(super) fn new(kind: TrialKind, previous_limit: f64, before: Period, settled: Timestamp) -> Self {
-        Trial { kind, previous_limit, before, settled, periods: 0 }
+    /// Begins a trial; attempts measured before `settled_at` ran under the previous limit.
+    pub(super) fn new(kind: TrialKind, previous_limit: f64, before: PeriodResult, settled_at: Timestamp) -> Self {
+        Trial { kind, previous_limit, before, settled_at, periods: 0 }
     }
 
     pub(super) fn is_settled(&self, now: Timestamp) -> bool {
-        now >= self.settled
+        now >= self.settled_at
     }
 
-    pub(super) fn judge(&mut self, after: Period) -> Verdict {
+    pub(super) fn judge(&mut self, after: PeriodResult) -> Verdict {
         self.periods += 1;
         let change = (after.concurrency / self.before.concurrency).ln();
-        if !change.is_finite() || change.abs() < SMALLEST_CHANGE {
-            return if self.periods >= LONGEST_TRIAL { Verdict::Undecided } else { Verdict::Open };
+        if !change.is_finite() || change.abs() < MIN_CONCURRENCY_CHANGE {
+            return if self.periods >= MAX_TRIAL_PERIODS { Verdict::Inconclusive } else { Verdict::Pending };
         }
         let elasticity = (after.inflation / self.before.inflation).ln() / change;
-        if elasticity >= RESPONSIVE_ELASTICITY {
+        if elasticity >= MIN_RESPONSIVE_ELASTICITY {
             Verdict::Responsive
         } else {
             Verdict::Unresponsive
--- a/crates/calls/src/gate/machine.rs
+++ b/crates/calls/src/gate/machine.rs
@@ -22,23 +22,23 @@
 use super::recent::RecentAttempts;
 use super::settings::GateSettings;
 
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(50);
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// How much longer than the queue timeout callers are told to stay away when the level is shut.
-const RETRY_AFTER_SPREAD: f64 = 4.0;
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// How much longer than the queue timeout callers are told to stay away when the level is level_reduction.
+const RETRY_AFTER_LEVEL_FACTOR: f64 = 4.0;
 /// The weight of the newest sample in the mean time for which a slot is held.
-const HOLD_GAIN: f64 = 0.1;
+const SLOT_TIME_GAIN: f64 = 0.1;
 /// How long after its arrival a protected call keeps the reserve up.
-const RESERVE_MEMORY: Duration = Duration::from_secs(5);
+const RESERVE_DURATION: Duration = Duration::from_secs(5);
 /// The smallest limit of which a part is kept for protected calls.
-const SMALLEST_LIMIT_WITH_RESERVE: u32 = 4;
+const MIN_LIMIT_FOR_RESERVE: u32 = 4;
 
 /// Why and since when a gate takes no new attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Closed {
+pub(super) struct ClosedState {
     pub(super) reason: RefusalReason,
     pub(super) since: Timestamp,
-    pub(super) idle_told: bool,
+    pub(super) idle_reported: bool,
 }
 
 /// Slots held by attempts that claim or run.
@@ -66,9 +66,9 @@
     /// Timeouts of claims and deadlines of running attempts; the queues keep their own.
     pub(super) timers: BTreeSet<(Timestamp, AttemptId)>,
     pub(super) recent: RecentAttempts,
-    pub(super) closed: Option<Closed>,
-    pub(super) hold_seconds: f64,
-    pub(super) protected_seen: Option<Timestamp>,
+    pub(super) closed: Option<ClosedState>,
+    pub(super) mean_slot_seconds: f64,
+    pub(super) last_protected_arrival: Option<Timestamp>,
     epoch: Epoch,
     revision: Revision,
 }
@@ -79,7 +79,7 @@
     /// `seed` seeds the only use of randomness, the jitter of the advice on when to come back.
     pub fn new(settings: GateSettings, seed: u64) -> Self {
         let order = if settings.mechanisms.priority_queue { QueueOrder::Rank } else { QueueOrder::Arrival };
-        let bounds = LimitBounds { first_guess: 1, maximum: 1 };
+        let bounds = LimitBounds { initial_limit: 1, maximum: 1 };
         let cold_start = if settings.mechanisms.cold_start { settings.cold_start } else { Duration::ZERO };
         Gate {
             random: Pcg64::seed_from_u64(seed),
@@ -96,8 +96,8 @@
             timers: BTreeSet::new(),
             recent: RecentAttempts::default(),
             closed: None,
-            hold_seconds: 0.0,
-            protected_seen: None,
+            mean_slot_seconds: 0.0,
+            last_protected_arrival: None,
             epoch: Epoch::default(),
             revision: Revision::default(),
             settings,
@@ -121,7 +121,7 @@
         }
         self.start_waiting(now, outputs);
         self.advance_admission(now);
-        self.tell_idle(outputs);
+        self.report_idle(outputs);
     }
 
     /// When the gate wants to be stepped with a [`GateInput::Tick`] at the latest.
@@ -205,7 +205,7 @@
         let Some(target) = Target::read(configuration, &self.settings, self.target.as_ref()) else { return };
         let streams = target.slots * u32::from(self.settings.large_answer_share_percent.min(100)) / 100;
         self.large.set_streams(streams);
-        let bounds = LimitBounds { first_guess: target.slots, maximum: target.connections };
+        let bounds = LimitBounds { initial_limit: target.slots, maximum: target.connections };
         if self.target.is_none() {
             self.limit = new_limit(&self.settings, bounds);
         } else {
@@ -221,15 +221,15 @@
         match &mut self.closed {
             // The grace of a drain counts from its own beginning, not from that of an earlier close for another reason.
             Some(closed) if closed.reason == reason => {}
-            Some(closed) => *closed = Closed { reason, since: now, ..*closed },
-            None => self.closed = Some(Closed { reason, since: now, idle_told: false }),
+            Some(closed) => *closed = ClosedState { reason, since: now, ..*closed },
+            None => self.closed = Some(ClosedState { reason, since: now, idle_reported: false }),
         }
     }
 
-    fn tell_idle(&mut self, outputs: &mut Vec<GateOutput>) {
-        if let Some(closed) = self.closed.as_mut().filter(|closed| !closed.idle_told) {
+    fn report_idle(&mut self, outputs: &mut Vec<GateOutput>) {
+        if let Some(closed) = self.closed.as_mut().filter(|closed| !closed.idle_reported) {
             if self.attempts.is_empty() {
-                closed.idle_told = true;
+                closed.idle_reported = true;
                 outputs.push(GateOutput::Idle);
             }
         }
@@ -259,7 +259,7 @@
         }
         if let Some(target) = &self.target {
             if self.short_queue.longest_wait(now) > target.queue_timeout / 2 {
-                self.admission.pressure(now);
+                self.admission.record_pressure(now);
             }
         }
         let waits = [Lane::Short, Lane::Large].into_iter().any(|lane| {
@@ -304,29 +304,29 @@
 
     /// Slots of short calls that less important work may not take.
     pub(super) fn reserve(&self, now: Timestamp, limit: u32) -> u32 {
-        let recent = self.protected_seen.is_some_and(|at| now.since(at) < RESERVE_MEMORY);
-        if !self.settings.mechanisms.protected_reserve || !recent || limit < SMALLEST_LIMIT_WITH_RESERVE {
+        let recent = self.last_protected_arrival.is_some_and(|at| now.since(at) < RESERVE_DURATION);
+        if !self.settings.mechanisms.protected_reserve || !recent || limit < MIN_LIMIT_FOR_RESERVE {
             return 0;
         }
         (limit * u32::from(self.settings.protected_reserve_percent.min(50)) / 100).max(1)
     }
 
-    pub(super) fn record_hold(&mut self, held: Duration) {
+    pub(super) fn record_slot_time(&mut self, held: Duration) {
         let sample = held.as_secs_f64();
-        if self.hold_seconds == 0.0 {
-            self.hold_seconds = sample;
+        if self.mean_slot_seconds == 0.0 {
+            self.mean_slot_seconds = sample;
         }
-        self.hold_seconds += HOLD_GAIN * (sample - self.hold_seconds);
+        self.mean_slot_seconds += SLOT_TIME_GAIN * (sample - self.mean_slot_seconds);
     }
 
     /// The refusal of a call for want of capacity, with advice that grows as the level falls.
     pub(super) fn overload_refusal(&mut self, reason: RefusalReason) -> Refusal {
         let timeout = self.target.as_ref().map(|target| target.queue_timeout).unwrap_or_default();
-        let shut = 1.0 - f64::from(self.level().0) / f64::from(AdmissionLevel::OPEN.0);
+        let level_reduction = 1.0 - f64::from(self.level().0) / f64::from(AdmissionLevel::OPEN.0);
         // The jitter keeps callers that were refused together from coming back together.
         let jitter = self.random.gen_range(0.5..1.5);
-        let advice = timeout.mul_f64((1.0 + RETRY_AFTER_SPREAD * shut) * jitter);
-        Refusal::not_run(reason).with_retry_after(advice.clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER))
+        let advice = timeout.mul_f64((1.0 + RETRY_AFTER_LEVEL_FACTOR * level_reduction) * jitter);
+        Refusal::not_run(reason).with_retry_after(advice.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 }
 
--- a/crates/calls/src/gate/queue.rs
+++ b/crates/calls/src/gate/queue.rs
@@ -79,7 +79,7 @@
         self.by_rank.is_empty()
     }
 
-    fn key_rank(&self, rank: AdmissionRank) -> u16 {
+    fn ordering_rank(&self, rank: AdmissionRank) -> u16 {
         match self.order {
             QueueOrder::Rank => rank.0,
             QueueOrder::Arrival => 0,
@@ -88,7 +88,7 @@
 
     /// Adds an attempt.
     pub fn push(&mut self, waiting: Waiting) -> Ticket {
-        let rank = self.key_rank(waiting.rank);
+        let rank = self.ordering_rank(waiting.rank);
         let ticket = Ticket { rank, sequence: self.next_sequence };
         self.next_sequence += 1;
         self.by_rank.insert(ticket, waiting);
@@ -127,7 +127,7 @@
 
     /// The place of a waiting attempt among those of other queues; the lowest leaves first.
     pub fn precedence(&self, waiting: &Waiting, overloaded: bool) -> (u16, Timestamp) {
-        let rank = self.key_rank(waiting.rank);
+        let rank = self.ordering_rank(waiting.rank);
         (if overloaded { rank } else { band_of(rank) }, waiting.since)
     }
 
@@ -153,7 +153,7 @@
 
     /// About how many waiting attempts would leave before a newcomer of `rank`.
     pub fn ahead_of(&self, rank: AdmissionRank, overloaded: bool) -> usize {
-        let rank = self.key_rank(rank);
+        let rank = self.ordering_rank(rank);
         let band = usize::from(band_of(rank));
         let before: usize = self.per_band[..band].iter().sum();
         let own = self.per_band[band];
--- a/crates/calls/src/gate/recent.rs
+++ b/crates/calls/src/gate/recent.rs
@@ -5,7 +5,7 @@
 use quillhatch_types::AttemptId;
 
 /// Attempts remembered; at 5,000 calls/s this is the last 0.8 s, longer than a duplicate survives in a network buffer.
-const REMEMBERED: usize = 4096;
+const MAX_RECENT_ATTEMPTS: usize = 4096;
 
 /// The attempts that ended last; the oldest is forgotten first.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
             return;
         }
         self.order.push_back(attempt);
-        if self.order.len() > REMEMBERED {
+        if self.order.len() > MAX_RECENT_ATTEMPTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.members.remove(&oldest);
             }
--- a/crates/calls/src/gate/running.rs
+++ b/crates/calls/src/gate/running.rs
@@ -50,10 +50,10 @@
     fn request_claim(&mut self, now: Timestamp, attempt: AttemptId, outputs: &mut Vec<GateOutput>) {
         let Some(entry) = self.attempts.get(&attempt) else { return };
         let latest = self.latest_start(now, entry.deadline, &entry.context);
-        let gives_up = latest.min(now + self.settings.claim_timeout);
-        self.timers.insert((gives_up, attempt));
+        let claim_expires = latest.min(now + self.settings.claim_timeout);
+        self.timers.insert((claim_expires, attempt));
         let Some(entry) = self.attempts.get_mut(&attempt) else { return };
-        entry.phase = Phase::Claiming { gives_up };
+        entry.phase = Phase::Claiming { claim_expires };
         outputs.push(GateOutput::RequestClaim(entry.context.clone()));
     }
 
@@ -66,10 +66,10 @@
         outputs: &mut Vec<GateOutput>,
     ) {
         let Some(entry) = self.attempts.get(&attempt) else { return };
-        let Phase::Claiming { gives_up } = entry.phase else { return };
+        let Phase::Claiming { claim_expires } = entry.phase else { return };
         match resolution {
             ClaimResolution::Granted => {
-                self.timers.remove(&(gives_up, attempt));
+                self.timers.remove(&(claim_expires, attempt));
                 self.run_claimed(now, attempt, outputs);
             }
             ClaimResolution::Replay(answer) => {
@@ -99,7 +99,7 @@
 
     fn dispatch(&mut self, now: Timestamp, attempt: AttemptId, outputs: &mut Vec<GateOutput>) {
         let Some(entry) = self.attempts.get_mut(&attempt) else { return };
-        let timer = running_timer(entry, self.settings.run_on);
+        let timer = run_expiry(entry, self.settings.deadline_overrun);
         entry.phase = Phase::Running { since: now, answer_started: false, cancel_sent: false, timer };
         let remaining = now.until(entry.deadline);
         self.timers.insert((timer, attempt));
@@ -176,7 +176,7 @@
     fn refused_by_back_end(&mut self, now: Timestamp, lane: Lane) {
         if lane == Lane::Short {
             self.limit.refused_by_back_end(now);
-            self.admission.pressure(now);
+            self.admission.record_pressure(now);
         }
     }
 
@@ -303,8 +303,8 @@
             Phase::Waiting { ticket, .. } => {
                 self.queue_mut(entry.lane).remove(ticket);
             }
-            Phase::Claiming { gives_up } => {
-                self.timers.remove(&(gives_up, attempt));
+            Phase::Claiming { claim_expires } => {
+                self.timers.remove(&(claim_expires, attempt));
                 self.free_slot(now, &entry);
             }
             Phase::Running { timer, .. } => {
@@ -321,7 +321,7 @@
             Lane::Short => {
                 self.slots.all -= 1;
                 self.slots.unprotected -= u32::from(!entry.is_protected());
-                self.record_hold(now.since(entry.slot_since));
+                self.record_slot_time(now.since(entry.slot_since));
             }
         }
         self.limit.running_changed(now, self.slots.all + self.large.streams());
@@ -329,10 +329,10 @@
 }
 
 /// When a running attempt's time is over.
-fn running_timer(entry: &Attempt, run_on: std::time::Duration) -> Timestamp {
+fn run_expiry(entry: &Attempt, deadline_overrun: std::time::Duration) -> Timestamp {
     if entry.context.repeatable {
         entry.deadline
     } else {
-        entry.deadline + run_on
+        entry.deadline + deadline_overrun
     }
 }
--- a/crates/calls/src/gate/service_time.rs
+++ b/crates/calls/src/gate/service_time.rs
@@ -11,8 +11,8 @@
 
 const DOWNWARD_GAIN: f64 = 0.2;
 const UPWARD_GAIN: f64 = 0.05;
-const LARGEST_STEP: f64 = 2.0;
-const DEADLINE_SHARE: f64 = 0.5;
+const MAX_SAMPLE_RATIO: f64 = 2.0;
+const MAX_DEADLINE_SHARE: f64 = 0.5;
 /// Without a sample for this long the estimate halves, and again after each further such span.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
@@ -33,22 +33,22 @@
             self.seconds = sample;
             return;
         }
-        let sample = sample.min(current * LARGEST_STEP);
+        let sample = sample.min(current * MAX_SAMPLE_RATIO);
         let gain = if sample < current { DOWNWARD_GAIN } else { UPWARD_GAIN };
         self.seconds = current + gain * (sample - current);
     }
 
     /// The estimate at `now`, at most a share of `deadline`.
     pub(super) fn estimate(&self, now: Timestamp, deadline: Duration) -> Duration {
-        let bound = deadline.as_secs_f64() * DEADLINE_SHARE;
+        let bound = deadline.as_secs_f64() * MAX_DEADLINE_SHARE;
         Duration::from_secs_f64(self.decayed(now).min(bound))
     }
 
     fn decayed(&self, now: Timestamp) -> f64 {
-        let silence = now.since(self.last_sample);
-        if silence <= HALF_LIFE {
+        let sample_age = now.since(self.last_sample);
+        if sample_age <= HALF_LIFE {
             return self.seconds;
         }
-        self.seconds * 0.5_f64.powf((silence - HALF_LIFE).as_secs_f64() / HALF_LIFE.as_secs_f64())
+        self.seconds * 0.5_f64.powf((sample_age - HALF_LIFE).as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/calls/src/gate/settings.rs
+++ b/crates/calls/src/gate/settings.rs
@@ -78,7 +78,7 @@
     /// The time after a drain began during which attempts that already wait may still start.
     pub drain_grace: Duration,
     /// The time beyond its deadline that a run which may not be repeated is let go on, so that its answer is recorded.
-    pub run_on: Duration,
+    pub deadline_overrun: Duration,
     /// The time over which a cold back end's limit rises to the configured slots.
     pub cold_start: Duration,
     /// The share of the back end's slots that large answers may take, in percent.
@@ -102,7 +102,7 @@
             maximum_running: 4096,
             claim_timeout: Duration::from_secs(1),
             drain_grace: Duration::from_millis(1_500),
-            run_on: Duration::from_secs(10),
+            deadline_overrun: Duration::from_secs(10),
             cold_start: Duration::from_secs(3),
             large_answer_share_percent: 50,
             large_answer_bytes: 256 * 1024 * 1024,
--- a/crates/calls/src/gate/slots.rs
+++ b/crates/calls/src/gate/slots.rs
@@ -8,14 +8,14 @@
 
 impl Gate {
     /// Whether a slot is free for an attempt.
-    pub(super) fn has_room(&mut self, now: Timestamp, lane: Lane, protected: bool) -> bool {
+    pub(super) fn has_free_slot(&mut self, now: Timestamp, lane: Lane, protected: bool) -> bool {
         let connections = self.target.as_ref().map_or(0, |target| target.connections);
         if self.slots.all + self.large.streams() >= connections {
             return false;
         }
         match lane {
-            Lane::Large => self.has_large_room(now, protected),
-            Lane::Short => self.has_short_room(now, protected),
+            Lane::Large => self.has_free_large_slot(now, protected),
+            Lane::Short => self.has_free_short_slot(now, protected),
         }
     }
 
@@ -26,7 +26,7 @@
         limit.saturating_sub(self.large.streams()).max(kept)
     }
 
-    fn has_short_room(&mut self, now: Timestamp, protected: bool) -> bool {
+    fn has_free_short_slot(&mut self, now: Timestamp, protected: bool) -> bool {
         let limit = self.short_limit(now);
         if self.slots.all >= limit {
             return false;
@@ -41,8 +41,8 @@
         self.slots.unprotected < limit - self.reserve(now, limit)
     }
 
-    fn has_large_room(&mut self, now: Timestamp, protected: bool) -> bool {
-        if !self.large.has_room() || (!protected && self.only_protected()) {
+    fn has_free_large_slot(&mut self, now: Timestamp, protected: bool) -> bool {
+        if !self.large.has_capacity() || (!protected && self.only_protected()) {
             return false;
         }
         self.large.streams() == 0 || self.slots.all + self.large.streams() < self.concurrency_limit(now)
@@ -79,7 +79,7 @@
     /// Gives the first waiting attempt of a lane a slot; returns whether there was one with a slot to take.
     fn start_next(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) -> bool {
         let Some((ticket, waiting)) = self.queue(lane).peek(self.overloaded(now)) else { return false };
-        if !self.has_room(now, lane, is_protected(waiting.rank)) {
+        if !self.has_free_slot(now, lane, is_protected(waiting.rank)) {
             return false;
         }
         self.queue_mut(lane).remove(ticket);
--- a/crates/calls/src/gate/tests/adaptive.rs
+++ b/crates/calls/src/gate/tests/adaptive.rs
@@ -17,7 +17,7 @@
 
 impl Drive {
     fn new() -> Self {
-        let limit = AdaptiveLimit::new(LimitBounds { first_guess: 10, maximum: 20 });
+        let limit = AdaptiveLimit::new(LimitBounds { initial_limit: 10, maximum: 20 });
         Drive { limit, now: Timestamp::ZERO, class: ClassName::new("look").expect("a valid name") }
     }
 
--- a/crates/calls/src/gate/tests/parts.rs
+++ b/crates/calls/src/gate/tests/parts.rs
@@ -5,7 +5,7 @@
 
 use super::support::{at, id};
 use crate::gate::admission::{AdmissionController, GateState};
-use crate::gate::hint::{HintWeight, LARGEST_CUT};
+use crate::gate::hint::{HintWeight, MAX_REDUCTION};
 use crate::gate::io::LoadHint;
 use crate::gate::queue::{QueueOrder, Waiting, WaitingQueue};
 use crate::gate::service_time::ServiceTime;
@@ -44,8 +44,8 @@
     assert!(time.estimate(at(10_200), deadline) < Duration::from_millis(20));
 }
 
-#[test_case(LoadHint { healthy: false, load: None }, 10, true => 1.0 - LARGEST_CUT; "unhealthy")]
-#[test_case(LoadHint { healthy: true, load: Some(1e9) }, 10, true => 1.0 - LARGEST_CUT; "absurd load")]
+#[test_case(LoadHint { healthy: false, load: None }, 10, true => 1.0 - MAX_REDUCTION; "unhealthy")]
+#[test_case(LoadHint { healthy: true, load: Some(1e9) }, 10, true => 1.0 - MAX_REDUCTION; "absurd load")]
 #[test_case(LoadHint { healthy: true, load: Some(f64::NAN) }, 10, true => 1.0; "not a number")]
 #[test_case(LoadHint { healthy: false, load: None }, 10, false => 1.0; "no own evidence")]
 #[test_case(LoadHint { healthy: false, load: None }, 9_000, true => 1.0; "stale")]
@@ -65,7 +65,7 @@
     let mut controller = AdmissionController::new();
     for period in 1..40 {
         (0..20).for_each(|_| controller.arrived(AdmissionRank(1000)));
-        controller.pressure(at(period * 100));
+        controller.record_pressure(at(period * 100));
         controller.advance(at(period * 100), state);
     }
     controller.level().admits(AdmissionRank(1000))
--- a/crates/calls/src/gate/tokens.rs
+++ b/crates/calls/src/gate/tokens.rs
@@ -5,15 +5,15 @@
 
 /// The tokens that an attempt holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct TokenPurse {
+pub(super) struct TokenAccount {
     held: u16,
     lent: u16,
     reported: bool,
 }
 
-impl TokenPurse {
+impl TokenAccount {
     pub(super) fn new(tokens: u16) -> Self {
-        TokenPurse { held: tokens, lent: 0, reported: false }
+        TokenAccount { held: tokens, lent: 0, reported: false }
     }
 
     /// Takes up to `wanted` tokens for a child call.
--- a/crates/model/src/retry_tokens/budget.rs
+++ b/crates/model/src/retry_tokens/budget.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// The tokens of one attempt at its gate; mirrors `TokenPurse`.
+/// The tokens of one attempt at its gate; mirrors `TokenAccount`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Purse {
     /// Tokens at hand.
