--- a/crates/quillhatch/src/running/mod.rs
+++ b/crates/quillhatch/src/running/mod.rs
@@ -1,7 +1,8 @@
 //! Starts and stops a node inside the current process.
 //!
-//! [`start`] binds the listeners, puts the decision code behind its driver and returns a [`RunningNode`]; several nodes can
-//! run in one process. [`RunningNode::stop`] is a planned stop: nothing in flight is cut within the grace.
+//! [`start`] binds the listeners, connects the decision code to its driver and returns a [`RunningNode`]. One process can
+//! run several nodes. [`RunningNode::stop`] shuts a node down gracefully: requests in flight may finish within the grace
+//! period.
 
 mod options;
 mod setup;
@@ -26,80 +27,80 @@
 
 pub use stop::StopReport;
 
-/// Why a node did not start.
+/// An error that prevents a node from starting.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// A listener could not be bound.
-    #[display("cannot listen for {who} at {address}: {source}")]
+    /// A listening address could not be bound.
+    #[display("cannot listen for {clients} at {address}: {source}")]
     #[from(ignore)]
     Listen {
-        /// Who would connect.
-        who: &'static str,
-        /// The address.
+        /// The clients of the listener, for the error message.
+        clients: &'static str,
+        /// The address to bind.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The operators' listener did not start.
+    /// The operator listener did not start.
     Operators(OperatorServerError),
     /// The fleet keys are unusable.
     #[display("the fleet keys are unusable: {_0}")]
     Keys(KeySetError),
-    /// The timings of groups contradict each other.
-    #[display("the timings of the settings contradict each other: {_0}")]
+    /// The group's timing settings contradict each other.
+    #[display("the timing settings contradict each other: {_0}")]
     Timings(quillhatch_group::SettingsError),
-    /// An HTTP client could not be set up.
-    #[display("cannot set up an HTTP client: {_0}")]
+    /// An HTTP client could not be created.
+    #[display("cannot create an HTTP client: {_0}")]
     Client(reqwest::Error),
 }
 
-/// Where a node listens.
+/// The addresses that a node listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For callers.
+    /// For calls.
     pub callers: SocketAddr,
-    /// For other nodes.
+    /// For frames and attempts from other nodes.
     pub peers: SocketAddr,
-    /// For operators.
+    /// For operator requests, health checks and metrics.
     pub operators: SocketAddr,
-    /// For the calls that the back end makes, if they have their own listener.
+    /// For outgoing calls of the back end, if the settings configure a separate listener.
     pub outgoing: Option<SocketAddr>,
 }
 
-/// A node that runs in this process.
+/// A node running in this process.
 pub struct RunningNode {
-    /// Where it listens; ports that were zero in the settings have their numbers here.
+    /// The bound addresses. A port of zero in the settings is replaced by the port that the system assigned.
     pub addresses: ListenAddresses,
-    /// This run of the node.
+    /// The identity of this run of the node.
     pub node: NodeId,
     driver: Arc<Driver>,
     counters: Arc<Counters>,
     sender: Arc<PeerSender>,
     operators: OperatorServer,
     stop_listeners: watch::Sender<bool>,
-    /// The servers of callers and peers; each ends when its last connection has.
+    /// The servers for callers and peers. Once told to stop, each ends when its last connection closes.
     servers: JoinSet<()>,
-    /// Tasks that never end by themselves.
+    /// Periodic tasks, which run until they are aborted.
     background: JoinSet<()>,
     background_runs: Arc<BackgroundRuns>,
     grace: std::time::Duration,
 }
 
 impl RunningNode {
-    /// The driver of the node's decision code.
+    /// The driver that runs the node's decision code.
     pub fn driver(&self) -> &Arc<Driver> {
         &self.driver
     }
 
-    /// The program's counters.
+    /// The counters of the I/O code.
     pub fn counters(&self) -> &Arc<Counters> {
         &self.counters
     }
 
-    /// Ends the node at once, as when its machine fails: every connection is cut.
+    /// Ends the node at once and closes all its connections, which simulates the failure of its machine.
     pub async fn kill(self) {
         let RunningNode { operators, mut servers, mut background, background_runs, .. } = self;
-        // First, so that what the servers drop does not go on there.
+        // Shut down first: a non-repeatable attempt whose server task is dropped would otherwise continue in the background.
         background_runs.shutdown().await;
         servers.shutdown().await;
         background.shutdown().await;
@@ -107,9 +108,9 @@
     }
 }
 
-/// What a node is built of; the settings name the addresses to bind.
+/// Builds the decision code of a node.
 pub trait DecisionFactory {
-    /// The decision code of the run `node`.
+    /// Builds the decision code for the run `node`.
     ///
     /// # Errors
     ///
--- a/crates/quillhatch/src/running/options.rs
+++ b/crates/quillhatch/src/running/options.rs
@@ -12,21 +12,21 @@
 mod tests;
 
 pub(super) fn build_node(node: NodeId, settings: &NodeSettings) -> Result<Box<dyn Decisions>, StartError> {
-    let options = options(node, settings)?;
+    let options = node_options(node, settings)?;
     Ok(Box::new(Node::new(options, rand::random())))
 }
 
-fn options(node: NodeId, settings: &NodeSettings) -> Result<NodeOptions, StartError> {
+fn node_options(node: NodeId, settings: &NodeSettings) -> Result<NodeOptions, StartError> {
     let service = settings.backend.as_ref().map(|backend| backend.service.clone());
     let (site, zone) = (settings.site.clone(), settings.zone.clone());
     let mut options = NodeOptions::new(node, site, zone, settings.deployment.clone(), service);
     options.seeds = settings.seed_peers.clone();
-    apply(&settings.control, &mut options);
+    apply_timings(&settings.control, &mut options);
     options.group.validate()?;
     Ok(options)
 }
 
-fn apply(timings: &ControlTimings, options: &mut NodeOptions) {
+fn apply_timings(timings: &ControlTimings, options: &mut NodeOptions) {
     options.membership.probe_interval = timings.probe_interval;
     options.membership.acknowledge_timeout = timings.acknowledge_timeout;
     options.membership.suspicion_timeout = timings.suspicion_timeout;
--- a/crates/quillhatch/src/running/options/tests.rs
+++ b/crates/quillhatch/src/running/options/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the way from settings to options.
+//! Tests that the timing settings are applied to the protocol options.
 
 use std::net::SocketAddr;
 
@@ -13,20 +13,21 @@
     NodeOptions::new(node, site, zone, DeploymentName::new("test").expect("name"), None)
 }
 
-/// Three crates state these times: a file without them must mean what the simulation and the models ran with.
+/// The settings, membership and group crates each define these defaults. A settings file that omits them must get the values
+/// that the simulation and the models ran with.
 #[test]
-fn the_default_settings_are_the_defaults_of_the_protocols() {
-    let before = default_options();
-    let mut after = before.clone();
-    apply(&ControlTimings::default(), &mut after);
-    assert_eq!(after.membership, before.membership);
-    assert_eq!(after.group, before.group);
-    after.group.validate().expect("the times fit each other");
+fn default_timings_equal_the_protocol_defaults() {
+    let defaults = default_options();
+    let mut applied_options = defaults.clone();
+    apply_timings(&ControlTimings::default(), &mut applied_options);
+    assert_eq!(applied_options.membership, defaults.membership);
+    assert_eq!(applied_options.group, defaults.group);
+    applied_options.group.validate().expect("consistent timings");
 }
 
 #[test]
-fn every_time_of_the_settings_reaches_its_protocol() {
-    let times = ControlTimings {
+fn every_timing_setting_is_applied() {
+    let timings = ControlTimings {
         probe_interval: std::time::Duration::from_millis(1),
         acknowledge_timeout: std::time::Duration::from_millis(2),
         suspicion_timeout: std::time::Duration::from_millis(3),
@@ -36,7 +37,7 @@
         election_timeout_maximum: std::time::Duration::from_millis(7),
     };
     let mut options = default_options();
-    apply(&times, &mut options);
+    apply_timings(&timings, &mut options);
     let (membership, group) = (&options.membership, &options.group);
     let applied = [
         membership.probe_interval,
@@ -47,5 +48,5 @@
         group.election_timeout_minimum,
         group.election_timeout_maximum,
     ];
-    assert_eq!(applied.map(|time| time.as_millis()), [1, 2, 3, 4, 5, 6, 7]);
+    assert_eq!(applied.map(|timing| timing.as_millis()), [1, 2, 3, 4, 5, 6, 7]);
 }
--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a node together.
+//! Constructs the components of a node and starts its listeners and tasks.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -26,48 +26,50 @@
 use crate::peers::{FrameReceiver, PeerSender, SenderSettings};
 use crate::platform::{HttpPlatform, PlatformReader};
 
-/// Room that the server leaves for a head beyond the limit, so that the node itself answers 431 with a problem document.
-const HEAD_ROOM_BYTES: u64 = 16 * 1024;
+/// The number of bytes by which the server's head limit exceeds the configured limit. For heads up to that size, the node
+/// itself sends the 431 response, with a problem document; beyond it, the server sends a bare one.
+const HEAD_MARGIN_BYTES: u64 = 16 * 1024;
 
-/// The largest number of connections of other nodes at a time.
-const PEER_CONNECTIONS: usize = 16 * 1024;
+/// The maximum number of concurrent connections from other nodes.
+const MAX_PEER_CONNECTIONS: usize = 16 * 1024;
 
-/// The largest head of a peer's request, in bytes: a caller's and the context.
-const PEER_HEAD_BYTES: u64 = 8 * 1024;
+/// The number of bytes by which the head of a peer's request may exceed that of a caller's request: an edge forwards the
+/// caller's header with the call context added.
+const PEER_EXTRA_HEAD_BYTES: u64 = 8 * 1024;
 
-struct Bound {
+struct BoundListener {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-async fn bind(who: &'static str, address: SocketAddr) -> Result<Bound, StartError> {
-    let failed = |source| StartError::Listen { who, address, source };
+async fn bind(clients: &'static str, address: SocketAddr) -> Result<BoundListener, StartError> {
+    let failed = |source| StartError::Listen { clients, address, source };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
-    Ok(Bound { listener, address })
+    Ok(BoundListener { listener, address })
 }
 
 pub(super) async fn start(settings: NodeSettings, factory: impl DecisionFactory) -> Result<RunningNode, StartError> {
     let callers = bind("callers", settings.caller_address).await?;
     let peers = bind("peers", settings.peer_address.0).await?;
     let outgoing = match settings.backend.as_ref().and_then(|backend| backend.outgoing_address) {
-        Some(address) => Some(bind("the back end's calls", address).await?),
+        Some(address) => Some(bind("outgoing calls", address).await?),
         None => None,
     };
-    let node = NodeId { address: NodeAddress(peers.address), incarnation: draw_incarnation() };
+    let node = NodeId { address: NodeAddress(peers.address), incarnation: random_incarnation() };
     let keys = Arc::new(fleet_keys(&settings.fleet_keys)?);
     let counters = Arc::new(Counters::default());
     let versions = Arc::new(Mutex::default());
 
     let sealer = FrameSealer::new(node, settings.deployment.clone(), (*keys).clone());
-    let (client, rules) = (clients::transparent()?, SenderSettings::default());
-    let sender = PeerSender::new(sealer, Arc::clone(&versions), client, rules, Arc::clone(&counters));
+    let (client, sender_settings) = (clients::transparent()?, SenderSettings::default());
+    let sender = PeerSender::new(sealer, Arc::clone(&versions), client, sender_settings, Arc::clone(&counters));
     let sender = Arc::new(sender);
     let driver = Driver::new(factory.build(node, &settings)?, Box::new(Arc::clone(&sender)));
 
     let opener = FrameOpener::new(node, settings.deployment.clone(), (*keys).clone());
     let frames = FrameReceiver::new(opener, versions, Arc::clone(&driver), Arc::clone(&counters));
-    let backend = settings.backend.as_ref().map(backend).transpose()?;
+    let backend = settings.backend.as_ref().map(backend_client).transpose()?;
     let background_runs = Arc::new(BackgroundRuns::default());
     let gate = Gate {
         node,
@@ -90,12 +92,12 @@
 
     let token = settings.operator_token.as_ref().map(|token| BearerToken::new(token.expose().to_vec()));
     let operators = OperatorServer::start(settings.operator_address, token, Arc::clone(&driver), &counters).await?;
-    let background = background(&settings, &driver, &counters)?;
+    let background = spawn_background_tasks(&settings, &driver, &counters)?;
     let addresses = ListenAddresses {
         callers: callers.address,
         peers: peers.address,
         operators: operators.address,
-        outgoing: outgoing.as_ref().map(|bound| bound.address),
+        outgoing: outgoing.as_ref().map(|listener| listener.address),
     };
     let stop_listeners = watch::Sender::new(false);
     let mut servers = JoinSet::new();
@@ -123,8 +125,8 @@
     })
 }
 
-/// Zero means "any run" on the wire and is never drawn.
-fn draw_incarnation() -> Incarnation {
+/// Returns a random nonzero incarnation; on the wire, zero means "any run".
+fn random_incarnation() -> Incarnation {
     Incarnation(rand::random::<u64>().max(1))
 }
 
@@ -136,7 +138,7 @@
     FleetKeys::new(settings.accepted.iter().map(key).collect(), KeyId(settings.sending_key_id))
 }
 
-fn backend(settings: &BackendSettings) -> reqwest::Result<Backend> {
+fn backend_client(settings: &BackendSettings) -> reqwest::Result<Backend> {
     let client = clients::transparent()?;
     Ok(Backend { address: settings.address, service: settings.service.clone(), client })
 }
@@ -150,21 +152,21 @@
 }
 
 fn caller_limits(settings: &NodeSettings) -> ServerLimits {
-    let head_bytes = to_usize(settings.limits.max_header_bytes + HEAD_ROOM_BYTES);
+    let head_bytes = to_usize(settings.limits.max_header_bytes + HEAD_MARGIN_BYTES);
     ServerLimits { head_bytes, connections: to_usize(settings.limits.max_connections) }
 }
 
 fn peer_limits(settings: &NodeSettings) -> ServerLimits {
-    let head_bytes = to_usize(settings.limits.max_header_bytes + HEAD_ROOM_BYTES + PEER_HEAD_BYTES);
-    ServerLimits { head_bytes, connections: PEER_CONNECTIONS }
+    let head_bytes = to_usize(settings.limits.max_header_bytes + HEAD_MARGIN_BYTES + PEER_EXTRA_HEAD_BYTES);
+    ServerLimits { head_bytes, connections: MAX_PEER_CONNECTIONS }
 }
 
-fn to_usize(number: u64) -> usize {
-    // A semaphore takes no more permits than this.
-    usize::try_from(number).unwrap_or(usize::MAX).min(tokio::sync::Semaphore::MAX_PERMITS)
+fn to_usize(value: u64) -> usize {
+    // The server limits connections by a semaphore, whose number of permits is bounded.
+    usize::try_from(value).unwrap_or(usize::MAX).min(tokio::sync::Semaphore::MAX_PERMITS)
 }
 
-fn background(
+fn spawn_background_tasks(
     settings: &NodeSettings,
     driver: &Arc<Driver>,
     counters: &Arc<Counters>,
@@ -193,5 +195,5 @@
     let (callers, peers) = (addresses.callers.to_string(), addresses.peers.to_string());
     let operators = addresses.operators.to_string();
     let (node, callers, peers, operators) = (node.as_str(), callers.as_str(), peers.as_str(), operators.as_str());
-    log::info!(node, callers, peers, operators; "the node listens");
+    log::info!(node, callers, peers, operators; "the node is listening");
 }
