--- a/crates/quillhatch/src/operators/metrics_page.rs
+++ b/crates/quillhatch/src/operators/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The metrics page: the program's counters and the statistics of the decision code.
+//! The metrics page: the counters of the I/O code and the statistics of the decision code.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,27 +13,27 @@
 use crate::driver::Driver;
 use crate::metrics::Counters;
 
-/// The prefix of all names on the page.
-const PREFIX: &str = "quillhatch";
+/// The prefix of all metric names.
+const METRIC_PREFIX: &str = "quillhatch";
 
 /// Renders the metrics page.
 #[derive(Debug)]
 pub struct MetricsPage(Registry);
 
 impl MetricsPage {
-    /// A page of `counters` and of what `driver`'s decision code counts.
+    /// Creates a page of `counters` and the statistics of `driver`'s decision code.
     pub fn new(counters: &Counters, driver: Arc<Driver>) -> Self {
-        let mut registry = Registry::with_prefix(PREFIX);
+        let mut registry = Registry::with_prefix(METRIC_PREFIX);
         counters.register(&mut registry);
-        registry.register_collector(Box::new(Statistics(driver)));
+        registry.register_collector(Box::new(StatisticsCollector(driver)));
         MetricsPage(registry)
     }
 
-    /// The page in the OpenMetrics text format.
+    /// Renders the page in the OpenMetrics text format.
     ///
     /// # Errors
     ///
-    /// Returns an error if a metric cannot be written.
+    /// Returns an error if a metric cannot be encoded.
     pub fn render(&self) -> Result<String, fmt::Error> {
         let mut page = String::new();
         text::encode(&mut page, &self.0)?;
@@ -42,9 +42,9 @@
 }
 
 #[derive(Debug)]
-struct Statistics(Arc<Driver>);
+struct StatisticsCollector(Arc<Driver>);
 
-impl Collector for Statistics {
+impl Collector for StatisticsCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         for Statistic { name, help, value, gauge } in self.0.statistics() {
             if gauge {
--- a/crates/quillhatch/src/operators/mod.rs
+++ b/crates/quillhatch/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: health, readiness, metrics, and the requests of the command line.
+//! The operator listener: liveness, readiness, metrics, and the requests of the command line.
 
 mod metrics_page;
 mod routes;
@@ -19,30 +19,30 @@
 pub use metrics_page::MetricsPage;
 pub use token::BearerToken;
 
-/// The path that takes operators' requests.
+/// The path for operator requests.
 pub const OPERATOR_PATH: &str = "/operator";
 
-/// Why the operators' listener did not start.
+/// An error that prevents the operator listener from starting.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen for operators at {address}: {problem}")]
 pub struct OperatorServerError {
-    /// The address.
+    /// The address to bind.
     pub address: SocketAddr,
-    /// What rocket says.
+    /// Rocket's error message.
     pub problem: String,
 }
 
-/// The running operators' listener.
+/// A running operator listener.
 #[derive(Debug)]
 pub struct OperatorServer {
-    /// Where it listens.
+    /// The bound address.
     pub address: SocketAddr,
     shutdown: rocket::Shutdown,
     task: JoinHandle<()>,
 }
 
 impl OperatorServer {
-    /// Starts listening at `address`; port zero takes a free one.
+    /// Starts listening at `address`; with port zero, the system assigns a free port.
     ///
     /// # Errors
     ///
@@ -53,36 +53,36 @@
         driver: Arc<Driver>,
         counters: &Counters,
     ) -> Result<Self, OperatorServerError> {
-        let failed = |problem: String| OperatorServerError { address, problem };
-        let (bound, listening) = oneshot::channel();
-        let bound = Mutex::new(Some(bound));
+        let start_error = |problem: String| OperatorServerError { address, problem };
+        let (address_sender, address_receiver) = oneshot::channel();
+        let address_sender = Mutex::new(Some(address_sender));
         let liftoff = AdHoc::on_liftoff("listening", move |rocket| {
             let address = SocketAddr::new(rocket.config().address, rocket.config().port);
-            if let Some(bound) = bound.lock().unwrap_or_else(PoisonError::into_inner).take() {
-                // The starter waits for it, unless it was dropped.
-                let _ = bound.send(address);
+            if let Some(sender) = address_sender.lock().unwrap_or_else(PoisonError::into_inner).take() {
+                // Sending fails only if the future of `start` has been dropped.
+                let _ = sender.send(address);
             }
             Box::pin(async {})
         });
-        let rocket = rocket::custom(configuration(address))
+        let rocket = rocket::custom(rocket_config(address))
             .manage(MetricsPage::new(counters, Arc::clone(&driver)))
-            .manage(routes::Guarded { token, driver })
+            .manage(routes::RouteState { token, driver })
             .mount("/", routes::routes())
             .attach(liftoff);
-        let rocket = rocket.ignite().await.map_err(|error| failed(error.to_string()))?;
+        let rocket = rocket.ignite().await.map_err(|error| start_error(error.to_string()))?;
         let shutdown = rocket.shutdown();
         let mut launched = Box::pin(rocket.launch());
         let address = tokio::select! {
-            address = listening => address.map_err(|_| failed("it stopped while starting".to_owned()))?,
-            ended = &mut launched => {
-                let problem = ended.err().map_or_else(|| "it stopped while starting".to_owned(), |error| error.to_string());
-                return Err(failed(problem));
+            address = address_receiver => address.map_err(|_| start_error("it stopped during startup".to_owned()))?,
+            result = &mut launched => {
+                let problem = result.err().map_or_else(|| "it stopped during startup".to_owned(), |error| error.to_string());
+                return Err(start_error(problem));
             }
         };
         let task = tokio::spawn(async move {
             if let Err(error) = launched.await {
                 let problem = error.to_string();
-                log::debug!(problem; "the operators' listener ended with open connections");
+                log::debug!(problem; "the operator listener ended with open connections");
             }
         });
         Ok(OperatorServer { address, shutdown, task })
@@ -91,13 +91,14 @@
     /// Stops listening.
     pub async fn stop(self) {
         self.shutdown.notify();
-        // A panic of the listener is of no consequence while the node stops.
+        // The result can be ignored: a panic of the listener task does not matter while the node is stopping.
         let _ = self.task.await;
     }
 }
 
-/// Rocket's own settings: nothing from files or the environment, and no signal handling, since the node has its own.
-fn configuration(address: SocketAddr) -> Config {
+/// The configuration of rocket. It reads no files or environment variables, and disables rocket's signal handling because
+/// the node has its own.
+fn rocket_config(address: SocketAddr) -> Config {
     let shutdown = ShutdownConfig {
         ctrlc: false,
         signals: std::collections::HashSet::new(),
--- a/crates/quillhatch/src/operators/routes.rs
+++ b/crates/quillhatch/src/operators/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of the operators' listener.
+//! The routes of the operator listener.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,46 +12,46 @@
 use super::{BearerToken, MetricsPage};
 use crate::driver::Driver;
 
-/// The longest time that an operator waits for a reply.
+/// The maximum time to wait for the reply to an operator request.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the routes work with.
-pub(super) struct Guarded {
+/// The state that the routes share.
+pub(super) struct RouteState {
     pub(super) token: Option<BearerToken>,
     pub(super) driver: Arc<Driver>,
 }
 
-/// Shows that the request presented the operators' token, or that none is configured.
-struct Operator;
+/// A request guard that admits requests with the operator token, or any request if no token is configured.
+struct AuthorizedOperator;
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Operator {
+impl<'r> FromRequest<'r> for AuthorizedOperator {
     type Error = ();
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, ()> {
-        let Some(guarded) = request.rocket().state::<Guarded>() else {
+        let Some(state) = request.rocket().state::<RouteState>() else {
             return Outcome::Error((Status::InternalServerError, ()));
         };
         let authorization = request.headers().get_one("Authorization");
-        let admitted = guarded.token.as_ref().is_none_or(|token| token.matches(authorization));
-        if admitted {
-            Outcome::Success(Operator)
+        let authorized = state.token.as_ref().is_none_or(|token| token.matches(authorization));
+        if authorized {
+            Outcome::Success(AuthorizedOperator)
         } else {
             Outcome::Error((Status::Unauthorized, ()))
         }
     }
 }
 
-/// Whether the process answers at all.
+/// Liveness: responds whenever the process is running.
 #[get("/health")]
 fn health() -> &'static str {
     "ok\n"
 }
 
-/// Whether the node takes calls.
+/// Readiness: whether the node accepts calls.
 #[get("/ready")]
-fn ready(guarded: &State<Guarded>) -> (Status, &'static str) {
-    if guarded.driver.is_ready() {
+fn ready(state: &State<RouteState>) -> (Status, &'static str) {
+    if state.driver.is_ready() {
         (Status::Ok, "ready\n")
     } else {
         (Status::ServiceUnavailable, "not ready\n")
@@ -59,30 +59,30 @@
 }
 
 #[get("/metrics")]
-fn metrics(_operator: Operator, page: &State<MetricsPage>) -> Result<(ContentType, String), Status> {
-    let open_metrics =
+fn metrics(_operator: AuthorizedOperator, page: &State<MetricsPage>) -> Result<(ContentType, String), Status> {
+    let content_type =
         ContentType::new("application", "openmetrics-text").with_params([("version", "1.0.0"), ("charset", "utf-8")]);
-    page.render().map(|text| (open_metrics, text)).map_err(|_| Status::InternalServerError)
+    page.render().map(|text| (content_type, text)).map_err(|_| Status::InternalServerError)
 }
 
 #[post("/operator", format = "json", data = "<request>")]
 async fn operator(
-    _operator: Operator,
+    _operator: AuthorizedOperator,
     request: Result<Json<OperatorRequest>, JsonError<'_>>,
-    guarded: &State<Guarded>,
+    state: &State<RouteState>,
 ) -> (Status, Json<OperatorReply>) {
     let request = match request {
         Ok(request) => request.into_inner(),
-        Err(error) => return (Status::BadRequest, Json(malformed(&error))),
+        Err(error) => return (Status::BadRequest, Json(malformed_request(&error))),
     };
-    let reply = guarded.driver.operator_request(request);
+    let reply = state.driver.operator_request(request);
     match tokio::time::timeout(REPLY_TIMEOUT, reply).await {
         Ok(Ok(reply)) => (Status::Ok, Json(reply)),
-        Ok(Err(_)) | Err(_) => (Status::GatewayTimeout, Json(unanswered())),
+        Ok(Err(_)) | Err(_) => (Status::GatewayTimeout, Json(no_reply())),
     }
 }
 
-fn malformed(error: &JsonError<'_>) -> OperatorReply {
+fn malformed_request(error: &JsonError<'_>) -> OperatorReply {
     let problem = match error {
         JsonError::Io(_) => "the request could not be read".to_owned(),
         JsonError::Parse(_, error) => format!("the request is malformed: {error}"),
@@ -90,8 +90,8 @@
     OperatorReply::refused("", problem, "use a command line of the same release as the node")
 }
 
-fn unanswered() -> OperatorReply {
-    let problem = "the node did not reply in time; what was asked may still be done";
+fn no_reply() -> OperatorReply {
+    let problem = "the node did not reply in time; it may still carry out the request";
     OperatorReply::Undecided { problem: problem.to_owned() }
 }
 
--- a/crates/quillhatch/src/operators/token.rs
+++ b/crates/quillhatch/src/operators/token.rs
@@ -1,19 +1,19 @@
-//! The bearer token that operators present (RFC 6750).
+//! The bearer token of operator requests (RFC 6750).
 
 use subtle::ConstantTimeEq;
 
-/// A secret shared with operators; never shown by `Debug`.
+/// A secret shared with operators. `Debug` does not print it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct BearerToken(Vec<u8>);
 
 impl BearerToken {
-    /// Takes `bytes` as the token.
+    /// Creates a token from its bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         BearerToken(bytes)
     }
 
-    /// Whether the value of an `Authorization` field presents this token; takes a time that does not depend on how many
-    /// bytes are right.
+    /// Whether the value of an `Authorization` field contains this token. The comparison takes constant time, so that its
+    /// duration does not reveal how many bytes match.
     pub fn matches(&self, authorization: Option<&str>) -> bool {
         const SCHEME: &str = "bearer ";
         let Some((scheme, presented)) = authorization.and_then(|value| value.split_at_checked(SCHEME.len())) else {
--- a/crates/quillhatch/src/platform/mod.rs
+++ b/crates/quillhatch/src/platform/mod.rs
@@ -1,7 +1,8 @@
-//! Reads the platform's service: the configuration document and the list of machines.
+//! Polls the platform's service for the configuration document and the list of machines.
 //!
-//! Everything that knows the platform's interface is in this module, behind [`Platform`]: the real one's will differ. A
-//! reading never blocks the node, and a platform that is down, slow or stale only means that nothing new is learned.
+//! Only this module depends on the platform's interface, behind the trait [`Platform`], because a real platform's interface
+//! will differ from this one. Polling never blocks the node: while the platform is down, slow or stale, the node continues
+//! with the data it has.
 
 mod http;
 #[cfg(test)]
@@ -22,80 +23,81 @@
 
 pub use http::HttpPlatform;
 
-/// Why a reading gave nothing.
+/// An error that occurred while polling the platform.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum ReadError {
-    /// No address of the platform answered.
+pub enum PlatformError {
+    /// No address of the platform returned a successful response.
     #[display("the platform does not answer: {problem}")]
     Unreachable {
-        /// What the last attempt ran into.
+        /// The failure at the address tried last.
         problem: String,
     },
-    /// The answer is larger than any sensible document.
-    #[display("the platform's answer is larger than {maximum} bytes")]
+    /// The response exceeds the size limit.
+    #[display("the platform's response is larger than {max_bytes} bytes")]
     TooLarge {
-        /// The largest answer read, in bytes.
-        maximum: usize,
+        /// The maximum response size in bytes.
+        max_bytes: usize,
     },
-    /// The list of machines cannot be read.
-    #[display("the platform's list of machines cannot be read: {problem}")]
-    Machines {
-        /// What is wrong with it.
+    /// The list of machines is malformed.
+    #[display("the platform's list of machines is malformed: {problem}")]
+    MalformedMachineList {
+        /// The parse error.
         problem: String,
     },
-    /// The configuration document has errors and was refused whole.
-    #[display("the configuration document is refused")]
-    Refused(#[error(not(source))] Findings),
+    /// The configuration document has errors; no part of it is applied.
+    #[display("the configuration document has errors and was rejected")]
+    RejectedConfiguration(#[error(not(source))] Findings),
 }
 
-/// A platform, whatever its interface.
+/// The interface to a platform's service.
 pub trait Platform: Send + 'static {
-    /// The configuration document, or `None` if it is the one read before.
-    fn configuration(&mut self) -> impl Future<Output = Result<Option<Arc<Configuration>>, ReadError>> + Send;
+    /// Fetches the configuration, or returns `None` if it has not changed since the previous fetch.
+    fn configuration(&mut self) -> impl Future<Output = Result<Option<Arc<Configuration>>, PlatformError>> + Send;
 
-    /// The list of machines; it lags.
-    fn machines(&mut self) -> impl Future<Output = Result<Vec<Machine>, ReadError>> + Send;
+    /// Fetches the list of machines, which may be out of date.
+    fn machines(&mut self) -> impl Future<Output = Result<Vec<Machine>, PlatformError>> + Send;
 }
 
-/// What the last reading of one part came to, so that only changes are logged.
+/// The result of the last poll of one resource, so that only changes are logged.
 #[derive(Debug, Default, PartialEq, Eq)]
-enum Health {
+enum PollStatus {
     #[default]
-    Unread,
-    Readable,
-    Failing(ReadError),
+    NotPolled,
+    Succeeded,
+    Failed(PlatformError),
 }
 
-/// Reads the platform again and again and hands what it says to the node.
+/// Polls the platform periodically and passes the results to the node's decision code.
 pub struct PlatformReader<P> {
     platform: P,
     interval: Duration,
     driver: Arc<Driver>,
     counters: Arc<Counters>,
-    configuration: Health,
-    machines: Health,
+    configuration_status: PollStatus,
+    machines_status: PollStatus,
 }
 
 impl<P: Platform> PlatformReader<P> {
-    /// A reader that pauses for `interval` between two readings.
+    /// Creates a reader that waits for `interval` after each poll.
     pub fn new(platform: P, interval: Duration, driver: Arc<Driver>, counters: Arc<Counters>) -> Self {
-        let (configuration, machines) = (Health::Unread, Health::Unread);
-        PlatformReader { platform, interval, driver, counters, configuration, machines }
+        let (configuration_status, machines_status) = (PollStatus::NotPolled, PollStatus::NotPolled);
+        PlatformReader { platform, interval, driver, counters, configuration_status, machines_status }
     }
 
-    /// Reads for ever.
+    /// Polls the platform until the task is aborted.
     pub async fn run(mut self) {
         loop {
-            self.read().await;
+            self.poll().await;
             tokio::time::sleep(self.interval).await;
         }
     }
 
-    async fn read(&mut self) {
+    async fn poll(&mut self) {
         let configuration = self.platform.configuration().await;
-        let configuration = note(&mut self.configuration, &self.counters, "configuration", configuration).flatten();
+        let configuration =
+            record_result(&mut self.configuration_status, &self.counters, "configuration", configuration).flatten();
         let machines = self.platform.machines().await;
-        let machines = note(&mut self.machines, &self.counters, "machines", machines);
+        let machines = record_result(&mut self.machines_status, &self.counters, "machines", machines);
         if configuration.is_none() && machines.is_none() {
             return;
         }
@@ -104,35 +106,40 @@
     }
 }
 
-/// Counts a result, logs it if it differs from the last one, and returns its value.
-fn note<T>(health: &mut Health, counters: &Counters, part: &str, result: Result<T, ReadError>) -> Option<T> {
+/// Counts `result`, logs a changed failure or a recovery, and returns the value.
+fn record_result<T>(
+    status: &mut PollStatus,
+    counters: &Counters,
+    part: &str,
+    result: Result<T, PlatformError>,
+) -> Option<T> {
     match result {
         Ok(value) => {
             counters.platform_readings.inc();
-            if matches!(health, Health::Failing(_)) {
-                log::info!(part; "the platform can be read again");
+            if matches!(status, PollStatus::Failed(_)) {
+                log::info!(part; "polling the platform succeeds again");
             }
-            *health = Health::Readable;
+            *status = PollStatus::Succeeded;
             Some(value)
         }
         Err(error) => {
             counters.failed_platform_readings.inc();
-            if matches!(error, ReadError::Refused(_)) {
+            if matches!(error, PlatformError::RejectedConfiguration(_)) {
                 counters.refused_configurations.inc();
             }
-            let failing = Health::Failing(error.clone());
-            if *health != failing {
+            let failed = PollStatus::Failed(error.clone());
+            if *status != failed {
                 log_failure(part, &error);
-                *health = failing;
+                *status = failed;
             }
             None
         }
     }
 }
 
-fn log_failure(part: &str, error: &ReadError) {
+fn log_failure(part: &str, error: &PlatformError) {
     log::warn!(part; "{error}");
-    if let ReadError::Refused(findings) = error {
+    if let PlatformError::RejectedConfiguration(findings) = error {
         for finding in &findings.0 {
             let place = finding.place.to_string();
             log::warn!(part, place = place.as_str(); "{}", render_finding(finding));
--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -69,7 +69,7 @@
 
     let opener = FrameOpener::new(node, settings.deployment.clone(), (*keys).clone());
     let frames = FrameReceiver::new(opener, versions, Arc::clone(&driver), Arc::clone(&counters));
-    let backend = settings.backend.as_ref().map(backend_client).transpose()?;
+    let backend = settings.backend.as_ref().map(build_backend).transpose()?;
     let background_runs = Arc::new(BackgroundRuns::default());
     let gate = Gate {
         node,
@@ -138,7 +138,7 @@
     FleetKeys::new(settings.accepted.iter().map(key).collect(), KeyId(settings.sending_key_id))
 }
 
-fn backend_client(settings: &BackendSettings) -> reqwest::Result<Backend> {
+fn build_backend(settings: &BackendSettings) -> reqwest::Result<Backend> {
     let client = clients::transparent()?;
     Ok(Backend { address: settings.address, service: settings.service.clone(), client })
 }
--- a/crates/quillhatch/src/running/stop.rs
+++ b/crates/quillhatch/src/running/stop.rs
@@ -18,7 +18,7 @@
 /// The result of a graceful shutdown.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StopReport {
-    /// The requests still active when the grace period expired, which were aborted.
+    /// The requests that were aborted because they were still active at the end of the grace period.
     pub aborted: Vec<ActiveRequest>,
 }
 
