--- a/crates/calls/src/gate/admission.rs
+++ b/crates/calls/src/gate/admission.rs
@@ -1,9 +1,10 @@
-//! Controls the admission level: the rank from which calls are refused before they are sent.
+//! Controls the admission level: edges refuse calls of this rank or above before they send them.
 //!
-//! In short periods the controller compares arrivals by rank with the calls that got a slot. After a period with refusals
-//! at the gate it lowers the level to the rank up to which the arrivals would have fitted. After a calm period it raises
-//! the level by a step that doubles from period to period, so that the level is open again about a second after an
-//! overload, whatever its history. (Source of the idea: "Overload Control for Scaling WeChat Microservices", SoCC 2018.)
+//! In short periods the controller compares arrivals by rank with the calls that got a slot. After a period with
+//! refusals at the gate it lowers the level to the rank up to which the arrivals would have fitted. After a period
+//! without overload it raises the level by a step that doubles from period to period, so that the level is fully open
+//! again about a second after an overload, whatever its history. (The method follows "Overload Control for Scaling
+//! WeChat Microservices", SoCC 2018.)
 
 use std::time::Duration;
 
@@ -13,34 +14,34 @@
 use super::attempt::PROTECTED_RANKS;
 
 /// The length of one period of the controller.
-pub(super) const PERIOD: Duration = Duration::from_millis(100);
+pub(super) const CONTROL_PERIOD: Duration = Duration::from_millis(100);
 const BUCKET_RANKS: u16 = 64;
 const BUCKETS: usize = (BANDS * RANKS_PER_BAND / BUCKET_RANKS) as usize;
-/// What remains of earlier periods' counts in each new period.
+/// The factor applied to the counts of earlier periods at the end of each period.
 const COUNT_RETENTION: f64 = 0.8;
 const MIN_DECREASE: u16 = 16;
 const MAX_DECREASE: u16 = RANKS_PER_BAND;
 const INITIAL_STEP: u16 = 32;
 const MAX_STEP: u16 = RANKS_PER_BAND;
-/// The growth of the step from one calm period to the next.
+/// The growth of the step from one period without overload to the next.
 const STEP_FACTOR: u16 = 2;
-/// The same while slots are free and nothing waits: the overload is over.
+/// The growth of the step while slots are free and no call waits, which means that the overload is over.
 const IDLE_STEP_FACTOR: u16 = 4;
-/// Calm periods that are made up for at once after a gate was not stepped for long.
+/// The maximum number of elapsed periods applied at once after a gate was not stepped for a long time.
 const MAX_ELAPSED_PERIODS: u64 = 64;
-/// The time after a refusal during which the gate counts as overloaded.
+/// How long after a refusal the gate counts as overloaded.
 const OVERLOAD_DURATION: Duration = Duration::from_millis(500);
 
-/// What the controller is told of its gate at the end of a period.
+/// The gate's state at the end of a period, as input to the controller.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GateState {
-    /// Whether work that is not protected waits or runs.
+    /// Whether unprotected calls wait or run.
     pub(super) unprotected_present: bool,
-    /// Whether slots are free and nothing waits.
+    /// Whether slots are free and no call waits.
     pub(super) idle: bool,
 }
 
-/// The controller of one gate's level.
+/// The controller of one gate's admission level.
 #[derive(Clone, Debug)]
 pub(super) struct AdmissionController {
     level: u16,
@@ -71,12 +72,12 @@
         AdmissionLevel(self.level)
     }
 
-    /// Whether protected calls are refused by level too; nothing less important may then start.
+    /// Whether the level is so low that it refuses even some protected calls; no less important call may then start.
     pub(super) fn only_protected(&self) -> bool {
         self.level < PROTECTED_RANKS
     }
 
-    /// Whether the gate refused calls a moment ago or still asks edges to refuse some.
+    /// Whether the gate refused calls within [`OVERLOAD_DURATION`], or its level still makes edges refuse some.
     pub(super) fn overloaded(&self, now: Timestamp) -> bool {
         let recent = self.last_pressure.is_some_and(|at| now.since(at) < OVERLOAD_DURATION);
         recent || self.level < AdmissionLevel::OPEN.0
@@ -87,27 +88,27 @@
         self.arrivals[bucket] += 1.0;
     }
 
-    /// A call got a slot.
+    /// Records that a call got a slot.
     pub(super) fn served(&mut self, protected: bool) {
         self.served += 1.0;
         self.unprotected_served |= !protected;
     }
 
-    /// The gate refused a call for want of capacity, or the queue stands.
+    /// Records that the gate refused a call for lack of capacity, or that calls wait too long in the queue.
     pub(super) fn record_pressure(&mut self, now: Timestamp) {
         self.under_pressure = true;
         self.last_pressure = Some(now);
     }
 
-    /// When the next period ends, while that matters.
+    /// When the current period ends, if that can change the level.
     pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        let waits = self.under_pressure || self.level < AdmissionLevel::OPEN.0;
-        waits.then(|| self.period_start + PERIOD)
+        let level_may_change = self.under_pressure || self.level < AdmissionLevel::OPEN.0;
+        level_may_change.then(|| self.period_start + CONTROL_PERIOD)
     }
 
-    /// Ends the periods that have passed.
+    /// Ends the periods that have elapsed.
     pub(super) fn advance(&mut self, now: Timestamp, state: GateState) {
-        let periods = now.since(self.period_start).as_micros() as u64 / PERIOD.as_micros() as u64;
+        let periods = now.since(self.period_start).as_micros() as u64 / CONTROL_PERIOD.as_micros() as u64;
         if periods == 0 {
             return;
         }
@@ -139,19 +140,19 @@
     fn lower(&mut self, unprotected_present: bool) {
         // Edges must not refuse protected calls while this gate serves less important ones.
         let floor = if unprotected_present { PROTECTED_RANKS } else { 0 };
-        let largest = self.level.saturating_sub(MAX_DECREASE);
-        let smallest = self.level.saturating_sub(MIN_DECREASE);
-        let target = self.fitting_rank().clamp(largest, smallest);
+        let lowest = self.level.saturating_sub(MAX_DECREASE);
+        let highest = self.level.saturating_sub(MIN_DECREASE);
+        let target = self.fitting_rank().clamp(lowest, highest);
         self.level = target.max(floor.min(self.level));
     }
 
-    /// The rank up to which the arrivals are as many as the calls served.
+    /// The rank below which the number of arrivals equals the number of calls served.
     fn fitting_rank(&self) -> u16 {
-        let target = self.served;
+        let capacity = self.served;
         let mut sum = 0.0;
         for (bucket, count) in self.arrivals.iter().enumerate() {
-            if sum + count > target {
-                let part = f64::from(BUCKET_RANKS) * (target - sum) / count;
+            if sum + count > capacity {
+                let part = f64::from(BUCKET_RANKS) * (capacity - sum) / count;
                 return bucket as u16 * BUCKET_RANKS + part as u16;
             }
             sum += count;
--- a/crates/calls/src/gate/arrival.rs
+++ b/crates/calls/src/gate/arrival.rs
@@ -10,7 +10,7 @@
 use super::queue::{Ticket, Waiting};
 use super::tokens::TokenAccount;
 
-/// A waiting attempt that gives way to a more important one.
+/// A waiting attempt that can be evicted for a more important one.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     lane: Lane,
@@ -19,7 +19,8 @@
     rank: AdmissionRank,
 }
 
-/// A longer remaining time is taken as this; it keeps a forged value from holding memory.
+/// Longer remaining times are reduced to this, so that a forged value cannot hold memory for long. It also serves as
+/// the queue timeout while that mechanism is off.
 const MAX_REMAINING_TIME: Duration = Duration::from_secs(3600);
 
 impl Gate {
@@ -50,7 +51,8 @@
         self.enqueue(now, lane, context);
     }
 
-    /// Whether nothing that waits comes before a newcomer: a reserved slot may be free while less important work waits.
+    /// Whether a new attempt would start before all waiting ones. A protected one may: a reserved slot can be free
+    /// while less important attempts wait.
     fn would_start_next(&self, lane: Lane, context: &CallContext) -> bool {
         let short = self.short_queue.peek(false);
         if lane == Lane::Large && short.is_some_and(|(_, head)| head.rank < context.rank) {
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Refusals that do not depend on load.
+    /// Refuses an arrival for a reason other than load: a closed or unconfigured gate, a wrong service, too little
+    /// time.
     fn refusal_on_arrival(&self, now: Timestamp, context: &CallContext) -> Option<Refusal> {
         if let Some(closed) = self.closed {
             return Some(Refusal::not_run(closed.reason));
@@ -86,7 +89,7 @@
         too_short.then(|| Refusal::not_run(RefusalReason::DeadlineTooShort))
     }
 
-    /// The time below which a call of the class cannot finish.
+    /// The minimum time that a call of this class needs: with less remaining time it is expected to miss its deadline.
     pub(super) fn needed_time(&self, now: Timestamp, context: &CallContext) -> Duration {
         let Some(target) = &self.target else { return Duration::ZERO };
         let deadline = target.deadline(&context.class);
@@ -94,7 +97,10 @@
         target.minimum_time.max(typical.unwrap_or_default())
     }
 
-    /// Decides whether a newcomer that finds no free slot may wait; evicts less important work if the queue is full.
+    /// Decides whether a new attempt without a free slot may wait, and evicts a less important one if the queue is
+    /// full.
+    ///
+    /// Returns the refusal if it may not wait.
     fn admit_to_queue(
         &mut self,
         now: Timestamp,
@@ -106,11 +112,11 @@
             self.limit.blocked();
         }
         let candidate = self.eviction_candidate(lane, context);
-        let displaces_unprotected = is_protected(context.rank) && candidate.is_some();
+        let protected_can_evict = is_protected(context.rank) && candidate.is_some();
         let above_level = lane == Lane::Short && !self.level().admits(context.rank);
         let too_late = self.expected_wait(now, lane, context) > self.max_useful_wait(now, context);
-        if !displaces_unprotected && (above_level || too_late) {
-            // A refusal that the level itself caused must not count as pressure: the level would hold itself down.
+        if !protected_can_evict && (above_level || too_late) {
+            // A refusal caused by the level itself must not count as pressure, or the level would keep itself low.
             if !above_level {
                 self.note_pressure(now, lane);
             }
@@ -127,28 +133,29 @@
         None
     }
 
-    /// The waiting attempt that would give way to `context`: no protected one while a less important one waits in any lane.
+    /// The waiting attempt to evict for `context`, if any. No protected one is chosen while an unprotected one waits in
+    /// either lane.
     fn eviction_candidate(&self, lane: Lane, context: &CallContext) -> Option<Victim> {
-        let of_lane = |lane: Lane| {
+        let candidate_in = |lane: Lane| {
             let least = self.queue(lane).least_important().filter(|(_, waiting)| waiting.rank > context.rank);
             least.map(|(ticket, waiting)| Victim { lane, ticket, attempt: waiting.attempt, rank: waiting.rank })
         };
-        let own = of_lane(lane);
+        let own = candidate_in(lane);
         if !is_protected(context.rank) || own.is_some_and(|victim| !is_protected(victim.rank)) {
             return own;
         }
-        of_lane(lane.other()).filter(|victim| !is_protected(victim.rank)).or(own)
+        candidate_in(lane.other()).filter(|victim| !is_protected(victim.rank)).or(own)
     }
 
-    /// The number of attempts that may wait: no more than get a slot within the queue timeout.
+    /// The maximum number of waiting attempts: at most as many as get a slot within the queue timeout.
     ///
-    /// Otherwise the least important would wait in vain, overtaken until their time is over.
+    /// In a longer queue the least important attempts would be overtaken until they time out.
     fn max_queue_len(&mut self, now: Timestamp, lane: Lane) -> usize {
         let bound = self.settings.maximum_waiting;
         if lane == Lane::Large {
-            // Protected short calls may have taken the places of waiting large answers, beyond their own bound.
-            let beyond = self.short_queue.len().saturating_sub(bound);
-            return self.settings.maximum_waiting_large.saturating_sub(beyond);
+            // Protected short calls beyond their own bound have evicted waiting large answers and take up their places.
+            let excess = self.short_queue.len().saturating_sub(bound);
+            return self.settings.maximum_waiting_large.saturating_sub(excess);
         }
         if !self.settings.mechanisms.early_refusal || self.mean_slot_seconds <= 0.0 {
             return bound;
@@ -157,12 +164,13 @@
         bound.min((served as usize).max(1))
     }
 
-    /// The rate at which slots become free, by Little's law, per second.
+    /// The number of slots that become free per second, by Little's law.
     fn slot_rate(&mut self, now: Timestamp) -> f64 {
-        f64::from(self.short_limit(now).max(1)) / self.mean_slot_seconds
+        f64::from(self.short_call_limit(now).max(1)) / self.mean_slot_seconds
     }
 
-    /// The expected wait: those ahead, over the rate at which slots become free.
+    /// The expected wait of a new attempt: the number of attempts ahead of it, divided by the rate at which slots
+    /// become free.
     fn expected_wait(&mut self, now: Timestamp, lane: Lane, context: &CallContext) -> Duration {
         if lane == Lane::Large || !self.settings.mechanisms.early_refusal || self.mean_slot_seconds <= 0.0 {
             return Duration::ZERO;
@@ -184,7 +192,7 @@
     }
 
     pub(super) fn note_pressure(&mut self, now: Timestamp, lane: Lane) {
-        // Downloads have slots of their own: their queue says nothing about the slots of short calls.
+        // Large answers have a limit of their own: their queue says nothing about the slots of short calls.
         if lane == Lane::Short {
             self.admission.record_pressure(now);
         }
@@ -203,12 +211,14 @@
             phase: Phase::Waiting { ticket, queue_expires },
             tokens: TokenAccount::new(context.tokens),
             slot_since: now,
-            counted_bytes: 0,
+            reserved_bytes: 0,
             context,
         };
         self.attempts.insert(attempt, entry);
     }
 
+    /// The latest time at which an attempt may start: early enough to meet its deadline, or the deadline itself while
+    /// the deadline check is off.
     pub(super) fn latest_start(&self, now: Timestamp, deadline: Timestamp, context: &CallContext) -> Timestamp {
         if self.settings.mechanisms.deadline_check {
             deadline - self.needed_time(now, context)
@@ -217,9 +227,9 @@
         }
     }
 
-    /// Refuses waiting attempts whose time is over.
+    /// Refuses waiting attempts that have expired.
     pub(super) fn expire_waiting(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) {
-        self.end_drain_grace(now, lane, outputs);
+        self.refuse_after_drain(now, lane, outputs);
         while let Some((at, ticket)) = self.queue(lane).first_expiry() {
             if at > now {
                 break;
@@ -230,9 +240,9 @@
         }
     }
 
-    /// A draining back end gets no new work after the grace, not even work that waited.
-    fn end_drain_grace(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) {
-        if !self.drain_is_over(now) {
+    /// Refuses all waiting attempts once the drain's grace period is over: the back end gets no new work after it.
+    fn refuse_after_drain(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) {
+        if !self.drain_grace_is_over(now) {
             return;
         }
         while let Some((_, waiting)) = self.queue(lane).peek(false) {
@@ -240,12 +250,13 @@
         }
     }
 
-    pub(super) fn drain_is_over(&self, now: Timestamp) -> bool {
-        let drained = self.closed.filter(|closed| closed.reason == RefusalReason::Draining);
-        drained.is_some_and(|closed| now >= closed.since + self.settings.drain_grace)
+    pub(super) fn drain_grace_is_over(&self, now: Timestamp) -> bool {
+        let draining = self.closed.filter(|closed| closed.reason == RefusalReason::Draining);
+        draining.is_some_and(|closed| now >= closed.since + self.settings.drain_grace)
     }
 
-    /// A protected attempt at the end of its queue time stays while less important work waits, which is refused for it.
+    /// Extends the wait of an expired protected attempt by evicting a less important one, if its deadline allows;
+    /// returns whether it did.
     fn extend_by_eviction(
         &mut self,
         now: Timestamp,
@@ -278,9 +289,9 @@
     fn refuse_expired(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, outputs: &mut Vec<GateOutput>) {
         let Some(waiting) = self.queue_mut(lane).remove(ticket) else { return };
         let Some(entry) = self.attempts.get(&waiting.attempt) else { return };
-        let queue_time_over = matches!(entry.phase, Phase::Waiting { queue_expires, .. } if queue_expires <= now);
+        let queue_timed_out = matches!(entry.phase, Phase::Waiting { queue_expires, .. } if queue_expires <= now);
         let too_late = self.latest_start(now, entry.deadline, &entry.context) <= now;
-        let refusal = if queue_time_over && !too_late {
+        let refusal = if queue_timed_out && !too_late {
             self.overload_refusal(RefusalReason::QueueTimeout)
         } else {
             Refusal::not_run(RefusalReason::DeadlineTooShort)
@@ -304,7 +315,7 @@
     ) {
         let attempt = context.attempt_id();
         self.recent.insert(attempt);
-        // Nothing ran below this attempt, so it gives all its tokens back.
+        // The attempt made no child calls, so all its tokens go back.
         let feedback = self.feedback_with(now, context.tokens);
         outputs.push(GateOutput::Refuse { attempt, refusal, feedback });
     }
--- a/crates/calls/src/gate/attempt.rs
+++ b/crates/calls/src/gate/attempt.rs
@@ -1,7 +1,7 @@
-//! An attempt in the gate's table, from its arrival to its end.
+//! An entry in the gate's table of attempts, from arrival to end.
 //!
-//! An entry costs about 400 bytes with its context and key (estimated from the sizes of the types); the number of entries
-//! is bounded by the sizes of the queues and by the back end's connections.
+//! An entry takes about 400 bytes with its context and key (estimated from the sizes of the types). The number of
+//! entries is bounded by the sizes of the queues and by the back end's connections.
 
 use quillhatch_types::admission::RANKS_PER_BAND;
 use quillhatch_types::{AdmissionRank, CallContext, Timestamp};
@@ -9,19 +9,19 @@
 use super::queue::Ticket;
 use super::tokens::TokenAccount;
 
-/// The rank below which calls are protected: first tries and retries of the highest priority.
+/// Calls with a rank below this are protected: first attempts and retries of the highest priority.
 pub(super) const PROTECTED_RANKS: u16 = 2 * RANKS_PER_BAND;
 
 pub(super) fn is_protected(rank: AdmissionRank) -> bool {
     rank.0 < PROTECTED_RANKS
 }
 
-/// Which limit an attempt falls under.
+/// Which limit and queue an attempt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lane {
-    /// The concurrency limit.
+    /// Short calls, under the concurrency limit.
     Short,
-    /// The limit of large answers.
+    /// Calls with large answers, under a limit of their own.
     Large,
 }
 
@@ -34,18 +34,18 @@
     }
 }
 
-/// How far an attempt is.
+/// The phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It waits for a slot.
+    /// Waits for a slot.
     Waiting { ticket: Ticket, queue_expires: Timestamp },
-    /// It holds a slot; its claim is being recorded.
+    /// Holds a slot while its claim is being recorded.
     Claiming { claim_expires: Timestamp },
-    /// It is at the back end.
+    /// Runs at the back end.
     Running { since: Timestamp, answer_started: bool, cancel_sent: bool, timer: Timestamp },
 }
 
-/// One attempt.
+/// The state of one attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub(super) context: Box<CallContext>,
@@ -54,7 +54,7 @@
     pub(super) phase: Phase,
     pub(super) tokens: TokenAccount,
     pub(super) slot_since: Timestamp,
-    pub(super) counted_bytes: u64,
+    pub(super) reserved_bytes: u64,
 }
 
 impl Attempt {
@@ -62,12 +62,12 @@
         is_protected(self.context.rank)
     }
 
-    /// Whether a claim was asked for before the attempt ran.
-    pub(super) fn has_claim(&self, claims: bool) -> bool {
-        claims && !self.context.repeatable
+    /// Whether the attempt needs a claim before it runs; `claims_enabled` is the state of that mechanism.
+    pub(super) fn needs_claim(&self, claims_enabled: bool) -> bool {
+        claims_enabled && !self.context.repeatable
     }
 
-    /// Whether the attempt, or a call above it, is a retry.
+    /// Whether the attempt itself or a call above it in the call tree is a retry.
     pub(super) fn is_retry(&self) -> bool {
         self.context.attempt > 0 || (self.context.rank.0 / RANKS_PER_BAND) % 2 == 1
     }
--- a/crates/calls/src/gate/classes.rs
+++ b/crates/calls/src/gate/classes.rs
@@ -1,4 +1,4 @@
-//! What a gate takes from the configuration: its target's limits and the classes of its service.
+//! What a gate reads from the configuration: its target's limits and the classes of its service.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// The deadline assumed for a class that the configuration does not list.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// One class of calls and what is measured of it.
+/// One class of calls with its measured service time.
 #[derive(Clone, Debug)]
 pub(super) struct ClassState {
     pub(super) name: ClassName,
@@ -19,7 +19,7 @@
     pub(super) service_time: ServiceTime,
 }
 
-/// The part of the configuration that concerns one gate.
+/// The part of the configuration that applies to one gate.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
     pub(super) slots: u32,
@@ -30,10 +30,10 @@
 }
 
 impl Target {
-    /// Reads the gate's part of `configuration`, keeping what `previous` measured.
+    /// Reads the gate's part of `configuration`, and takes over the service times measured in `previous`.
     ///
-    /// Returns `None` if the service or the target is not listed: the gate then keeps what it has, and whoever took the
-    /// target away drains it.
+    /// Returns `None` if the service or the target is not listed: the gate then retains its old values, and the code
+    /// that removed the target drains it.
     pub(super) fn read(
         configuration: &Configuration,
         settings: &GateSettings,
--- a/crates/calls/src/gate/hint.rs
+++ b/crates/calls/src/gate/hint.rs
@@ -1,7 +1,7 @@
-//! Gives the back end's own health and load reports a bounded weight.
+//! Lets the back end's own health and load reports lower the limit, within a bound.
 //!
-//! These reports lag and mislead. They may lower the limit by at most [`MAX_REDUCTION`], only while the gate's own
-//! measurements show congestion too, and only for as long as they are fresh.
+//! These reports can be late or wrong. They lower the limit by at most [`MAX_REDUCTION`], only while the gate's own
+//! measurements also show congestion, and only until they reach [`MAX_HINT_AGE`].
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 
 use super::io::LoadHint;
 
-/// The largest share by which a report lowers the limit.
+/// The maximum share by which a report lowers the limit.
 pub(super) const MAX_REDUCTION: f64 = 0.2;
-/// The reported load from which a report counts, as a share of capacity.
+/// The reported load above which a report lowers the limit, as a share of capacity.
 const MIN_LOAD: f64 = 0.9;
-/// The span of reported load over which the weight rises to its bound.
+/// The range of reported load, above [`MIN_LOAD`], over which the reduction rises to its maximum.
 const LOAD_RANGE: f64 = 0.2;
-/// The age at which a report is forgotten.
+/// The age above which a report is ignored.
 const MAX_HINT_AGE: Duration = Duration::from_secs(2);
 
-/// The last report and when it came.
+/// The last report and when it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct HintWeight {
     last: Option<(Timestamp, LoadHint)>,
@@ -29,7 +29,7 @@
         self.last = Some((now, hint));
     }
 
-    /// The factor by which the limit is multiplied.
+    /// The factor to apply to the limit.
     pub(super) fn factor(&self, now: Timestamp, congested: bool) -> f64 {
         let Some((at, hint)) = self.last else { return 1.0 };
         if !congested || now.since(at) > MAX_HINT_AGE {
--- a/crates/calls/src/gate/io.rs
+++ b/crates/calls/src/gate/io.rs
@@ -5,25 +5,25 @@
 
 use quillhatch_types::{AttemptId, CallContext, Configuration, Feedback, RecordedAnswer, Refusal, RefusalReason};
 
-/// What became of the request to record a claim.
+/// The decision on a request to record a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResolution {
-    /// The claim is recorded on a majority; this attempt alone may run.
+    /// The claim is recorded on a majority; only this attempt may run.
     Granted,
-    /// The key's request has run; this is its recorded answer.
+    /// The request with this key has already run; this is its recorded answer.
     Replay(RecordedAnswer),
-    /// The claim was not granted; the refusal says what is known of earlier runs.
+    /// The claim was not granted; the refusal says what is known about earlier runs.
     Refused(Refusal),
 }
 
-/// How a back end's part in an attempt ended.
+/// How an attempt ended at the back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// The back end's whole answer was read.
+    /// The back end's answer was read completely.
     Whole {
         /// The status code.
         status: u16,
-        /// Bytes of the body.
+        /// The length of the body in bytes.
         bytes: u64,
         /// The answer, if it was small enough to record.
         record: Option<RecordedAnswer>,
@@ -33,29 +33,29 @@
         /// The status code.
         status: u16,
     },
-    /// The connection could not be opened: no byte reached the back end.
+    /// The connection could not be opened, so no byte reached the back end.
     ConnectFailed,
-    /// The back end's answer broke off, or never came, after bytes had reached it.
+    /// The answer was incomplete or never came, after bytes had reached the back end.
     Broken,
-    /// The caller went away, and the back end's work was stopped.
+    /// The attempt was cancelled: its caller disconnected or its deadline passed, and the back end's work was stopped.
     Cancelled,
 }
 
-/// What the back end's own health and load endpoints say; they lag or mislead, so their weight is bounded.
+/// What the back end's own health and load endpoints report; it can be late or wrong, so its effect is bounded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadHint {
-    /// Whether the back end calls itself healthy.
+    /// Whether the back end reports itself healthy.
     pub healthy: bool,
-    /// The load it reports, as a share of its capacity, if it does.
+    /// The load that it reports, as a share of its capacity, if any.
     pub load: Option<f64>,
 }
 
-/// What can happen to a gate.
+/// Inputs to a gate.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GateInput {
     /// An attempt arrived from an edge.
     Arrived(Box<CallContext>),
-    /// A claim that the gate asked for was decided.
+    /// A claim that the gate requested was decided.
     ClaimResolved {
         /// The attempt.
         attempt: AttemptId,
@@ -68,55 +68,57 @@
         attempt: AttemptId,
         /// The status code.
         status: u16,
-        /// The length of the body, if it is known.
+        /// The length of the body in bytes, if it is known.
         length: Option<u64>,
     },
-    /// The back end's part in an attempt ended.
+    /// An attempt ended at the back end.
     AnswerEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: AnswerEnd,
     },
-    /// The edge or its caller went away. A dispatched attempt ends later with [`AnswerEnd::Cancelled`] or another end.
+    /// The edge or its caller disconnected. A dispatched attempt still ends with [`AnswerEnd::Cancelled`] or another
+    /// end.
     Cancelled {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// What the back end says of itself.
+    /// A health and load report of the back end.
     Hint(LoadHint),
     /// A newer configuration is in force.
     Configuration(Arc<Configuration>),
-    /// Take no new attempt: the back end is leaving, or the node is stopping. Attempts running or waiting finish.
+    /// Accept no new attempts: the back end is draining, or the node is stopping. Running and waiting attempts may
+    /// finish, waiting ones of a draining back end only within the grace period.
     Close {
-        /// What refused attempts are told: [`RefusalReason::Draining`] or [`RefusalReason::Stopping`].
+        /// The reason sent with refusals: [`RefusalReason::Draining`] or [`RefusalReason::Stopping`].
         reason: RefusalReason,
     },
-    /// Take attempts again: a drain was cancelled, or the node became ready.
+    /// Accept attempts again: a drain was cancelled, or the node became ready.
     Open,
     /// Time has passed.
     Tick,
 }
 
-/// What a gate wants done.
+/// Actions that a gate requests from its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GateOutput {
     /// Record a claim for the attempt's key; answered by [`GateInput::ClaimResolved`].
     RequestClaim(Box<CallContext>),
-    /// Hand the attempt to the back end now, unless `remaining` has passed.
+    /// Send the attempt to the back end now, unless `remaining` has passed.
     Dispatch {
         /// The attempt.
         attempt: AttemptId,
-        /// The time left for the back end.
+        /// The time remaining for the back end to answer.
         remaining: Duration,
     },
-    /// Answer the edge in the place of the back end.
+    /// Answer the edge with a refusal, without an answer from the back end.
     Refuse {
         /// The attempt.
         attempt: AttemptId,
         /// The refusal.
         refusal: Refusal,
-        /// What the edge is told with it.
+        /// The feedback to send with it.
         feedback: Feedback,
     },
     /// Answer the edge with a recorded answer.
@@ -125,7 +127,7 @@
         attempt: AttemptId,
         /// The recorded answer.
         answer: RecordedAnswer,
-        /// What the edge is told with it.
+        /// The feedback to send with it.
         feedback: Feedback,
     },
     /// Stop the back end's work on a dispatched attempt.
@@ -133,14 +135,14 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The attempt's claim ended in a run; its answer, if given, is kept for replay.
+    /// The claimed attempt ran or may have run; its answer, if given, is recorded for replay.
     ClaimFinished {
         /// The attempt.
         attempt: AttemptId,
-        /// The answer, if it is small enough.
+        /// The answer, if it is small enough to record.
         record: Option<RecordedAnswer>,
     },
-    /// The attempt's claim is void: the back end never saw the attempt.
+    /// The attempt's claim is released: the back end did not run the attempt.
     ClaimReleased {
         /// The attempt.
         attempt: AttemptId,
--- a/crates/calls/src/gate/limit/adaptive.rs
+++ b/crates/calls/src/gate/limit/adaptive.rs
@@ -1,9 +1,11 @@
-//! A limit that keeps the back end at its knee, by measured latency against a baseline and by trial.
+//! A limit that keeps the back end at the knee of its latency curve, by comparing latency with a baseline and by
+//! trials.
 //!
-//! In periods of at least [`MIN_PERIOD`] the limit compares latency with the latency without queueing. Little
-//! inflation and waiting attempts raise it; much inflation cuts it, on trial ([`super::trial`]). A cut without effect on
-//! latency is taken back, and the baseline is corrected instead. A limit in use is verified_at now and then by such a cut,
-//! more often above the first initial, because a baseline that has drifted up hides queueing.
+//! In periods of at least [`MIN_PERIOD`] the limit compares the latency with a baseline, the latency without queueing.
+//! Their ratio is the *inflation*. Low inflation raises the limit if it is in use or attempts wait; high inflation cuts
+//! it as a trial ([`super::trial`]). A cut without effect on latency is reverted, and the baseline is corrected
+//! instead. A limit in use is verified by such a cut from time to time, more often well above the initial limit,
+//! because a baseline that has drifted up hides queueing.
 
 use std::time::Duration;
 
@@ -14,61 +16,65 @@
 use super::trial::{PeriodResult, Trial, TrialKind, Verdict};
 use super::{ConcurrencyLimit, LimitBounds};
 
-/// The shortest period.
+/// The minimum length of a period.
 const MIN_PERIOD: Duration = Duration::from_millis(100);
-/// The period that ends whatever few attempts were measured.
+/// The length at which a period ends even if too few attempts were measured.
 const MAX_PERIOD: Duration = Duration::from_secs(1);
-/// Attempts measured in a period that may raise the limit.
+/// The minimum number of attempts measured in a period that may raise the limit.
 const MIN_SAMPLES_TO_RAISE: u32 = 8;
-/// Attempts measured in a period that may cut it: a wrong cut costs more than a wrong raise.
+/// The minimum number of attempts measured in a period that may cut it: a wrong cut costs more than a wrong raise.
 const MIN_SAMPLES_TO_CUT: u32 = 20;
-/// Attempts measured in a period that may decide a trial.
+/// The minimum number of attempts measured in a period that may decide a trial.
 const MIN_SAMPLES_TO_JUDGE: u32 = 40;
-/// Inflation up to which the limit may rise.
+/// The maximum inflation at which the limit is raised.
 const MAX_INFLATION_TO_RAISE: f64 = 1.2;
-/// Inflation up to which the limit may rise beyond the first initial, which has some truth.
+/// The maximum inflation at which the limit is raised above the initial limit. It is stricter, because the configured
+/// slots are assumed to be roughly right.
 const MAX_INFLATION_TO_GROW: f64 = 1.1;
-/// Inflation from which the limit is cut.
+/// The inflation above which the limit is cut.
 const INFLATION_TO_CUT: f64 = 1.5;
-/// Inflation from which one period is enough for a cut.
+/// The inflation above which one period is enough for a cut.
 const INFLATION_TO_CUT_IMMEDIATELY: f64 = 2.5;
+/// The range of factors by which the limit is cut.
 const MIN_CUT_FACTOR: f64 = 0.6;
 const MAX_CUT_FACTOR: f64 = 0.8;
+/// The factor by which the limit is cut to verify it.
 const VERIFY_CUT_FACTOR: f64 = 0.7;
-/// The share of the first initial below which the limit does not fall.
+/// The minimum limit, as a share of the initial limit.
 const MIN_LIMIT_SHARE: f64 = 0.25;
-/// The step by which the limit grows beyond the first initial, as a share of it.
+/// The step by which the limit grows above the initial limit, as a share of the current limit.
 const GROWTH_STEP: f64 = 0.05;
-/// The first step after a cut by which it returns to the first initial.
+/// The first step after a cut by which the limit returns to the initial limit, as a share of the current limit.
 const MIN_STEP: f64 = 0.1;
-/// The largest step by which it returns to the first initial.
+/// The maximum step by which the limit returns to the initial limit.
 const MAX_STEP: f64 = 0.5;
 /// The growth of the step from one raise to the next.
 const STEP_FACTOR: f64 = 2.0;
-/// Inflation in the period after a raise from which the raise is taken back.
+/// The inflation in the period after a raise above which the raise is reverted.
 const INFLATION_TO_REVERT: f64 = 1.3;
-/// Standard errors by which a measurement must differ before one period is believed.
+/// The number of standard errors by which a measurement must differ for one period to be significant.
 const CONFIDENCE_STANDARD_ERRORS: f64 = 2.0;
-/// How long a raise that was taken back is not tried again; the wait doubles while raises fail.
+/// How long no raise is made after one was reverted; the pause doubles from the minimum to the maximum while raises
+/// fail.
 const MIN_RAISE_PAUSE: Duration = Duration::from_millis(250);
 const MAX_RAISE_PAUSE: Duration = Duration::from_millis(500);
-/// The share of the limit that must be in use for latency to say something about it.
+/// The share of the limit that must be in use for latency to be evidence about the limit.
 const IN_USE_SHARE: f64 = 0.75;
-/// The share of the limit below which latency cannot come from concurrency.
+/// The share of the limit in use below which concurrency cannot be the cause of latency.
 const UNLOADED_SHARE: f64 = 0.5;
-/// The limit, as a multiple of the first initial, above which it is verified_at more often.
+/// The multiple of the initial limit above which the limit is verified more often.
 const FREQUENT_VERIFY_FACTOR: f64 = 1.25;
 const FREQUENT_VERIFY_INTERVAL: Duration = Duration::from_secs(10);
 const VERIFY_INTERVAL: Duration = Duration::from_secs(30);
-/// How soon a limit that is held down is raised on trial; the wait doubles while such trials fail.
+/// The interval between trial raises of a low limit; it doubles from the minimum to the maximum while such trials fail.
 const MIN_RAISE_TRIAL_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_RAISE_TRIAL_INTERVAL: Duration = Duration::from_secs(16);
-/// Inflation after a cut below which the baseline itself had been measured under load.
+/// The inflation after a cut below which the baseline must have been measured under load.
 const LOADED_BASELINE_INFLATION: f64 = 0.9;
-/// Share of attempts refused by the back end itself from which the limit is cut.
+/// The share of attempts refused by the back end itself above which the limit is cut.
 const MAX_REFUSED_SHARE: f64 = 0.1;
 
-/// An adaptive limit; see the module's page.
+/// A concurrency limit that adapts to measured latency; see the documentation of its module.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     bounds: LimitBounds,
@@ -88,7 +94,7 @@
 }
 
 impl AdaptiveLimit {
-    /// A limit that begins at the first initial of `bounds`.
+    /// Creates a limit that starts at the initial limit of `bounds`.
     pub fn new(bounds: LimitBounds) -> Self {
         let mut limit = AdaptiveLimit {
             bounds,
@@ -189,9 +195,9 @@
             self.continue_trial(now, result);
             return;
         }
-        // Service times vary, and a period may hold only twenty of them: what may be chance is no inflation.
-        let certain = result.inflation - result.error;
-        self.update_inflated_periods(certain);
+        // Service times vary and a period may have only 20 samples, so one standard error does not count as inflation.
+        let inflation_lower_bound = result.inflation - result.error;
+        self.update_inflated_periods(inflation_lower_bound);
         let in_use = result.concurrency >= IN_USE_SHARE * self.limit;
         let raised_from = self.raised_from.take();
         if raised_from.is_some() && result.inflation <= MAX_INFLATION_TO_GROW {
@@ -201,7 +207,7 @@
             self.set_limit(self.limit * MAX_CUT_FACTOR);
         } else if let Some(previous) = raised_from.filter(|_| in_use && raise_failed(result)) {
             self.revert_raise(now, previous);
-        } else if in_use && self.should_cut(certain) {
+        } else if in_use && self.should_cut(inflation_lower_bound) {
             self.begin_cut_trial(now, result);
         } else if in_use && self.should_verify(now) {
             self.begin_trial(now, TrialKind::Cut, self.limit * VERIFY_CUT_FACTOR, result);
@@ -218,7 +224,8 @@
                 self.raise();
             }
         } else if self.limit < self.initial_limit() && now >= self.raise_trial_at {
-            // Held down between the two bounds: only a rise shows whether the baseline is too low.
+            // Inflation is too high for a raise and too low for a cut: only a trial raise shows whether the baseline is
+            // too low.
             self.begin_raise_trial(now, result);
         }
     }
@@ -257,7 +264,7 @@
     }
 
     fn begin_trial(&mut self, now: Timestamp, kind: TrialKind, limit: f64, before: PeriodResult) {
-        // The attempts running now were started under the old limit; their latency must not count for the new one.
+        // Attempts that are running now started under the old limit, so their latency must not count for the new one.
         let mean_latency = self.period.latency_sum / f64::from(self.period.samples.max(1));
         let settled = now + Duration::from_secs_f64(mean_latency.min(MAX_PERIOD.as_secs_f64()));
         self.trial = Some(Trial::new(kind, self.limit, before, settled));
@@ -294,7 +301,7 @@
         self.raise_trial_at = now + self.raise_trial_interval;
     }
 
-    /// Keeps a cut that lowered latency, and goes on cutting if it shows that the baseline was measured under load.
+    /// Keeps a cut that lowered latency, and cuts again if the result shows that the baseline was measured under load.
     fn keep_cut(&mut self, now: Timestamp, result: PeriodResult) {
         self.step = MIN_STEP;
         if result.inflation + CONFIDENCE_STANDARD_ERRORS * result.error >= LOADED_BASELINE_INFLATION {
@@ -307,7 +314,7 @@
         }
     }
 
-    /// The raise itself showed that the back end was at its knee before; no trial is needed.
+    /// Reverts a failed raise. No trial is needed: the raise itself showed that the back end was already at its knee.
     fn revert_raise(&mut self, now: Timestamp, previous: f64) {
         self.set_limit(previous);
         self.step = MIN_STEP;
@@ -316,7 +323,7 @@
         self.raise_pause = (self.raise_pause * 2).min(MAX_RAISE_PAUSE);
     }
 
-    /// Raises the limit: carefully next to the limit that was just too high, then faster, since the cause may be gone.
+    /// Raises the limit: in small steps near a limit that was too high, then faster, because the cause may have ended.
     fn raise(&mut self) {
         self.raised_from = Some(self.limit);
         let initial = self.initial_limit();
@@ -353,7 +360,7 @@
             if !self.started {
                 self.verified_at = now;
             }
-            // An idle span says nothing about the concurrency at which the next latencies are measured.
+            // Idle time must not lower the mean concurrency at which the next latencies are measured.
             self.started = true;
             self.period.restart(now);
         }
--- a/crates/calls/src/gate/limit/baseline.rs
+++ b/crates/calls/src/gate/limit/baseline.rs
@@ -1,4 +1,4 @@
-//! The latency of each class without queueing at the back end.
+//! Estimates the latency of each class without queueing at the back end.
 //!
 //! Each class has its own baseline, so that a change in the mix of classes does not look like congestion.
 
@@ -7,22 +7,23 @@
 
 use quillhatch_types::ClassName;
 
-/// The weight of a period clearly below the baseline: a slow phase is over.
+/// Weight of a period clearly below the baseline: a slow phase has ended.
 const DOWNWARD_GAIN: f64 = 0.3;
-/// The weight of a period a little below the baseline, which may be chance.
+/// Weight of a period slightly below the baseline, which may be chance.
 const SLIGHT_DOWNWARD_GAIN: f64 = 0.05;
-/// The share of the baseline below which a period is clearly below it.
+/// The ratio to the baseline under which a period counts as clearly below it.
 const CLEARLY_BELOW_RATIO: f64 = 0.7;
-/// The weight of a period above the baseline while the back end is far from its limit.
+/// Weight of a period above the baseline while the back end runs far below its limit.
 const UPWARD_GAIN: f64 = 0.1;
-/// The weight of a period slightly above the baseline under about the configured limit. It evens out the chance downward
-/// steps; more would let queueing creep into the baseline.
+/// Weight of a period slightly above the baseline while the limit is about the configured one or below. It compensates
+/// for downward steps that are due to chance; a higher weight would let queueing raise the baseline.
 const SLIGHT_UPWARD_GAIN: f64 = 0.02;
-/// PeriodMeasurements of a class that move its baseline; fewer would pull it down by chance.
-const MIN_SAMPLES_TO_MOVE: u32 = 20;
-/// Classes measured; further ones share the mean inflation of the others. The configuration lists far fewer.
+/// The minimum number of measurements of a class that change its baseline; fewer would lower it by chance.
+const MIN_SAMPLES_TO_UPDATE: u32 = 20;
+/// The maximum number of classes measured; the mean inflation of these stands in for further ones. The configuration
+/// lists far fewer.
 const MAX_CLASSES: usize = 64;
-/// Latencies below this are taken as this; a shorter one is below what the gate can measure.
+/// Latencies are raised to at least this, in seconds; the gate cannot measure shorter ones.
 const MIN_LATENCY_SECONDS: f64 = 20e-6;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +35,7 @@
     pending: PendingSamples,
 }
 
-/// PeriodMeasurements of several periods, until they are enough to move the baseline.
+/// The measurements of several periods, collected until they suffice to change the baseline.
 #[derive(Clone, Copy, Debug, Default)]
 struct PendingSamples {
     count: u32,
@@ -48,19 +49,19 @@
     classes: BTreeMap<ClassName, ClassBaseline>,
 }
 
-/// What the latencies of a period may do to the baselines.
+/// How loaded the back end was in a period, which decides how far its latencies may raise the baselines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum LoadLevel {
-    /// The back end was far from its limit.
+    /// The back end ran far below its limit.
     #[default]
     Low,
-    /// The back end was in use, under about the configured limit, and latencies were hardly inflated.
+    /// The back end was in use, with a limit of about the configured one or below, and latencies were hardly inflated.
     Slight,
-    /// Latencies may be queueing.
+    /// Latencies may include queueing.
     High,
 }
 
-/// Measured latency over baseline; one means no queueing.
+/// The measured latency divided by the baseline; one means no queueing.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Inflation {
     pub(super) ratio: f64,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The inflation over all classes that have a baseline; one if none has.
+    /// The inflation over all classes that have a baseline; one if no class has.
     pub(super) fn inflation(&self) -> Inflation {
         let mut measured = 0.0;
         let mut expected = 0.0;
@@ -98,16 +99,16 @@
         Inflation { ratio: measured / expected, error: variance.max(0.0).sqrt() / expected }
     }
 
-    /// Takes the period's means into the baselines and begins a new period.
+    /// Updates the baselines with the period's means and starts a new period.
     ///
-    /// `inflation` places a class that is seen for the first time.
+    /// A class without a baseline gets its mean divided by `inflation` as the first one.
     pub(super) fn end_period(&mut self, load: LoadLevel, inflation: f64) {
         for class in self.classes.values_mut().filter(|class| class.count > 0) {
             class.end_period(load, inflation);
         }
     }
 
-    /// Multiplies all baselines: the latency has changed for a reason other than concurrency.
+    /// Multiplies all baselines by `factor`, because the latency changed for a reason other than concurrency.
     pub(super) fn scale(&mut self, factor: f64) {
         for class in self.classes.values_mut() {
             class.seconds = class.seconds.map(|seconds| (seconds * factor).max(MIN_LATENCY_SECONDS));
@@ -127,7 +128,7 @@
         let mean = self.pending.sum / f64::from(self.pending.count);
         match self.seconds {
             None => self.seconds = Some(mean / inflation.max(1.0)),
-            Some(_) if self.pending.count < MIN_SAMPLES_TO_MOVE => return,
+            Some(_) if self.pending.count < MIN_SAMPLES_TO_UPDATE => return,
             Some(old) => self.seconds = Some(old + gain(mean / old, self.pending.load) * (mean - old)),
         }
         self.pending = PendingSamples::default();
--- a/crates/calls/src/gate/limit/fixed.rs
+++ b/crates/calls/src/gate/limit/fixed.rs
@@ -1,4 +1,4 @@
-//! A limit that does not adapt.
+//! A concurrency limit that does not adapt.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use super::{ConcurrencyLimit, LimitBounds};
 
-/// Always the configured slots; shows in comparisons what adapting is worth.
+/// A limit that is always the configured slots; comparisons with it show the effect of adapting.
 #[derive(Clone, Debug)]
 pub struct FixedLimit {
     limit: u32,
 }
 
 impl FixedLimit {
-    /// A limit at the first guess of `bounds`.
+    /// Creates a limit at the initial limit of `bounds`.
     pub fn new(bounds: LimitBounds) -> Self {
         FixedLimit { limit: bounds.initial_limit.clamp(1, bounds.maximum.max(1)) }
     }
--- a/crates/calls/src/gate/limit/mod.rs
+++ b/crates/calls/src/gate/limit/mod.rs
@@ -1,6 +1,7 @@
-//! Limits on the attempts that run at a back end at once.
+//! Limits on the number of attempts that run at a back end at once.
 //!
-//! [`ConcurrencyLimit`] is the policy; [`AdaptiveLimit`] follows the back end's knee, [`FixedLimit`] is for comparison.
+//! [`ConcurrencyLimit`] is the policy interface. [`AdaptiveLimit`] keeps the back end at the knee of its latency curve,
+//! where more concurrency only adds queueing; [`FixedLimit`] is for comparison.
 
 mod adaptive;
 mod baseline;
@@ -16,35 +17,35 @@
 pub use adaptive::AdaptiveLimit;
 pub use fixed::FixedLimit;
 
-/// The range of a limit.
+/// The initial value and the maximum of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitBounds {
-    /// The configured slots: where the limit begins.
+    /// The configured slots: the initial limit.
     pub initial_limit: u32,
-    /// The back end's connections: what the limit never exceeds.
+    /// The back end's connections: the limit never exceeds them.
     pub maximum: u32,
 }
 
-/// A policy that decides how many attempts may run at once, from what the gate itself measures.
+/// A policy that decides how many attempts may run at once, based on the gate's own measurements.
 pub trait ConcurrencyLimit: Debug + Send {
     /// The limit in force; at least one.
     fn limit(&self) -> u32;
 
-    /// New bounds from a new configuration.
+    /// Applies the bounds of a new configuration.
     fn set_bounds(&mut self, bounds: LimitBounds);
 
-    /// The number of running attempts changed to `running` at `now`.
+    /// Records that the number of running attempts changed to `running` at `now`.
     fn running_changed(&mut self, now: Timestamp, running: u32);
 
-    /// An attempt found the limit taken and has to wait.
+    /// Records that an attempt has to wait because the limit is reached.
     fn blocked(&mut self);
 
-    /// The back end began to answer, or an attempt ended without an answer after `latency`.
+    /// Records a latency: the time until the back end started to answer, or until an attempt ended without an answer.
     fn measured(&mut self, now: Timestamp, class: &ClassName, latency: Duration);
 
-    /// The back end itself refused an attempt before running it.
+    /// Records that the back end itself refused an attempt before running it.
     fn refused_by_back_end(&mut self, now: Timestamp);
 
-    /// Whether the measurements of the last periods show congestion.
+    /// Whether the measurements of the most recent periods show congestion.
     fn congested(&self) -> bool;
 }
--- a/crates/calls/src/gate/limit/period.rs
+++ b/crates/calls/src/gate/limit/period.rs
@@ -1,8 +1,8 @@
-//! What the adaptive limit counts in the current period.
+//! The measurements of the adaptive limit in the current period.
 
 use quillhatch_types::Timestamp;
 
-/// What was measured since `start`.
+/// The measurements since `start`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeriodMeasurements {
     pub(super) start: Timestamp,
@@ -16,11 +16,13 @@
 }
 
 impl PeriodMeasurements {
+    /// Adds the running attempts since the last change to their integral over time.
     pub(super) fn integrate(&mut self, now: Timestamp) {
         self.running_seconds += f64::from(self.running) * now.since(self.last_change).as_secs_f64();
         self.last_change = self.last_change.max(now);
     }
 
+    /// The mean number of running attempts since `start`.
     pub(super) fn concurrency(&self, now: Timestamp) -> f64 {
         let length = now.since(self.start).as_secs_f64();
         if length > 0.0 {
@@ -30,6 +32,7 @@
         }
     }
 
+    /// Starts a new period; only the number of running attempts carries over.
     pub(super) fn restart(&mut self, now: Timestamp) {
         *self =
             PeriodMeasurements { start: now, last_change: now, running: self.running, ..PeriodMeasurements::default() };
--- a/crates/calls/src/gate/limit/trial.rs
+++ b/crates/calls/src/gate/limit/trial.rs
@@ -1,51 +1,52 @@
-//! A trial change of the limit, to see whether latency depends on concurrency.
+//! A trial change of the limit, which tests whether latency depends on concurrency.
 //!
-//! A gradient limit that trusts its baseline ratchets down when the back end becomes slower for another reason: each cut
-//! leaves the latency as it is, which asks for another cut. So a cut is on trial until it has shown an effect.
+//! A gradient limit that relies on its baseline ratchets down when the back end slows down for another reason: a cut
+//! leaves the latency unchanged, which causes the next cut. So each cut is a trial until it is shown to reduce latency.
 
 use quillhatch_types::Timestamp;
 
-/// The smallest part of a change in concurrency that must show in latency. At the knee and above it is one, below zero.
+/// The minimum elasticity (relative change in latency over relative change in concurrency) at which the back end is
+/// considered to queue. At the knee and above, the elasticity is one; below the knee it is zero.
 const MIN_RESPONSIVE_ELASTICITY: f64 = 0.4;
-/// The smallest relative change in concurrency that can be judged.
+/// The minimum relative change in concurrency for a verdict.
 const MIN_CONCURRENCY_CHANGE: f64 = 0.08;
-/// Periods after which a trial that could not be judged ends.
+/// The number of periods after which a trial without a verdict ends.
 const MAX_TRIAL_PERIODS: u32 = 8;
 
-/// Why a trial is made.
+/// The direction of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TrialKind {
-    /// A cut because latency rose, or to verify a limit that has grown beyond the first guess.
+    /// A cut, because latency rose or because a limit in use is due for verification.
     Cut,
-    /// A rise at the smallest limit, to find out whether it is held down for nothing.
+    /// A raise of a limit below the initial one, to test whether it is kept low without need.
     Raise,
 }
 
-/// What one period measured.
+/// The measurements of one period.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeriodResult {
-    /// Mean number of running attempts.
+    /// The mean number of running attempts.
     pub(super) concurrency: f64,
-    /// Measured latency over baseline.
+    /// The measured latency divided by the baseline.
     pub(super) inflation: f64,
     /// The standard error of the inflation.
     pub(super) error: f64,
 }
 
-/// What a trial showed.
+/// The result of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Not yet known.
+    /// Not known yet.
     Pending,
     /// Latency follows concurrency: the back end queues.
     Responsive,
     /// Latency does not follow concurrency: the back end is slow for another reason.
     Unresponsive,
-    /// The concurrency did not change enough to tell.
+    /// The concurrency did not change enough for a verdict.
     Inconclusive,
 }
 
-/// A limit on trial.
+/// A trial in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Trial {
     pub(super) kind: TrialKind,
@@ -61,10 +62,12 @@
         Trial { kind, previous_limit, before, settled_at, periods: 0 }
     }
 
+    /// Whether attempts measured at `now` started under the trial's limit.
     pub(super) fn is_settled(&self, now: Timestamp) -> bool {
         now >= self.settled_at
     }
 
+    /// Compares a period under the trial's limit with the one before the trial.
     pub(super) fn judge(&mut self, after: PeriodResult) -> Verdict {
         self.periods += 1;
         let change = (after.concurrency / self.before.concurrency).ln();
--- a/crates/calls/src/gate/machine.rs
+++ b/crates/calls/src/gate/machine.rs
@@ -24,16 +24,16 @@
 
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// How much longer than the queue timeout callers are told to stay away when the level is level_reduction.
+/// Weight of the admission level in the retry-after time: at the lowest level it adds this many queue timeouts.
 const RETRY_AFTER_LEVEL_FACTOR: f64 = 4.0;
-/// The weight of the newest sample in the mean time for which a slot is held.
+/// Weight of the newest sample in the moving average of the time for which an attempt holds a slot.
 const SLOT_TIME_GAIN: f64 = 0.1;
-/// How long after its arrival a protected call keeps the reserve up.
+/// How long slots remain reserved for protected calls after the last one arrived.
 const RESERVE_DURATION: Duration = Duration::from_secs(5);
-/// The smallest limit of which a part is kept for protected calls.
+/// The smallest limit of which a part is reserved for protected calls.
 const MIN_LIMIT_FOR_RESERVE: u32 = 4;
 
-/// Why and since when a gate takes no new attempt.
+/// Why and since when a gate accepts no new attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClosedState {
     pub(super) reason: RefusalReason,
@@ -41,14 +41,14 @@
     pub(super) idle_reported: bool,
 }
 
-/// Slots held by attempts that claim or run.
+/// Slots held by short calls, from the end of their wait until they end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlotCount {
-    pub(super) all: u32,
+    pub(super) total: u32,
     pub(super) unprotected: u32,
 }
 
-/// The decisions in front of one back end; see [the module](super) for the phases of an attempt.
+/// The state machine that decides which attempts run at one back end; see [the module](super) for their phases.
 #[derive(Debug)]
 pub struct Gate {
     pub(super) settings: GateSettings,
@@ -58,12 +58,12 @@
     pub(super) cold_start: ColdStart,
     pub(super) hint: HintWeight,
     pub(super) admission: AdmissionController,
-    pub(super) large: LargeAnswerLimit,
+    pub(super) large_limit: LargeAnswerLimit,
     pub(super) short_queue: WaitingQueue,
     pub(super) large_queue: WaitingQueue,
     pub(super) slots: SlotCount,
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
-    /// Timeouts of claims and deadlines of running attempts; the queues keep their own.
+    /// Timeouts of claims and deadlines of running attempts; the queues hold the expiry times of waiting ones.
     pub(super) timers: BTreeSet<(Timestamp, AttemptId)>,
     pub(super) recent: RecentAttempts,
     pub(super) closed: Option<ClosedState>,
@@ -74,9 +74,9 @@
 }
 
 impl Gate {
-    /// A gate that refuses everything as not ready until it gets a configuration that lists its target.
+    /// Creates a gate that refuses every attempt as not ready until it receives a configuration that lists its target.
     ///
-    /// `seed` seeds the only use of randomness, the jitter of the advice on when to come back.
+    /// `seed` seeds the random generator, which is used only for the jitter of the retry-after times.
     pub fn new(settings: GateSettings, seed: u64) -> Self {
         let order = if settings.mechanisms.priority_queue { QueueOrder::Rank } else { QueueOrder::Arrival };
         let bounds = LimitBounds { initial_limit: 1, maximum: 1 };
@@ -88,7 +88,7 @@
             cold_start: ColdStart::new(cold_start),
             hint: HintWeight::default(),
             admission: AdmissionController::new(),
-            large: LargeAnswerLimit::new(settings.large_answer_bytes),
+            large_limit: LargeAnswerLimit::new(settings.large_answer_bytes),
             short_queue: WaitingQueue::new(order),
             large_queue: WaitingQueue::new(order),
             slots: SlotCount::default(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes in one input at `now` and appends what is to be done to `outputs`.
+    /// Processes one input at `now` and appends the resulting actions to `outputs`.
     pub fn step(&mut self, now: Timestamp, input: GateInput, outputs: &mut Vec<GateOutput>) {
         self.expire(now, outputs);
         match input {
@@ -124,7 +124,7 @@
         self.report_idle(outputs);
     }
 
-    /// When the gate wants to be stepped with a [`GateInput::Tick`] at the latest.
+    /// The time at which the gate must be stepped with [`GateInput::Tick`], unless another input comes first.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let queues = [self.short_queue.first_expiry(), self.large_queue.first_expiry()];
         let queues = queues.into_iter().flatten().map(|(at, _)| at);
@@ -132,35 +132,36 @@
         queues.chain(timer).chain(self.admission.next_wake()).chain(self.drain_end()).min()
     }
 
-    /// The end of the grace in which waiting attempts may still start, while any waits.
+    /// The end of the drain's grace period, during which waiting attempts may still start; `None` if none waits.
     fn drain_end(&self) -> Option<Timestamp> {
         let closed = self.closed.filter(|closed| closed.reason == RefusalReason::Draining)?;
-        let waits = !self.short_queue.is_empty() || !self.large_queue.is_empty();
-        waits.then_some(closed.since + self.settings.drain_grace)
+        let any_waits = !self.short_queue.is_empty() || !self.large_queue.is_empty();
+        any_waits.then_some(closed.since + self.settings.drain_grace)
     }
 
-    /// What the edge is told with an answer; with an attempt, its retry tokens leave the gate.
+    /// The feedback that goes to the edge with an answer. If `attempt` is given, its retry tokens go with it.
     ///
-    /// Call this once per answer, when its head goes out: tokens that child calls give back later are lost.
+    /// Call this once per answer, when its head is sent: tokens that child calls return later are lost.
     pub fn feedback(&mut self, now: Timestamp, attempt: Option<AttemptId>) -> Feedback {
         let tokens = attempt.and_then(|attempt| self.attempts.get_mut(&attempt)).map(|entry| entry.tokens.report());
         self.advance_admission(now);
         self.feedback_with(now, tokens.unwrap_or(0))
     }
 
-    /// The epoch of the service as this node knows it, for the feedback.
+    /// Sets the service epoch known to this node, which the feedback reports.
     pub fn set_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
     }
 
-    /// The configuration revision in force at this node, for the feedback.
+    /// Sets the configuration revision in force at this node, which the feedback reports.
     pub fn set_revision(&mut self, revision: Revision) {
         self.revision = revision;
     }
 
-    /// Lends retry tokens of a running call to a child call, with what the child inherits.
+    /// Lends up to `wanted` retry tokens of a running call to a child call, and returns what the child inherits.
     ///
-    /// Returns `None` if the call is not at the back end: the child then has no parent known here and gets no budget.
+    /// Returns `None` if the call is not running at the back end: the child then has no known parent and gets no
+    /// budget.
     pub fn lend_tokens(&mut self, now: Timestamp, parent: CallId, wanted: u16) -> Option<ParentContext> {
         let range = attempts_of(parent);
         let running = |entry: &&mut Attempt| matches!(entry.phase, Phase::Running { .. });
@@ -176,15 +177,15 @@
         })
     }
 
-    /// Gives back tokens that a child call did not use; those that were not lent here, or come too late, are lost.
+    /// Returns tokens that a child call did not use. Tokens that were not lent here, or come back too late, are lost.
     pub fn return_tokens(&mut self, parent: CallId, tokens: u16) {
-        let mut left = tokens;
+        let mut unmatched = tokens;
         for (_, entry) in self.attempts.range_mut(attempts_of(parent)).rev() {
-            left = entry.tokens.take_back(left);
+            unmatched = entry.tokens.take_back(unmatched);
         }
     }
 
-    /// The concurrency limit of short calls in force at `now`, with cold start and hints.
+    /// The concurrency limit in force at `now`, including the effects of cold start and load hints.
     pub fn concurrency_limit(&mut self, now: Timestamp) -> u32 {
         let Some(target) = &self.target else { return 0 };
         let connections = target.connections;
@@ -203,8 +204,8 @@
 
     fn configure(&mut self, configuration: &Configuration) {
         let Some(target) = Target::read(configuration, &self.settings, self.target.as_ref()) else { return };
-        let streams = target.slots * u32::from(self.settings.large_answer_share_percent.min(100)) / 100;
-        self.large.set_streams(streams);
+        let max_streams = target.slots * u32::from(self.settings.large_answer_share_percent.min(100)) / 100;
+        self.large_limit.set_max_streams(max_streams);
         let bounds = LimitBounds { initial_limit: target.slots, maximum: target.connections };
         if self.target.is_none() {
             self.limit = new_limit(&self.settings, bounds);
@@ -219,7 +220,7 @@
             return;
         }
         match &mut self.closed {
-            // The grace of a drain counts from its own beginning, not from that of an earlier close for another reason.
+            // A drain's grace period starts with the drain, not with an earlier close for another reason.
             Some(closed) if closed.reason == reason => {}
             Some(closed) => *closed = ClosedState { reason, since: now, ..*closed },
             None => self.closed = Some(ClosedState { reason, since: now, idle_reported: false }),
@@ -262,12 +263,13 @@
                 self.admission.record_pressure(now);
             }
         }
-        let waits = [Lane::Short, Lane::Large].into_iter().any(|lane| {
+        let unprotected_waits = [Lane::Short, Lane::Large].into_iter().any(|lane| {
             let least = self.queue(lane).least_important();
             least.is_some_and(|(_, waiting)| !super::attempt::is_protected(waiting.rank))
         });
-        let idle = self.short_queue.is_empty() && self.slots.all < self.short_limit(now);
-        self.admission.advance(now, GateState { unprotected_present: waits || self.slots.unprotected > 0, idle });
+        let idle = self.short_queue.is_empty() && self.slots.total < self.short_call_limit(now);
+        self.admission
+            .advance(now, GateState { unprotected_present: unprotected_waits || self.slots.unprotected > 0, idle });
     }
 
     pub(super) fn level(&self) -> AdmissionLevel {
@@ -282,7 +284,7 @@
         let waiting = self.short_queue.len() + self.large_queue.len();
         Feedback {
             level: self.level(),
-            running: self.slots.all + self.large.streams(),
+            running: self.slots.total + self.large_limit.streams(),
             waiting: waiting as u32,
             limit: self.concurrency_limit(now),
             tokens_left,
@@ -291,10 +293,11 @@
         }
     }
 
-    /// The share of the limit that large answers may take, in percent; none if the service has no such class.
+    /// The share of the limit that large answers may take, in percent; zero if no class of the service has large
+    /// answers.
     pub(super) fn large_share_percent(&self) -> u32 {
-        let apart = self.settings.mechanisms.large_answer_limit;
-        let large = apart && self.target.as_ref().is_some_and(Target::has_large_answers);
+        let separate = self.settings.mechanisms.large_answer_limit;
+        let large = separate && self.target.as_ref().is_some_and(Target::has_large_answers);
         if large {
             u32::from(self.settings.large_answer_share_percent.min(100))
         } else {
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Slots of short calls that less important work may not take.
+    /// The number of slots out of `limit` that are reserved for protected calls.
     pub(super) fn reserve(&self, now: Timestamp, limit: u32) -> u32 {
         let recent = self.last_protected_arrival.is_some_and(|at| now.since(at) < RESERVE_DURATION);
         if !self.settings.mechanisms.protected_reserve || !recent || limit < MIN_LIMIT_FOR_RESERVE {
@@ -319,14 +322,14 @@
         self.mean_slot_seconds += SLOT_TIME_GAIN * (sample - self.mean_slot_seconds);
     }
 
-    /// The refusal of a call for want of capacity, with advice that grows as the level falls.
+    /// A refusal for lack of capacity, whose retry-after time grows as the admission level falls.
     pub(super) fn overload_refusal(&mut self, reason: RefusalReason) -> Refusal {
         let timeout = self.target.as_ref().map(|target| target.queue_timeout).unwrap_or_default();
         let level_reduction = 1.0 - f64::from(self.level().0) / f64::from(AdmissionLevel::OPEN.0);
-        // The jitter keeps callers that were refused together from coming back together.
+        // The jitter keeps callers that were refused together from retrying at the same time.
         let jitter = self.random.gen_range(0.5..1.5);
-        let advice = timeout.mul_f64((1.0 + RETRY_AFTER_LEVEL_FACTOR * level_reduction) * jitter);
-        Refusal::not_run(reason).with_retry_after(advice.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
+        let retry_after = timeout.mul_f64((1.0 + RETRY_AFTER_LEVEL_FACTOR * level_reduction) * jitter);
+        Refusal::not_run(reason).with_retry_after(retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 }
 
--- a/crates/calls/src/gate/mod.rs
+++ b/crates/calls/src/gate/mod.rs
@@ -1,11 +1,12 @@
-//! The gate stands before one back end: it queues, limits, asks for claims, and drains.
+//! Admission control in front of one back end: queues attempts, limits concurrency, requests claims, and drains.
 //!
-//! Use [`Gate`] wherever attempts of calls reach a back end. The driver hands in a [`GateInput`] with the time of its
-//! monotonic clock, carries out each [`GateOutput`], and steps with [`GateInput::Tick`] at [`Gate::next_wake`].
+//! Use [`Gate`] wherever attempts of calls reach a back end. The driver passes in a [`GateInput`] with the time of its
+//! monotonic clock, executes each [`GateOutput`], and calls [`Gate::step`] with [`GateInput::Tick`] at the time that
+//! [`Gate::next_wake`] returns.
 //!
-//! An attempt passes through three phases: *waiting* in a queue ([`queue`]), *claiming* while the claim of a call that
-//! may not be repeated is recorded, and *running* at the back end. A slot of the concurrency limit ([`limit`]) is held
-//! from the end of waiting until the back end's part has ended.
+//! An attempt passes through three phases: *waiting* in a queue ([`queue`]), *claiming* while the claim of a
+//! non-repeatable call is being recorded, and *running* at the back end. It holds a slot of the concurrency limit
+//! ([`limit`]) from the end of the waiting phase until the back end has finished with it.
 
 mod admission;
 mod arrival;
--- a/crates/calls/src/gate/queue.rs
+++ b/crates/calls/src/gate/queue.rs
@@ -1,11 +1,12 @@
-//! A bounded queue of attempts that wait for a slot, ordered by importance.
+//! A priority queue of attempts that wait for a slot.
 //!
-//! Use it where attempts must wait briefly and the least important must give way. While calm, attempts of a band (one
-//! priority's first tries, or its retries) leave in the order of arrival. While overloaded they leave by full rank, so that
-//! every hop serves the same roots, and among equal ranks the newest first, because its caller is likeliest still there.
-//! The attempt that gives way is always the one of the highest rank.
+//! Use it where attempts wait briefly and the least important is evicted when space runs out; its users bound its
+//! length. Without overload, attempts of a band (the first attempts of one priority, or its retries) leave in order of
+//! arrival. Under overload they leave by full rank, so that every hop serves the same root calls, and among equal ranks
+//! the newest leaves first, because its caller is the most likely to be still waiting. The attempt to evict is always
+//! one with the highest rank number.
 //!
-//! One waiting attempt costs about 200 bytes here (three index entries), besides its entry in the table of attempts.
+//! A waiting attempt takes about 200 bytes here (three index entries), besides its entry in the table of attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,31 +18,31 @@
 pub enum QueueOrder {
     /// By rank.
     Rank,
-    /// In the order of arrival, whatever the rank; for comparison.
+    /// In order of arrival, regardless of rank; for comparison.
     Arrival,
 }
 
-/// An attempt that waits.
+/// A waiting attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiting {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Its place in the order of refusal.
+    /// Its rank in the order of refusal; higher ranks are refused first.
     pub rank: AdmissionRank,
-    /// When it began to wait.
+    /// When it started to wait.
     pub since: Timestamp,
-    /// When it must be refused if it still waits.
+    /// When it must be refused if it is still waiting.
     pub expires: Timestamp,
 }
 
-/// Identifies an entry of the queue; kept by the owner of the attempt to remove it early.
+/// Identifies an entry of the queue, so that the owner of the attempt can remove it early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     rank: u16,
     sequence: u64,
 }
 
-/// Attempts that wait for a slot; see the module's page for the order.
+/// The attempts that wait for a slot; see the [module documentation](self) for their order.
 #[derive(Clone, Debug)]
 pub struct WaitingQueue {
     order: QueueOrder,
@@ -57,7 +58,7 @@
 }
 
 impl WaitingQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(order: QueueOrder) -> Self {
         WaitingQueue {
             order,
@@ -74,7 +75,7 @@
         self.by_rank.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no attempt waits.
     pub fn is_empty(&self) -> bool {
         self.by_rank.is_empty()
     }
@@ -98,7 +99,7 @@
         ticket
     }
 
-    /// Removes an attempt, if it still waits.
+    /// Removes an attempt, if it is still waiting.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
         let waiting = self.by_rank.remove(&ticket)?;
         let band = band_of(ticket.rank);
@@ -108,16 +109,16 @@
         Some(waiting)
     }
 
-    /// The attempt of a ticket, if it still waits.
+    /// The attempt of a ticket, if it is still waiting.
     pub fn get(&self, ticket: Ticket) -> Option<Waiting> {
         self.by_rank.get(&ticket).copied()
     }
 
-    /// The attempt that leaves next.
+    /// The attempt that leaves the queue next.
     pub fn peek(&self, overloaded: bool) -> Option<(Ticket, Waiting)> {
         let ticket = if overloaded && self.order == QueueOrder::Rank {
-            let best = self.by_rank.first_key_value()?.0.rank;
-            self.newest_of(best)?
+            let first_rank = self.by_rank.first_key_value()?.0.rank;
+            self.newest_of(first_rank)?
         } else {
             let (_, sequence, rank) = *self.by_band.first()?;
             Ticket { rank, sequence }
@@ -125,7 +126,7 @@
         Some((ticket, *self.by_rank.get(&ticket)?))
     }
 
-    /// The place of a waiting attempt among those of other queues; the lowest leaves first.
+    /// The sort key of a waiting attempt for comparison with those of other queues; the lowest leaves first.
     pub fn precedence(&self, waiting: &Waiting, overloaded: bool) -> (u16, Timestamp) {
         let rank = self.ordering_rank(waiting.rank);
         (if overloaded { rank } else { band_of(rank) }, waiting.since)
@@ -136,7 +137,7 @@
         self.by_rank.range(range).next_back().map(|(ticket, _)| *ticket)
     }
 
-    /// The attempt that gives way first: the oldest of the highest rank. In [`QueueOrder::Arrival`] none does.
+    /// The attempt to evict first: the oldest one of the highest rank. With [`QueueOrder::Arrival`] there is none.
     pub fn least_important(&self) -> Option<(Ticket, Waiting)> {
         if self.order == QueueOrder::Arrival {
             return None;
@@ -151,7 +152,7 @@
         self.by_expiry.first().copied()
     }
 
-    /// About how many waiting attempts would leave before a newcomer of `rank`.
+    /// An estimate of how many waiting attempts would leave before a new one of `rank`.
     pub fn ahead_of(&self, rank: AdmissionRank, overloaded: bool) -> usize {
         let rank = self.ordering_rank(rank);
         let band = usize::from(band_of(rank));
@@ -163,7 +164,7 @@
         before + own * usize::from(rank % RANKS_PER_BAND) / usize::from(RANKS_PER_BAND)
     }
 
-    /// The time for which the oldest attempt of the least important waiting band has waited.
+    /// How long the oldest attempt of the least important band in the queue has waited.
     pub fn longest_wait(&self, now: Timestamp) -> std::time::Duration {
         let oldest = self.by_band.last().and_then(|(band, _, _)| self.by_band.range((*band, 0, 0)..).next());
         let waiting = oldest.and_then(|(_, sequence, rank)| {
--- a/crates/calls/src/gate/recent.rs
+++ b/crates/calls/src/gate/recent.rs
@@ -1,13 +1,15 @@
-//! Remembers the attempts that ended last, so that a late duplicate of their arrival is not taken for a new attempt.
+//! Stores the ids of the attempts that ended most recently, so that a late duplicate of an arrival is not run as a new
+//! attempt.
 
 use std::collections::{HashSet, VecDeque};
 
 use quillhatch_types::AttemptId;
 
-/// Attempts remembered; at 5,000 calls/s this is the last 0.8 s, longer than a duplicate survives in a network buffer.
+/// The number of ids stored. At 5,000 calls/s it covers the last 0.8 s, longer than a duplicate stays in a network
+/// buffer.
 const MAX_RECENT_ATTEMPTS: usize = 4096;
 
-/// The attempts that ended last; the oldest is forgotten first.
+/// The attempts that ended most recently; the oldest is dropped first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentAttempts {
     order: VecDeque<AttemptId>,
--- a/crates/calls/src/gate/running.rs
+++ b/crates/calls/src/gate/running.rs
@@ -1,4 +1,4 @@
-//! The later phases of an attempt: getting a slot, claiming, running, ending.
+//! The phases of an attempt after waiting: taking a slot, claiming, running, and ending.
 
 use quillhatch_types::{AttemptId, RecordedAnswer, Refusal, RefusalReason, Timestamp};
 
@@ -6,7 +6,7 @@
 use super::io::{AnswerEnd, ClaimResolution, GateOutput};
 use super::machine::Gate;
 
-/// Answers from this status on are errors of the back end; their times say nothing about served calls.
+/// The lowest status of a server error; the latency of such an answer says nothing about that of served calls.
 const FIRST_SERVER_ERROR: u16 = 500;
 
 impl Gate {
@@ -17,7 +17,7 @@
             return;
         }
         let (lane, protected) = (entry.lane, entry.is_protected());
-        let claim = entry.has_claim(self.settings.mechanisms.claims);
+        let claim = entry.needs_claim(self.settings.mechanisms.claims);
         self.count_slot(now, attempt, lane, protected);
         if claim {
             self.request_claim(now, attempt, outputs);
@@ -27,22 +27,22 @@
     }
 
     fn has_too_little_time(&self, now: Timestamp, entry: &Attempt) -> bool {
-        let left = now.until(entry.deadline);
-        self.settings.mechanisms.deadline_check && left < self.needed_time(now, &entry.context)
+        let remaining = now.until(entry.deadline);
+        self.settings.mechanisms.deadline_check && remaining < self.needed_time(now, &entry.context)
     }
 
     fn count_slot(&mut self, now: Timestamp, attempt: AttemptId, lane: Lane, protected: bool) {
-        let counted_bytes = match lane {
-            Lane::Large => self.large.begin(),
+        let reserved_bytes = match lane {
+            Lane::Large => self.large_limit.begin(),
             Lane::Short => {
-                self.slots.all += 1;
+                self.slots.total += 1;
                 self.slots.unprotected += u32::from(!protected);
                 self.admission.served(protected);
                 0
             }
         };
         if let Some(entry) = self.attempts.get_mut(&attempt) {
-            entry.counted_bytes = counted_bytes;
+            entry.reserved_bytes = reserved_bytes;
             entry.slot_since = now;
         }
     }
@@ -57,7 +57,7 @@
         outputs.push(GateOutput::RequestClaim(entry.context.clone()));
     }
 
-    /// Takes in the decision on a claim; one that comes too late, or for an attempt that does not claim, changes nothing.
+    /// Handles the decision on a claim; one that comes too late, or for an attempt that is not claiming, has no effect.
     pub(super) fn claim_resolved(
         &mut self,
         now: Timestamp,
@@ -81,12 +81,13 @@
         }
     }
 
-    /// The last check before the back end sees a call that may not be repeated: its process may have been paused.
+    /// Dispatches a claimed attempt after a last check of its time and of the drain: the gate's process may have been
+    /// paused since it requested the claim.
     fn run_claimed(&mut self, now: Timestamp, attempt: AttemptId, outputs: &mut Vec<GateOutput>) {
         let Some(entry) = self.attempts.get(&attempt) else { return };
         let reason = if self.has_too_little_time(now, entry) {
             Some(RefusalReason::DeadlineTooShort)
-        } else if self.drain_is_over(now) {
+        } else if self.drain_grace_is_over(now) {
             Some(RefusalReason::Draining)
         } else {
             None
@@ -104,7 +105,7 @@
         let remaining = now.until(entry.deadline);
         self.timers.insert((timer, attempt));
         self.cold_start.dispatched(now);
-        self.limit.running_changed(now, self.slots.all + self.large.streams());
+        self.limit.running_changed(now, self.slots.total + self.large_limit.streams());
         outputs.push(GateOutput::Dispatch { attempt, remaining });
     }
 
@@ -116,10 +117,10 @@
         }
         let latency = now.since(*since);
         if let (Lane::Large, Some(length)) = (entry.lane, length) {
-            entry.counted_bytes = self.large.length_known(entry.counted_bytes, length);
+            entry.reserved_bytes = self.large_limit.length_known(entry.reserved_bytes, length);
         }
         self.cold_start.answered();
-        // Slow readers stretch the body of an answer, so the head's time is what shows the back end's load.
+        // Slow readers delay the body of an answer, so only the time to the head reflects the back end's load.
         if status < FIRST_SERVER_ERROR {
             self.measure(now, attempt, latency);
         }
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Takes in the end of the back end's part; a second end, or one of an attempt that does not run, changes nothing.
+    /// Handles the end of an attempt at the back end; a second end, or one for an attempt that is not running, has no
+    /// effect.
     pub(super) fn answer_ended(
         &mut self,
         now: Timestamp,
@@ -158,10 +160,10 @@
                 self.release(now, attempt, refusal, outputs);
             }
             AnswerEnd::ConnectFailed if !answer_started => {
-                self.cold_start.unreachable();
+                self.cold_start.connect_failed();
                 self.release(now, attempt, Refusal::not_run(RefusalReason::ConnectFailed), outputs);
             }
-            // A head that arrived proves that the back end was reached, whatever is claimed later.
+            // The head of an answer proves that the back end was reached, whatever the driver reports later.
             AnswerEnd::ConnectFailed | AnswerEnd::Broken => {
                 let refusal = Refusal::unknown(RefusalReason::ConnectionLost);
                 self.finish(now, attempt, None, Some(refusal), outputs);
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Measures an attempt that ended without a head: a broken or cancelled one took at least this long.
+    /// Records the latency of an attempt that ended without a head; for a broken or cancelled one it is a lower bound.
     fn measure_end(&mut self, now: Timestamp, attempt: AttemptId, end: &AnswerEnd, latency: std::time::Duration) {
         match end {
             AnswerEnd::Whole { status, .. } => {
@@ -191,7 +193,7 @@
             }
             AnswerEnd::Broken | AnswerEnd::Cancelled => {
                 let Some(entry) = self.attempts.get(&attempt) else { return };
-                // Only at the deadline is the back end to blame; an earlier end says nothing about its latency.
+                // An end before the deadline has another cause and says nothing about the back end's latency.
                 if entry.lane == Lane::Short && now >= entry.deadline {
                     self.limit.measured(now, &entry.context.class, latency);
                 }
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Ends an attempt that ran, or may have run; `refusal` goes out if no answer did.
+    /// Ends an attempt that ran or may have run; sends `refusal` unless the head of an answer was already sent.
     fn finish(
         &mut self,
         now: Timestamp,
@@ -210,7 +212,7 @@
         outputs: &mut Vec<GateOutput>,
     ) {
         let Some(mut entry) = self.remove(now, attempt) else { return };
-        if entry.has_claim(self.settings.mechanisms.claims) {
+        if entry.needs_claim(self.settings.mechanisms.claims) {
             outputs.push(GateOutput::ClaimFinished { attempt, record });
         }
         let answered = matches!(entry.phase, Phase::Running { answer_started: true, .. });
@@ -220,10 +222,10 @@
         }
     }
 
-    /// Ends an attempt that the back end provably did not run, and voids its claim.
+    /// Ends an attempt that the back end provably did not run, and releases its claim.
     fn release(&mut self, now: Timestamp, attempt: AttemptId, refusal: Refusal, outputs: &mut Vec<GateOutput>) {
         let Some(mut entry) = self.remove(now, attempt) else { return };
-        if entry.has_claim(self.settings.mechanisms.claims) {
+        if entry.needs_claim(self.settings.mechanisms.claims) {
             outputs.push(GateOutput::ClaimReleased { attempt });
         }
         let answered = matches!(entry.phase, Phase::Running { answer_started: true, .. });
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Ends an attempt that has no claim to void: it waited, or its claim was refused.
+    /// Ends an attempt that has no claim to release: it was waiting, or its claim was refused.
     pub(super) fn end_refused(
         &mut self,
         now: Timestamp,
@@ -252,8 +254,8 @@
         match entry.phase {
             Phase::Waiting { .. } => self.end_refused(now, attempt, refusal, outputs),
             Phase::Claiming { .. } => self.release(now, attempt, refusal, outputs),
-            // Half a run of a call that may not be repeated helps nobody: it goes on, so that a repeat gets its answer.
-            Phase::Running { .. } if entry.has_claim(self.settings.mechanisms.claims) => {}
+            // A non-repeatable call that has started runs to its end, so that a retry can get its recorded answer.
+            Phase::Running { .. } if entry.needs_claim(self.settings.mechanisms.claims) => {}
             Phase::Running { .. } => self.stop_run(attempt, outputs),
         }
     }
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Ends what has run out of time.
+    /// Ends attempts that have run out of time.
     pub(super) fn expire(&mut self, now: Timestamp, outputs: &mut Vec<GateOutput>) {
         self.expire_waiting(now, Lane::Short, outputs);
         self.expire_waiting(now, Lane::Large, outputs);
@@ -281,21 +283,21 @@
         match entry.phase {
             Phase::Waiting { .. } => {}
             Phase::Claiming { .. } => {
-                let undecided_for = now.since(entry.slot_since);
-                let reason = if undecided_for < self.settings.claim_timeout {
+                let claiming_for = now.since(entry.slot_since);
+                let reason = if claiming_for < self.settings.claim_timeout {
                     RefusalReason::DeadlineTooShort
                 } else {
                     RefusalReason::ClaimNotRecorded
                 };
                 self.release(now, attempt, Refusal::not_run(reason), outputs);
             }
-            // A started download goes on past the deadline of its head: only its reader may give it up.
+            // The deadline applies to the head: a large answer that has started ends only by itself or by its reader.
             Phase::Running { answer_started: true, .. } if entry.lane == Lane::Large => {}
             Phase::Running { .. } => self.stop_run(attempt, outputs),
         }
     }
 
-    /// Takes an attempt out of every table and frees its slot.
+    /// Removes an attempt from every table and frees its slot.
     fn remove(&mut self, now: Timestamp, attempt: AttemptId) -> Option<Attempt> {
         let entry = self.attempts.remove(&attempt)?;
         self.recent.insert(attempt);
@@ -317,18 +319,18 @@
 
     fn free_slot(&mut self, now: Timestamp, entry: &Attempt) {
         match entry.lane {
-            Lane::Large => self.large.end(entry.counted_bytes),
+            Lane::Large => self.large_limit.end(entry.reserved_bytes),
             Lane::Short => {
-                self.slots.all -= 1;
+                self.slots.total -= 1;
                 self.slots.unprotected -= u32::from(!entry.is_protected());
                 self.record_slot_time(now.since(entry.slot_since));
             }
         }
-        self.limit.running_changed(now, self.slots.all + self.large.streams());
+        self.limit.running_changed(now, self.slots.total + self.large_limit.streams());
     }
 }
 
-/// When a running attempt's time is over.
+/// When a running attempt is cancelled: at its deadline, or later if it is not repeatable.
 fn run_expiry(entry: &Attempt, deadline_overrun: std::time::Duration) -> Timestamp {
     if entry.context.repeatable {
         entry.deadline
--- a/crates/calls/src/gate/service_time.rs
+++ b/crates/calls/src/gate/service_time.rs
@@ -1,9 +1,9 @@
-//! Estimates the typical service time of a class of calls, for refusing calls that cannot finish in time.
+//! Estimates the typical service time of a class of calls, so that calls that cannot finish in time can be refused.
 //!
-//! The estimate is a low expectile of the measured times: shorter samples pull it down faster than longer ones pull it up.
-//! Three guards keep a bad phase from poisoning it: a sample counts at most twice the estimate, the estimate is at most a
-//! set share of the class's deadline, and without samples it decays. The last one matters most: a too high estimate
-//! refuses every call and thus gets no sample that could correct it.
+//! The estimate is a low expectile of the measured times: shorter samples lower it faster than longer ones raise it.
+//! Three guards limit the effect of a slow phase: a sample counts as at most twice the estimate, the estimate is at
+//! most a fixed share of the class's deadline, and without samples it decays. The decay matters most: an estimate that
+//! is too high refuses every call, so no sample arrives that could correct it.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 const UPWARD_GAIN: f64 = 0.05;
 const MAX_SAMPLE_RATIO: f64 = 2.0;
 const MAX_DEADLINE_SHARE: f64 = 0.5;
-/// Without a sample for this long the estimate halves, and again after each further such span.
+/// After this long without a sample the estimate starts to decay, and halves once per half-life from then on.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The typical service time of one class.
+/// The estimated service time of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServiceTime {
     seconds: f64,
@@ -24,7 +24,7 @@
 }
 
 impl ServiceTime {
-    /// Takes in the measured time of a call that was served.
+    /// Records the measured time of a served call.
     pub(super) fn record(&mut self, now: Timestamp, measured: Duration) {
         let sample = measured.as_secs_f64();
         let current = self.decayed(now);
@@ -38,7 +38,7 @@
         self.seconds = current + gain * (sample - current);
     }
 
-    /// The estimate at `now`, at most a share of `deadline`.
+    /// The estimate at `now`, capped at [`MAX_DEADLINE_SHARE`] of `deadline`.
     pub(super) fn estimate(&self, now: Timestamp, deadline: Duration) -> Duration {
         let bound = deadline.as_secs_f64() * MAX_DEADLINE_SHARE;
         Duration::from_secs_f64(self.decayed(now).min(bound))
--- a/crates/calls/src/gate/settings.rs
+++ b/crates/calls/src/gate/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gate, and the switches by which its mechanisms are compared.
+//! Settings of a gate, and switches that turn its mechanisms off for comparison.
 //!
 //! What operators set per service (slots, connections, deadlines, the queue timeout) comes with the
 //! [`Configuration`](quillhatch_types::Configuration); the values here are the same for the whole program.
@@ -7,34 +7,34 @@
 
 use quillhatch_types::{NodeAddress, ServiceName};
 
-/// Which mechanisms of the gate are in force; all are by default.
+/// Which mechanisms of the gate are enabled; by default all are.
 ///
-/// Switching one off shows what it is worth: the simulation does so by name. It is no way to run a fleet.
+/// The simulation disables them by name, to measure the effect of each. Do not disable any in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateMechanisms {
     /// Order and evict waiting attempts by rank; off: first in, first out, and a full queue refuses the newcomer.
     pub priority_queue: bool,
-    /// Refuse waiting attempts after the service's queue timeout; off: they wait until their deadline.
+    /// Refuse waiting attempts after the service's queue timeout; off: they may wait until their deadline.
     pub queue_timeout: bool,
-    /// Limit running attempts at all; off: only the back end's connections limit them.
+    /// Limit the number of running attempts; off: only the back end's connections limit it.
     pub concurrency_limit: bool,
-    /// Adapt the limit to measured latency; off: the configured slots are the limit.
+    /// Adapt the limit to the measured latency; off: the configured slots are the limit.
     pub adaptive_limit: bool,
     /// Lower the admission level under overload; off: it stays open.
     pub admission_level: bool,
-    /// Refuse an arrival at once when its expected wait is too long; off: it waits in vain.
+    /// Refuse an arrival immediately if its expected wait is too long; off: it waits and is refused later.
     pub early_refusal: bool,
-    /// Keep a share of the limit for protected calls while some arrive.
+    /// Reserve a share of the limit for protected calls while some arrive.
     pub protected_reserve: bool,
-    /// Raise the limit step by step when the back end starts cold.
+    /// Ramp up the limit after a cold start of the back end.
     pub cold_start: bool,
-    /// Limit large answers apart from short calls; off: they take the slots of short calls.
+    /// Limit large answers separately from short calls; off: they take the slots of short calls.
     pub large_answer_limit: bool,
-    /// Refuse attempts that have too little time left; off: they run in vain.
+    /// Refuse attempts with too little remaining time; off: they run although they cannot finish in time.
     pub deadline_check: bool,
-    /// Heed the back end's own health and load reports within their bound.
+    /// Let the back end's own health and load reports lower the limit within a bound.
     pub load_hint: bool,
-    /// Ask for a claim before an attempt that may not be repeated runs.
+    /// Request a claim before a non-repeatable attempt runs.
     pub claims: bool,
     /// Refuse arrivals while closed.
     pub drain: bool,
@@ -65,29 +65,29 @@
 pub struct GateSettings {
     /// The service of the back end.
     pub service: ServiceName,
-    /// The address of the gate's own node, by which its target is found in the configuration.
+    /// The address of the gate's own node, which identifies its target in the configuration.
     pub node: NodeAddress,
-    /// The largest number of attempts that wait for a slot of the concurrency limit.
+    /// The maximum number of attempts that wait for a slot of the concurrency limit.
     pub maximum_waiting: usize,
-    /// The largest number of attempts that wait to begin a large answer.
+    /// The maximum number of attempts that wait for the limit of large answers.
     pub maximum_waiting_large: usize,
-    /// The largest number of attempts that hold a slot at once, whatever the configuration says.
+    /// The maximum number of attempts that hold a slot at once, even if the configuration allows more.
     pub maximum_running: u32,
-    /// The time after which an undecided claim is given up.
+    /// The time after which an undecided claim request times out.
     pub claim_timeout: Duration,
-    /// The time after a drain began during which attempts that already wait may still start.
+    /// How long after the start of a drain attempts that are already waiting may still start.
     pub drain_grace: Duration,
-    /// The time beyond its deadline that a run which may not be repeated is let go on, so that its answer is recorded.
+    /// How long a non-repeatable attempt may run past its deadline, so that its answer can be recorded.
     pub deadline_overrun: Duration,
-    /// The time over which a cold back end's limit rises to the configured slots.
+    /// The time over which the limit of a cold back end rises to the configured slots.
     pub cold_start: Duration,
     /// The share of the back end's slots that large answers may take, in percent.
     pub large_answer_share_percent: u8,
-    /// The number of bytes of large answers on their way at once.
+    /// The maximum number of bytes of large answers in flight.
     pub large_answer_bytes: u64,
-    /// The share of the limit that is kept for protected calls while some arrive, in percent.
+    /// The share of the limit reserved for protected calls while some arrive, in percent.
     pub protected_reserve_percent: u8,
-    /// The mechanisms in force.
+    /// The enabled mechanisms.
     pub mechanisms: GateMechanisms,
 }
 
--- a/crates/calls/src/gate/slots.rs
+++ b/crates/calls/src/gate/slots.rs
@@ -1,4 +1,4 @@
-//! Which waiting attempt gets a slot next, and whether one is free for it.
+//! Selects the waiting attempt that gets a slot next, if one is free for it.
 
 use quillhatch_types::Timestamp;
 
@@ -7,10 +7,10 @@
 use super::machine::Gate;
 
 impl Gate {
-    /// Whether a slot is free for an attempt.
+    /// Whether a slot is free for an attempt of this lane.
     pub(super) fn has_free_slot(&mut self, now: Timestamp, lane: Lane, protected: bool) -> bool {
         let connections = self.target.as_ref().map_or(0, |target| target.connections);
-        if self.slots.all + self.large.streams() >= connections {
+        if self.slots.total + self.large_limit.streams() >= connections {
             return false;
         }
         match lane {
@@ -19,22 +19,23 @@
         }
     }
 
-    /// The slots that short calls may hold: all that large answers leave, but at least the share kept from them.
-    pub(super) fn short_limit(&mut self, now: Timestamp) -> u32 {
+    /// The number of slots that short calls may hold: all that large answers do not use, and at least the share that
+    /// large answers may not take.
+    pub(super) fn short_call_limit(&mut self, now: Timestamp) -> u32 {
         let limit = self.concurrency_limit(now);
-        let kept = limit - limit * self.large_share_percent() / 100;
-        limit.saturating_sub(self.large.streams()).max(kept)
+        let guaranteed = limit - limit * self.large_share_percent() / 100;
+        limit.saturating_sub(self.large_limit.streams()).max(guaranteed)
     }
 
     fn has_free_short_slot(&mut self, now: Timestamp, protected: bool) -> bool {
-        let limit = self.short_limit(now);
-        if self.slots.all >= limit {
+        let limit = self.short_call_limit(now);
+        if self.slots.total >= limit {
             return false;
         }
         if protected {
             return true;
         }
-        // Edges refuse protected calls at such a level, so nothing less important may take their place.
+        // At such a level edges refuse even protected calls, so no less important call may take their place.
         if self.only_protected() {
             return false;
         }
@@ -42,20 +43,20 @@
     }
 
     fn has_free_large_slot(&mut self, now: Timestamp, protected: bool) -> bool {
-        if !self.large.has_capacity() || (!protected && self.only_protected()) {
+        if !self.large_limit.has_capacity() || (!protected && self.only_protected()) {
             return false;
         }
-        self.large.streams() == 0 || self.slots.all + self.large.streams() < self.concurrency_limit(now)
+        self.large_limit.streams() == 0 || self.slots.total + self.large_limit.streams() < self.concurrency_limit(now)
     }
 
     fn only_protected(&self) -> bool {
         self.settings.mechanisms.admission_level && self.admission.only_protected()
     }
 
-    /// Gives free slots to waiting attempts.
+    /// Assigns free slots to waiting attempts.
     ///
-    /// A large answer holds its slot for long and is never stopped, so none begins while a more important short call
-    /// waits. Short calls go on while a more important large answer waits for others of its kind to end.
+    /// A large answer holds its slot for a long time and is never stopped, so none starts while a more important short
+    /// call waits. Short calls still start while a more important large answer waits for other large answers to end.
     pub(super) fn start_waiting(&mut self, now: Timestamp, outputs: &mut Vec<GateOutput>) {
         while let Some(lane) = self.first_lane(now) {
             let started = self.start_next(now, lane, outputs)
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The lane of the attempt that leaves next.
+    /// The lane whose first waiting attempt is the next to start.
     fn first_lane(&self, now: Timestamp) -> Option<Lane> {
         let overloaded = self.overloaded(now);
         let key = |lane: Lane| {
@@ -76,7 +77,7 @@
         [key(Lane::Short), key(Lane::Large)].into_iter().flatten().min().map(|(_, lane)| lane)
     }
 
-    /// Gives the first waiting attempt of a lane a slot; returns whether there was one with a slot to take.
+    /// Assigns a slot to the first waiting attempt of a lane; returns `false` if none waits or no slot is free for it.
     fn start_next(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) -> bool {
         let Some((ticket, waiting)) = self.queue(lane).peek(self.overloaded(now)) else { return false };
         if !self.has_free_slot(now, lane, is_protected(waiting.rank)) {
--- a/crates/calls/src/gate/tokens.rs
+++ b/crates/calls/src/gate/tokens.rs
@@ -1,9 +1,9 @@
-//! The retry tokens of one attempt in progress: lent to child calls, given back, and reported once.
+//! The retry tokens of one attempt: lent to child calls, returned by them, and reported once.
 //!
-//! Tokens only ever move. What is lent leaves this purse; what comes back is at most what was lent; what is reported to
-//! the edge leaves too. So the tokens of a call tree never become more, whatever is lost, duplicated or late.
+//! Tokens are only moved. Lent tokens leave the account, no more come back than were lent, and reported tokens go to
+//! the edge. So the number of tokens in a call tree never grows, even if messages are lost, duplicated or late.
 
-/// The tokens that an attempt holds.
+/// The retry tokens that an attempt holds and has lent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TokenAccount {
     held: u16,
@@ -16,17 +16,18 @@
         TokenAccount { held: tokens, lent: 0, reported: false }
     }
 
-    /// Takes up to `wanted` tokens for a child call.
+    /// Lends up to `wanted` tokens to a child call, and returns how many.
     pub(super) fn lend(&mut self, wanted: u16) -> u16 {
-        let given = wanted.min(self.held);
-        self.held -= given;
-        self.lent = self.lent.saturating_add(given);
-        given
+        let granted = wanted.min(self.held);
+        self.held -= granted;
+        self.lent = self.lent.saturating_add(granted);
+        granted
     }
 
-    /// Takes tokens back from a child call and returns those that this purse did not lend.
+    /// Accepts tokens back from a child call, and returns how many of them this account did not lend.
     ///
-    /// After the answer went out they are lost: the edge has counted what it was told.
+    /// Tokens that come back after the answer was sent are lost, because the edge has already counted the reported
+    /// ones.
     pub(super) fn take_back(&mut self, tokens: u16) -> u16 {
         let accepted = tokens.min(self.lent);
         self.lent -= accepted;
@@ -36,7 +37,7 @@
         tokens - accepted
     }
 
-    /// Empties the purse into the answer's feedback; a second report is of nothing.
+    /// Removes all tokens for the answer's feedback; a second report has none.
     pub(super) fn report(&mut self) -> u16 {
         self.reported = true;
         std::mem::take(&mut self.held)
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions about calls: admission, limits, retries, routing, deadlines.
 //!
-//! [`edge`] takes a call from a caller and chooses where each attempt goes; [`gate`] stands before a back end and decides
-//! when an attempt runs. Both are state machines without input or output.
+//! [`edge`] accepts calls from callers and chooses the target of each attempt; [`gate`] sits in front of a back end and
+//! decides when an attempt runs. Both are state machines that do no I/O; [`wire`] encodes the messages between them.
 
 pub mod edge;
 pub mod gate;
--- a/crates/calls/src/wire.rs
+++ b/crates/calls/src/wire.rs
@@ -1,8 +1,8 @@
-//! Converts what an edge and a gate tell each other from and to its protobuf form.
+//! Encodes and decodes the messages between an edge and a gate as protobuf.
 //!
-//! Use [`encode_context`] and [`decode_context`] for the context that travels with an attempt, and [`encode_feedback`] and
-//! [`decode_feedback`] for what comes back with the answer. Decoding trusts nothing: sizes are bounded before anything is
-//! read, and fields that contradict each other are refused.
+//! Use [`encode_context`] and [`decode_context`] for the context that an edge sends with an attempt, and
+//! [`encode_feedback`] and [`decode_feedback`] for the feedback that a gate returns with the answer. Decoding trusts no
+//! input: it checks the size before it reads anything, and rejects fields that contradict each other.
 
 use std::time::Duration;
 
@@ -17,29 +17,29 @@
     Revision, RootId, ServiceName,
 };
 
-/// The longest encoded message accepted, in bytes; longer than any that is encoded here.
+/// The maximum length of an encoded message in bytes; longer than any message encoded here.
 pub const MAXIMUM_MESSAGE_LENGTH: usize = 1024;
 
-/// The longest time left that is believed.
+/// The maximum remaining time that is accepted; encoding reduces longer ones to it.
 pub const MAXIMUM_REMAINING: Duration = Duration::from_secs(24 * 60 * 60);
 
-const DIGEST_LENGTH: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
-/// Why bytes are not a valid context or feedback.
+/// The error returned for bytes that are not a valid context or feedback.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum WireError {
     /// The message is longer than [`MAXIMUM_MESSAGE_LENGTH`].
     #[from(ignore)]
     #[display("the message has {length} bytes, more than the {MAXIMUM_MESSAGE_LENGTH} allowed")]
     TooLong {
-        /// Its length in bytes.
+        /// The length of the message in bytes.
         length: usize,
     },
-    /// The bytes are no protobuf message of the schema.
+    /// The bytes are not a protobuf message of the expected type.
     Malformed(MalformedMessage),
-    /// The service or class is no valid name.
+    /// The service or class is not a valid name.
     Name(NameError),
-    /// The key is no valid request key.
+    /// The key is not a valid request key.
     Key(KeyError),
     /// A field has a value outside its range.
     #[from(ignore)]
@@ -48,7 +48,7 @@
         /// The field.
         field: &'static str,
     },
-    /// A field contradicts another one, or is missing beside it.
+    /// A field contradicts another one, or is missing although another one requires it.
     #[from(ignore)]
     #[display("the field `{field}` contradicts the rest of the message")]
     Contradiction {
@@ -57,13 +57,13 @@
     },
 }
 
-/// Encodes what an edge tells a gate about an attempt.
+/// Encodes the context that an edge sends to a gate with an attempt.
 pub fn encode_context(context: &CallContext) -> Vec<u8> {
     let remaining = context.remaining.min(MAXIMUM_REMAINING);
     encode(&proto::CallContext {
-        call_high: high(context.call.0),
+        call_high: high_bits(context.call.0),
         call_low: context.call.0 as u64,
-        root_high: high(context.root.0),
+        root_high: high_bits(context.root.0),
         root_low: context.root.0 as u64,
         attempt: u32::from(context.attempt),
         depth: u32::from(context.depth),
@@ -80,11 +80,11 @@
     })
 }
 
-/// Decodes what an edge tells a gate about an attempt.
+/// Decodes the context that an edge sends to a gate with an attempt.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the first field that is not valid.
+/// Returns an error if the message is too long or malformed, or for its first invalid field.
 pub fn decode_context(bytes: &[u8]) -> Result<CallContext, WireError> {
     check_length(bytes)?;
     let message: proto::CallContext = decode(bytes)?;
@@ -92,8 +92,8 @@
     let repeatable = message.repeatable;
     let key = key(&message)?;
     Ok(CallContext {
-        call: CallId(join(message.call_high, message.call_low)),
-        root: RootId(join(message.root_high, message.root_low)),
+        call: CallId(join_bits(message.call_high, message.call_low)),
+        root: RootId(join_bits(message.root_high, message.root_low)),
         attempt: narrow(message.attempt, "attempt")?,
         depth: depth(message.depth)?,
         tokens: narrow(message.tokens, "tokens")?,
@@ -109,7 +109,7 @@
     })
 }
 
-/// Encodes what a gate tells an edge with an answer.
+/// Encodes the feedback that a gate sends to an edge with an answer.
 pub fn encode_feedback(feedback: &Feedback) -> Vec<u8> {
     encode(&proto::Feedback {
         level: u32::from(feedback.level.0),
@@ -122,11 +122,11 @@
     })
 }
 
-/// Decodes what a gate tells an edge with an answer.
+/// Decodes the feedback that a gate sends to an edge with an answer.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the first field that is not valid.
+/// Returns an error if the message is too long or malformed, or for its first invalid field.
 pub fn decode_feedback(bytes: &[u8]) -> Result<Feedback, WireError> {
     check_length(bytes)?;
     let message: proto::Feedback = decode(bytes)?;
@@ -152,11 +152,11 @@
     Ok(())
 }
 
-fn high(value: u128) -> u64 {
+fn high_bits(value: u128) -> u64 {
     (value >> 64) as u64
 }
 
-fn join(high: u64, low: u64) -> u128 {
+fn join_bits(high: u64, low: u64) -> u128 {
     u128::from(high) << 64 | u128::from(low)
 }
 
@@ -182,14 +182,14 @@
     if rank >= BANDS * RANKS_PER_BAND {
         return Err(WireError::OutOfRange { field: "rank" });
     }
-    // A rank better than its priority would jump the order of refusal.
+    // With a rank better than its priority allows, a call would be refused later than it should be.
     if usize::from(rank / RANKS_PER_BAND / 2) != priority.index() {
         return Err(WireError::Contradiction { field: "rank" });
     }
     Ok(AdmissionRank(rank))
 }
 
-/// A call that may run only once has a key, and no other call has one.
+/// Reads the key: a non-repeatable call must have one, and a repeatable call must not.
 fn key(message: &proto::CallContext) -> Result<Option<RequestKey>, WireError> {
     if message.repeatable {
         let has_none = message.key.is_empty() && !message.key_from_caller;
@@ -198,7 +198,7 @@
     Ok(Some(RequestKey::new(&message.key)?))
 }
 
-/// A caller's key comes with a digest of the request, and no other key does.
+/// Reads the digest of the request: it must be present with a key from the caller, and absent otherwise.
 fn digest(message: &proto::CallContext) -> Result<Option<Digest>, WireError> {
     if message.digest.is_empty() == message.key_from_caller {
         return Err(WireError::Contradiction { field: "digest" });
@@ -206,7 +206,7 @@
     if message.digest.is_empty() {
         return Ok(None);
     }
-    let bytes: [u8; DIGEST_LENGTH] =
+    let bytes: [u8; DIGEST_BYTES] =
         message.digest.as_slice().try_into().map_err(|_| WireError::OutOfRange { field: "digest" })?;
     Ok(Some(Digest(u128::from_le_bytes(bytes))))
 }
