--- a/crates/calls/src/gate/tests/parts.rs
+++ b/crates/calls/src/gate/tests/components.rs
@@ -10,7 +10,8 @@
 use crate::gate::queue::{QueueOrder, Waiting, WaitingQueue};
 use crate::gate::service_time::ServiceTime;
 
-fn leave_all(mut queue: WaitingQueue, overloaded: bool) -> Vec<u128> {
+/// The calls of a queue in the order in which they leave it.
+fn drain_queue(mut queue: WaitingQueue, overloaded: bool) -> Vec<u128> {
     let mut order = vec![];
     while let Some((ticket, waiting)) = queue.peek(overloaded) {
         queue.remove(ticket);
@@ -19,7 +20,7 @@
     order
 }
 
-#[test_case(QueueOrder::Rank, false => vec![3, 1, 2, 4]; "calm: by band, then by arrival")]
+#[test_case(QueueOrder::Rank, false => vec![3, 1, 2, 4]; "no overload: by band, then by arrival")]
 #[test_case(QueueOrder::Rank, true => vec![3, 4, 2, 1]; "overloaded: by rank, then the newest first")]
 #[test_case(QueueOrder::Arrival, true => vec![1, 2, 3, 4])]
 fn attempts_leave_in_order(order: QueueOrder, overloaded: bool) -> Vec<u128> {
@@ -28,12 +29,12 @@
         let waiting = Waiting { attempt: id(call), rank: AdmissionRank(rank), since: at(0), expires: at(9) };
         queue.push(waiting);
     }
-    leave_all(queue, overloaded)
+    drain_queue(queue, overloaded)
 }
 
-/// A bad phase must not shut calls out for good: the estimate is what would refuse them.
+/// A high estimate refuses every call, so no new sample can correct it: without decay, calls would be refused forever.
 #[test]
-fn the_service_time_forgets_a_bad_phase_without_samples() {
+fn the_service_time_estimate_decays_without_samples() {
     let deadline = Duration::from_secs(10);
     let mut time = ServiceTime::default();
     for sample in 0..200 {
@@ -47,9 +48,9 @@
 #[test_case(LoadHint { healthy: false, load: None }, 10, true => 1.0 - MAX_REDUCTION; "unhealthy")]
 #[test_case(LoadHint { healthy: true, load: Some(1e9) }, 10, true => 1.0 - MAX_REDUCTION; "absurd load")]
 #[test_case(LoadHint { healthy: true, load: Some(f64::NAN) }, 10, true => 1.0; "not a number")]
-#[test_case(LoadHint { healthy: false, load: None }, 10, false => 1.0; "no own evidence")]
+#[test_case(LoadHint { healthy: false, load: None }, 10, false => 1.0; "no congestion measured")]
 #[test_case(LoadHint { healthy: false, load: None }, 9_000, true => 1.0; "stale")]
-fn a_hint_weighs_little(hint: LoadHint, age: u64, congested: bool) -> f64 {
+fn a_load_hint_has_a_bounded_effect(hint: LoadHint, age: u64, congested: bool) -> f64 {
     let mut weight = HintWeight::default();
     weight.record(Timestamp::ZERO, hint);
     weight.factor(at(age), congested)
@@ -58,10 +59,10 @@
 const BUSY: GateState = GateState { unprotected_present: true, idle: false };
 const ONLY_PROTECTED: GateState = GateState { unprotected_present: false, idle: false };
 
-/// Edges must not refuse protected calls for a gate that serves less important ones.
+/// Edges must not refuse protected calls while the gate serves less important ones.
 #[test_case(BUSY => true; "less important work is served")]
-#[test_case(ONLY_PROTECTED => false; "protected calls alone are too many")]
-fn the_level_spares_protected_calls(state: GateState) -> bool {
+#[test_case(ONLY_PROTECTED => false; "only protected calls")]
+fn the_level_refuses_protected_calls_only_if_they_alone_are_too_many(state: GateState) -> bool {
     let mut controller = AdmissionController::new();
     for period in 1..40 {
         (0..20).for_each(|_| controller.arrived(AdmissionRank(1000)));
--- a/crates/calls/src/gate/tests/invariants.rs
+++ b/crates/calls/src/gate/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Random inputs in any order, late and twice: what callers and the back end see keeps every promise.
+//! Feeds a gate with random inputs, out of order, late and duplicated, and checks its guarantees to callers and the
+//! back end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,13 +15,13 @@
 #[derive(Clone, Copy, Debug)]
 enum Action {
     Arrive { class: usize, position: u16, remaining: u16 },
-    Claim { call: u8, kind: u8 },
-    Start { call: u8 },
-    End { call: u8, kind: u8 },
+    ResolveClaim { call: u8, kind: u8 },
+    StartAnswer { call: u8 },
+    EndAnswer { call: u8, kind: u8 },
     Cancel { call: u8 },
     Close { open: bool },
-    Lend { call: u8, wanted: u16 },
-    GiveBack { call: u8, tokens: u16 },
+    LendTokens { call: u8, wanted: u16 },
+    ReturnTokens { call: u8, tokens: u16 },
     Wait { milliseconds: u16 },
 }
 
@@ -29,19 +30,19 @@
     prop_oneof![
         8 => (0..4_usize, 0..1024_u16, 0..2000_u16)
             .prop_map(|(class, position, remaining)| Action::Arrive { class, position, remaining }),
-        4 => (call.clone(), 0..4_u8).prop_map(|(call, kind)| Action::Claim { call, kind }),
-        2 => call.clone().prop_map(|call| Action::Start { call }),
-        5 => (call.clone(), 0..5_u8).prop_map(|(call, kind)| Action::End { call, kind }),
+        4 => (call.clone(), 0..4_u8).prop_map(|(call, kind)| Action::ResolveClaim { call, kind }),
+        2 => call.clone().prop_map(|call| Action::StartAnswer { call }),
+        5 => (call.clone(), 0..5_u8).prop_map(|(call, kind)| Action::EndAnswer { call, kind }),
         1 => call.clone().prop_map(|call| Action::Cancel { call }),
         1 => prop::bool::weighted(0.9).prop_map(|open| Action::Close { open }),
-        1 => (call.clone(), 0..5_u16).prop_map(|(call, wanted)| Action::Lend { call, wanted }),
-        1 => (call, 0..5_u16).prop_map(|(call, tokens)| Action::GiveBack { call, tokens }),
+        1 => (call.clone(), 0..5_u16).prop_map(|(call, wanted)| Action::LendTokens { call, wanted }),
+        1 => (call, 0..5_u16).prop_map(|(call, tokens)| Action::ReturnTokens { call, tokens }),
         3 => (0..80_u16).prop_map(|milliseconds| Action::Wait { milliseconds }),
     ]
 }
 
-/// Follows what the gate's outputs promise to callers and ask of the back end.
-struct Witness {
+/// Tracks the gate's outputs and checks its guarantees after each step.
+struct InvariantChecker {
     gate: Gate,
     now: u64,
     arrived: BTreeMap<AttemptId, CallContext>,
@@ -50,17 +51,17 @@
     dispatched: BTreeSet<AttemptId>,
     running: BTreeSet<AttemptId>,
     refused: BTreeSet<AttemptId>,
-    tokens_out: u32,
+    issued_tokens: u32,
 }
 
 const CLASSES: [&str; 4] = ["charge", "look", "scan", "fetch"];
 
-impl Witness {
+impl InvariantChecker {
     fn new(mechanisms: GateMechanisms) -> Self {
         let limits = GateSettings { maximum_waiting: 6, maximum_waiting_large: 3, ..settings(mechanisms) };
         let gate = gate_with(limits, configuration(true));
         let empty = BTreeSet::new;
-        Witness {
+        InvariantChecker {
             gate,
             now: 0,
             arrived: BTreeMap::new(),
@@ -69,7 +70,7 @@
             dispatched: empty(),
             running: empty(),
             refused: empty(),
-            tokens_out: 0,
+            issued_tokens: 0,
         }
     }
 
@@ -83,28 +84,28 @@
                 self.waiting.insert(id(call));
                 GateInput::Arrived(Box::new(context))
             }
-            Action::Claim { call, kind } => {
+            Action::ResolveClaim { call, kind } => {
                 GateInput::ClaimResolved { attempt: id(call.into()), resolution: resolution(kind) }
             }
-            Action::Start { call } => {
+            Action::StartAnswer { call } => {
                 GateInput::AnswerStarted { attempt: id(call.into()), status: 200, length: Some(1_000_000) }
             }
-            Action::End { call, kind } => {
-                // A back end that was never asked can't end anything by itself, but a confused driver may say so.
+            Action::EndAnswer { call, kind } => {
+                // A faulty driver may report an end for an attempt that was never dispatched.
                 self.running.remove(&id(call.into()));
                 GateInput::AnswerEnded { attempt: id(call.into()), end: end(kind) }
             }
             Action::Cancel { call } => GateInput::Cancelled { attempt: id(call.into()) },
             Action::Close { open: true } => GateInput::Open,
             Action::Close { open: false } => GateInput::Close { reason: RefusalReason::Draining },
-            Action::Lend { call, wanted } => {
+            Action::LendTokens { call, wanted } => {
                 let lent = self.gate.lend_tokens(at(self.now), CallId(call.into()), wanted);
-                self.tokens_out += lent.map_or(0, |parent| u32::from(parent.tokens));
+                self.issued_tokens += lent.map_or(0, |parent| u32::from(parent.tokens));
                 return Ok(());
             }
-            Action::GiveBack { call, tokens } => {
-                let tokens = tokens.min(self.tokens_out as u16);
-                self.tokens_out -= u32::from(tokens);
+            Action::ReturnTokens { call, tokens } => {
+                let tokens = tokens.min(self.issued_tokens as u16);
+                self.issued_tokens -= u32::from(tokens);
                 self.gate.return_tokens(CallId(call.into()), tokens);
                 return Ok(());
             }
@@ -113,14 +114,14 @@
                 GateInput::Tick
             }
         };
-        let head_of = match &input {
+        let answered_attempt = match &input {
             GateInput::AnswerStarted { attempt, .. } => Some(*attempt),
             _ => None,
         };
         let outputs = step(&mut self.gate, self.now, input);
-        if head_of.is_some() {
-            // A driver that tells the same head twice must not multiply tokens.
-            self.tokens_out += u32::from(self.gate.feedback(at(self.now), head_of).tokens_left);
+        if answered_attempt.is_some() {
+            // A driver that reports the same head twice must not duplicate tokens.
+            self.issued_tokens += u32::from(self.gate.feedback(at(self.now), answered_attempt).tokens_left);
         }
         outputs.iter().try_for_each(|output| self.check(output))?;
         self.check_state()
@@ -136,18 +137,18 @@
             GateOutput::Dispatch { attempt, .. } => {
                 self.waiting.remove(attempt);
                 self.running.insert(*attempt);
-                let again = !self.dispatched.insert(*attempt);
+                let duplicate = !self.dispatched.insert(*attempt);
                 let unclaimed = !self.arrived[attempt].repeatable && !self.claimed.contains(attempt);
-                if again || unclaimed || self.refused.contains(attempt) {
-                    return Err(format!("dispatched against the rules: {attempt}"));
+                if duplicate || unclaimed || self.refused.contains(attempt) {
+                    return Err(format!("invalid dispatch: {attempt}"));
                 }
             }
             GateOutput::Refuse { attempt, refusal, feedback } => {
-                self.tokens_out += u32::from(feedback.tokens_left);
+                self.issued_tokens += u32::from(feedback.tokens_left);
                 self.check_refusal(*attempt, refusal.outcome, refusal.reason)?;
             }
             GateOutput::Replay { attempt, feedback, .. } => {
-                self.tokens_out += u32::from(feedback.tokens_left);
+                self.issued_tokens += u32::from(feedback.tokens_left);
                 self.refused.insert(*attempt);
             }
             _ => {}
@@ -161,7 +162,7 @@
             return Err(format!("answered twice: {attempt}"));
         }
         if outcome == Outcome::NotRun && self.running.contains(&attempt) {
-            return Err(format!("said not to run while at the back end: {attempt}"));
+            return Err(format!("reported as not run while running at the back end: {attempt}"));
         }
         let context = &self.arrived[&attempt];
         let for_load = matches!(reason, RefusalReason::Overloaded | RefusalReason::QueueTimeout);
@@ -178,26 +179,26 @@
     fn check_state(&mut self) -> Result<(), String> {
         let feedback = self.gate.feedback(at(self.now), None);
         if self.running.len() > SLOTS as usize || feedback.waiting > 9 {
-            return Err(format!("a bound is broken: {feedback:?}"));
+            return Err(format!("a bound is exceeded: {feedback:?}"));
         }
-        if self.tokens_out > 3 * self.arrived.len() as u32 {
-            return Err("tokens have grown".into());
+        if self.issued_tokens > 3 * self.arrived.len() as u32 {
+            return Err("the number of tokens has grown".into());
         }
         Ok(())
     }
 
-    /// Lets everything end; whatever arrived must have got its answer.
+    /// Ends all running attempts and checks that each attempt was dispatched or refused.
     fn end(&mut self) -> Result<(), String> {
         for _ in 0..200 {
             for attempt in self.running.clone() {
-                self.act(Action::End { call: attempt.call.0 as u8, kind: 0 })?;
+                self.act(Action::EndAnswer { call: attempt.call.0 as u8, kind: 0 })?;
             }
             let next = self.gate.next_wake().map_or(self.now + 1, |wake| wake.0.div_ceil(1_000));
             self.now = self.now.max(next);
             self.act(Action::Wait { milliseconds: 0 })?;
         }
-        let open = self.arrived.keys().find(|id| !self.dispatched.contains(id) && !self.refused.contains(id));
-        open.map_or(Ok(()), |attempt| Err(format!("never answered: {attempt}")))
+        let unanswered = self.arrived.keys().find(|id| !self.dispatched.contains(id) && !self.refused.contains(id));
+        unanswered.map_or(Ok(()), |attempt| Err(format!("never answered: {attempt}")))
     }
 }
 
@@ -233,8 +234,8 @@
     };
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let result = runner.run(&prop::collection::vec(action(), 1..160), |actions| {
-        let mut witness = Witness::new(mechanisms);
-        let outcome = actions.iter().try_for_each(|action| witness.act(*action)).and_then(|()| witness.end());
+        let mut checker = InvariantChecker::new(mechanisms);
+        let outcome = actions.iter().try_for_each(|action| checker.act(*action)).and_then(|()| checker.end());
         outcome.map_err(TestCaseError::fail)
     });
     result.map_err(|failure| failure.to_string())
@@ -245,15 +246,15 @@
 }
 
 #[test]
-fn every_promise_holds_under_random_inputs() {
+fn every_invariant_holds_under_random_inputs() {
     assert_eq!(check(fixed(), 400), Ok(()));
 }
 
-/// The same check finds what each mechanism prevents.
+/// With a mechanism disabled, the checker reports the failure that this mechanism prevents.
 #[test_case(GateMechanisms { priority_queue: false, ..fixed() }, "while less important work waits"; "priorities")]
-#[test_case(GateMechanisms { claims: false, ..fixed() }, "dispatched against the rules"; "claims")]
-#[test_case(GateMechanisms { concurrency_limit: false, ..fixed() }, "a bound is broken"; "limit")]
-fn the_check_catches_a_missing_mechanism(mechanisms: GateMechanisms, expected: &str) {
+#[test_case(GateMechanisms { claims: false, ..fixed() }, "invalid dispatch"; "claims")]
+#[test_case(GateMechanisms { concurrency_limit: false, ..fixed() }, "a bound is exceeded"; "limit")]
+fn the_checker_detects_a_disabled_mechanism(mechanisms: GateMechanisms, expected: &str) {
     let failure = check(mechanisms, 400).expect_err("a mechanism is off");
     assert!(failure.contains(expected), "{failure}");
 }
--- a/crates/calls/src/gate/tests/lanes.rs
+++ b/crates/calls/src/gate/tests/lanes.rs
@@ -1,4 +1,4 @@
-//! Short calls and large answers at one back end: who gives way to whom.
+//! Tests of the priority between short calls and large answers at one back end.
 
 use quillhatch_types::AttemptId;
 use test_case::test_case;
@@ -6,7 +6,7 @@
 use super::support::{arrive, configuration, context, gate_with, id, settings, step, warm, SLOTS};
 use crate::gate::{AnswerEnd, Gate, GateInput, GateMechanisms, GateOutput, GateSettings};
 
-/// A gate whose limit stays at [`SLOTS`], of which half may go to large answers, and without claims.
+/// A gate without claims and with a fixed limit of [`SLOTS`], half of which large answers may take.
 fn gate(maximum_waiting: usize) -> Gate {
     let mechanisms = GateMechanisms { adaptive_limit: false, claims: false, protected_reserve: false, ..warm() };
     gate_with(GateSettings { maximum_waiting, ..settings(mechanisms) }, configuration(true))
@@ -38,11 +38,11 @@
     refused.collect()
 }
 
-/// Slots that no download uses are not kept empty: a service with a download class has all of them for short calls.
+/// Short calls may use every slot that no large answer uses, even if the service has a class with large answers.
 #[test_case(0 => SLOTS; "no download")]
 #[test_case(2 => SLOTS - 2; "some")]
-#[test_case(SLOTS => SLOTS / 2; "as many as there may be")]
-fn short_calls_use_what_large_answers_leave(downloads: u32) -> u32 {
+#[test_case(SLOTS => SLOTS / 2; "as many as allowed")]
+fn short_calls_use_the_slots_that_large_answers_leave(downloads: u32) -> u32 {
     let mut gate = gate(64);
     fill(&mut gate, 100, downloads, "fetch");
     (1..=2 * u128::from(SLOTS))
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn a_large_answer_begins_only_when_no_more_important_short_call_waits() {
+fn a_large_answer_starts_only_if_no_more_important_short_call_waits() {
     let mut gate = gate(64);
     fill(&mut gate, 100, 1, "fetch");
     fill(&mut gate, 1, SLOTS - 1, "look");
     arrive(&mut gate, 1, context(200, "fetch", 0));
     arrive(&mut gate, 2, context(50, "charge", 9));
-    assert_eq!(dispatched(&step(&mut gate, 3, ended(1))), [id(50)], "though the download came first");
+    assert_eq!(dispatched(&step(&mut gate, 3, ended(1))), [id(50)], "although the large answer arrived first");
     assert_eq!(dispatched(&step(&mut gate, 4, ended(2))), [id(200)]);
 }
 
-/// One waiting place for short calls is taken by a protected one; the next protected call must not push that out, nor be
-/// refused itself, while a download waits.
+/// The only place in the queue of short calls is taken by a protected call. While a large answer waits, the next
+/// protected call must evict the large answer, instead of evicting the waiting protected call or being refused itself.
 #[test]
 fn no_protected_call_is_refused_while_a_large_answer_waits() {
     let mut gate = gate(1);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_protected_call_outlasts_a_waiting_large_answer() {
+fn a_protected_call_at_its_queue_timeout_evicts_a_waiting_large_answer() {
     let mut gate = gate(64);
     fill(&mut gate, 100, 1, "fetch");
     fill(&mut gate, 1, SLOTS - 1, "charge");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_started_download_is_not_stopped_for_a_protected_call() {
+fn a_started_large_answer_is_not_stopped_for_a_protected_call() {
     let mut gate = gate(1);
     fill(&mut gate, 100, SLOTS, "fetch");
     fill(&mut gate, 1, SLOTS, "charge");
--- a/crates/calls/src/gate/tests/support.rs
+++ b/crates/calls/src/gate/tests/support.rs
@@ -1,4 +1,4 @@
-//! Builders for the tests of the gate.
+//! Builders shared by the tests of the gate.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -33,7 +33,8 @@
     }
 }
 
-/// A service with the classes `charge` (protected, not repeatable), `look` (interactive), `scan` (bulk) and `fetch` (large).
+/// A service with the classes `charge` (protected, non-repeatable), `look` (interactive), `scan` (bulk) and, if
+/// `with_downloads` is set, `fetch` (bulk with large answers).
 pub fn configuration(with_downloads: bool) -> Configuration {
     let service = ServiceName::new("store").expect("a valid name");
     let site = SiteName::new("one").expect("a valid name");
@@ -75,7 +76,7 @@
     GateSettings { mechanisms, ..GateSettings::new(service, node()) }
 }
 
-/// Without the ramp, which most tests are not about.
+/// All mechanisms except the cold-start ramp, which most tests do not cover.
 pub fn warm() -> GateMechanisms {
     GateMechanisms { cold_start: false, ..GateMechanisms::default() }
 }
@@ -90,7 +91,7 @@
     gate_with(settings(mechanisms), configuration(true))
 }
 
-/// A gate for a service without downloads whose limit stays at [`SLOTS`].
+/// A gate with a fixed limit of [`SLOTS`], for a service without large answers.
 pub fn fixed_gate(mechanisms: GateMechanisms) -> Gate {
     let mechanisms = GateMechanisms { adaptive_limit: false, ..mechanisms };
     gate_with(settings(mechanisms), configuration(false))
