--- a/crates/sidecar/src/feed/answer.rs
+++ b/crates/sidecar/src/feed/serve.rs
@@ -32,20 +32,20 @@
 }
 
 /// Answers a query as soon as there are changes, or after its hold time.
-pub async fn answer(node: &Rc<Node>, body: Option<Incoming>) -> Response<Body> {
+pub async fn serve_query(node: &Rc<Node>, body: Option<Incoming>) -> Response<Body> {
     let arrived = node.now();
     let Some(query) = read_query(body).await else { return empty_response(StatusCode::BAD_REQUEST) };
     let from = query.position.as_ref().map(decode_position).unwrap_or_default();
     let hold = Duration::from_millis(u64::from(query.hold_ms)).min(long_poll_timeout(false, &node.settings.bounds));
     if node.position().is_known() && !node.is_stopping() {
-        // If the hold time ends first there are no changes, and the answer says so.
+        // If the hold time ends first there are no changes, and the response says so.
         let _ = timeout(hold, advance_beyond(node, from)).await;
     }
     if !node.position().is_known() || node.is_stopping() {
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let retained = if query.wants_kept { unregistered(node) } else { Vec::new() };
-    Response::new(Body::Buffered(encode_answer(node, from, arrived, retained)))
+    Response::new(Body::Buffered(encode_response(node, from, arrived, retained)))
 }
 
 async fn read_query(body: Option<Incoming>) -> Option<wire::ReplicaQuestion> {
@@ -59,8 +59,8 @@
     response
 }
 
-/// Waits until this node's replica is beyond `from`, or the node is known to have no path to the store. A query that
-/// arrived before the loss is held while the node searches another path, since it mostly finds one at once.
+/// Waits until this node's replica is beyond `from`, or the node is known to have no access to the store. A query that
+/// arrived before the loss is held while the node searches for another source, since it mostly finds one immediately.
 async fn advance_beyond(node: &Node, from: Position) {
     if node.feed.store_loss.get().since().is_some() {
         return;
@@ -74,12 +74,12 @@
     }
 }
 
-fn encode_answer(node: &Node, from: Position, arrived: Timestamp, retained: Vec<wire::KeptTarget>) -> Bytes {
+fn encode_response(node: &Node, from: Position, arrived: Timestamp, retained: Vec<wire::KeptTarget>) -> Bytes {
     let now = node.now();
     let lost_ms = node.feed.store_loss.get().since().map_or(0, |since| now.since(since).as_millis().max(1) as u64);
     let read_at = node.feed.store_read_at.get().unwrap_or_default();
     let proof = node.tenancy.replica_proof(&node.configuration.borrow(), arrived);
-    let answer = wire::ReplicaAnswer {
+    let response = wire::ReplicaAnswer {
         update: encoded_update(node, from),
         lost_ms,
         read_ms: age_at(arrived, read_at),
@@ -87,7 +87,7 @@
         proof: proof
             .map(|proof| wire::ReplicaProof { version: proof.version, age_at_arrival_ms: proof.age_at_arrival_ms }),
     };
-    encode(&answer).into()
+    encode(&response).into()
 }
 
 /// The targets that run without a registration: those that the list retains, and the local target if this node is
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -1,4 +1,4 @@
-//! The gate: accepts calls of other nodes for this node's target, and admits as many as the target has slots for.
+//! The gate: accepts calls of other nodes for the local target, and admits as many as the target has slots for.
 
 mod retained_target;
 mod slots;
@@ -24,7 +24,7 @@
 
 use crate::body::{read_up_to, Body};
 use crate::feed::{self, FEED_PATH};
-use crate::headers::{header_text, remove_connection_headers};
+use crate::headers::{header_text, remove_hop_by_hop_headers};
 use crate::hop::{GateOutcome, HopContext, HopReport, HOP_HEADER};
 use crate::liveness::LIVENESS_PATH;
 use crate::local_target;
@@ -57,7 +57,7 @@
 /// Serves one request that arrived at the inbound address.
 pub async fn serve(node: Rc<Node>, parts: Parts, body: Option<Incoming>) -> Response<Body> {
     if parts.uri.path() == FEED_PATH && !parts.headers.contains_key(HOP_HEADER) {
-        return feed::answer(&node, body).await;
+        return feed::serve_query(&node, body).await;
     }
     if parts.uri.path() == LIVENESS_PATH && !parts.headers.contains_key(HOP_HEADER) {
         return Response::new(Body::empty());
@@ -170,7 +170,7 @@
     }
 }
 
-/// Why the gate has no response of the target.
+/// Why the gate has no response from the target.
 struct Failure {
     outcome: GateOutcome,
     why: String,
@@ -233,7 +233,7 @@
     if remaining < MIN_FORWARD_TIME {
         return Err(Failure::new(GateOutcome::Full, "too little time until the deadline"));
     }
-    remove_connection_headers(&mut parts.headers);
+    remove_hop_by_hop_headers(&mut parts.headers);
     parts.headers.remove(HOP_HEADER);
     if let Ok(value) = HeaderValue::from_str(&remaining.as_millis().to_string()) {
         parts.headers.insert(headers::DEADLINE_MS, value);
@@ -260,7 +260,7 @@
             slot.connection_lost();
             return Err(Failure::new(GateOutcome::NoResponse, format!("{why}, signature {}", signature.narrow)));
         }
-        Ok(Ok(answered)) => answered,
+        Ok(Ok(exchanged)) => exchanged,
     };
     let is_of_this_call = response.headers().get(headers::REQUEST_ID) == call.id.as_ref();
     if !is_of_this_call {
@@ -275,8 +275,8 @@
         let _ = relay_response(response, lease).await;
         return Err(Failure::new(GateOutcome::Rejected, format!("target refused the call with status {status}")));
     }
-    let is_signed = response.headers().contains_key(headers::SERVER_STAMP);
-    if response.status().is_success() && (!is_signed || response.headers().contains_key(CONTENT_ENCODING)) {
+    let has_stamp = response.headers().contains_key(headers::SERVER_STAMP);
+    if response.status().is_success() && (!has_stamp || response.headers().contains_key(CONTENT_ENCODING)) {
         return Err(Failure::new(GateOutcome::NoResponse, "response is encoded or has no server stamp"));
     }
     let relayed = node
