--- a/crates/calls/benches/edge.rs
+++ b/crates/calls/benches/edge.rs
@@ -116,7 +116,7 @@
         class: class.clone(),
         digest: key.as_ref().map(|_| Digest(1)),
         key,
-        drawn_key: RequestKey::new("drawn").expect("valid key"),
+        generated_key: RequestKey::new("drawn").expect("valid key"),
         remaining: None,
         parent: None,
         replayable_body: true,
--- a/crates/calls/src/edge/arrival.rs
+++ b/crates/calls/src/edge/arrival.rs
@@ -43,7 +43,7 @@
         let hash = KeyHash::new(&arrival.caller, &arrival.service, key);
         let earlier = self.callers.note_key(hash, now);
         if earlier.repeated {
-            self.statistics.repeated_keys += 1;
+            self.statistics.reused_keys += 1;
         }
         Some((hash, earlier))
     }
@@ -88,7 +88,7 @@
             None => class.retry_budget,
         };
         let bounded = self.settings.mechanisms.retry_budget;
-        let budget = RetryBudget::new(tokens, self.settings.retry.kept_tokens_percent, bounded);
+        let budget = RetryBudget::new(tokens, self.settings.retry.retained_tokens_percent, bounded);
         Call::new(arrival, class, deadline, budget)
     }
 }
--- a/crates/calls/src/edge/balance.rs
+++ b/crates/calls/src/edge/balance.rs
@@ -22,23 +22,23 @@
     /// The span over which a faster answer replaces a slower one in the latency.
     pub latency_window: Duration,
     /// The span after which the latency of a target that is not used has halved, so that it is tried again.
-    pub latency_memory: Duration,
+    pub latency_decay: Duration,
     /// How long a gate's count of its calls is believed.
     pub feedback_lifetime: Duration,
     /// The utilization at which calls spill over to other zones; one is full.
-    pub spill_over: f64,
+    pub spill_over_utilization: f64,
     /// How long a target that said it is draining, stopping or not ready is left out.
-    pub closed_time: Duration,
+    pub unavailable_time: Duration,
 }
 
 impl Default for BalanceSettings {
     fn default() -> Self {
         BalanceSettings {
             latency_window: Duration::from_millis(500),
-            latency_memory: Duration::from_secs(5),
+            latency_decay: Duration::from_secs(5),
             feedback_lifetime: Duration::from_secs(2),
-            spill_over: 0.8,
-            closed_time: Duration::from_secs(1),
+            spill_over_utilization: 0.8,
+            unavailable_time: Duration::from_secs(1),
         }
     }
 }
@@ -133,8 +133,9 @@
         if self.mechanisms.zone_preference {
             let near: Vec<usize> = free.iter().copied().filter(|index| targets[*index].zone == *self.zone).collect();
             let nearest = self.better_of_two(targets, &near, random);
-            let has_room =
-                |index: &usize| targets[*index].utilization(self.now, self.balance) < self.balance.spill_over;
+            let has_room = |index: &usize| {
+                targets[*index].utilization(self.now, self.balance) < self.balance.spill_over_utilization
+            };
             if let Some(index) = nearest.filter(has_room) {
                 return Some(index);
             }
--- a/crates/calls/src/edge/call.rs
+++ b/crates/calls/src/edge/call.rs
@@ -142,7 +142,7 @@
 
     /// The key under which it runs at most once.
     pub(crate) fn run_key(&self) -> &RequestKey {
-        self.arrival.key.as_ref().unwrap_or(&self.arrival.drawn_key)
+        self.arrival.key.as_ref().unwrap_or(&self.arrival.generated_key)
     }
 
     /// Remembers what an attempt proved; of two results the one that says more about a run counts.
--- a/crates/calls/src/edge/caller.rs
+++ b/crates/calls/src/edge/caller.rs
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
     /// How long a key is remembered at least, unless too many keys are in use.
-    pub repeat_window: Duration,
+    pub retry_window: Duration,
     /// Repeats of keys that one caller may send per second.
-    pub repeats_per_second: u32,
+    pub retries_per_second: u32,
     /// Repeats that one caller may send at once.
-    pub repeat_burst: u32,
+    pub retry_burst: u32,
     /// Calls that one caller may send per second.
     pub calls_per_second: u32,
     /// Calls that one caller may send at once.
@@ -34,9 +34,9 @@
 impl Default for CallerSettings {
     fn default() -> Self {
         CallerSettings {
-            repeat_window: Duration::from_secs(10),
-            repeats_per_second: 1,
-            repeat_burst: 5,
+            retry_window: Duration::from_secs(10),
+            retries_per_second: 1,
+            retry_burst: 5,
             calls_per_second: 5_000,
             call_burst: 5_000,
             maximum_callers: 16_384,
@@ -162,8 +162,8 @@
 impl CallerLimits {
     pub(crate) fn new(settings: CallerSettings) -> Self {
         CallerLimits {
-            callers: GenerationMap::new(settings.repeat_window, settings.maximum_callers),
-            keys: GenerationMap::new(settings.repeat_window, settings.maximum_keys),
+            callers: GenerationMap::new(settings.retry_window, settings.maximum_callers),
+            keys: GenerationMap::new(settings.retry_window, settings.maximum_keys),
             settings,
         }
     }
@@ -196,7 +196,7 @@
         if self.callers.refresh(caller.clone(), now).is_none() {
             let buckets = CallerBuckets {
                 calls: TokenBucket::full(settings.call_burst, now),
-                repeats: TokenBucket::full(settings.repeat_burst, now),
+                repeats: TokenBucket::full(settings.retry_burst, now),
             };
             self.callers.current.insert(caller.clone(), buckets);
         }
@@ -204,7 +204,7 @@
             return Ok(());
         };
         if repeated {
-            buckets.repeats.take(settings.repeats_per_second, settings.repeat_burst, now)?;
+            buckets.repeats.take(settings.retries_per_second, settings.retry_burst, now)?;
         }
         buckets.calls.take(settings.calls_per_second, settings.call_burst, now)
     }
--- a/crates/calls/src/edge/dispatch.rs
+++ b/crates/calls/src/edge/dispatch.rs
@@ -167,7 +167,7 @@
     ) {
         if call.attempts == 0 {
             self.earn_retry(&call);
-            self.statistics.first_tries += 1;
+            self.statistics.first_attempts += 1;
         } else {
             self.statistics.retries += 1;
         }
--- a/crates/calls/src/edge/io.rs
+++ b/crates/calls/src/edge/io.rs
@@ -24,7 +24,7 @@
     /// The caller's idempotency key, if it gave one.
     pub key: Option<RequestKey>,
     /// A key drawn at random by the driver, used when the class is not repeatable and the caller gave no key.
-    pub drawn_key: RequestKey,
+    pub generated_key: RequestKey,
     /// A hash of the request, present when `key` is.
     pub digest: Option<Digest>,
     /// The time the caller still waits, if it said so.
--- a/crates/calls/src/edge/result.rs
+++ b/crates/calls/src/edge/result.rs
@@ -184,7 +184,7 @@
             _ => {}
         }
         if is_closing(result) {
-            target.closed_until = now + settings.balance.closed_time;
+            target.closed_until = now + settings.balance.unavailable_time;
         }
         if is_failure(result) {
             self.count_failure(now, call, attempt);
--- a/crates/calls/src/edge/settings.rs
+++ b/crates/calls/src/edge/settings.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySettings {
     /// The share of its tokens that a call keeps for its own retries when an attempt is sent, in percent, at least one.
-    pub kept_tokens_percent: u8,
+    pub retained_tokens_percent: u8,
     /// Retries that the ratio limit of a class saves up at most.
     pub ratio_burst: u32,
     /// Times that a broken download may be resumed.
@@ -48,7 +48,7 @@
 
 impl Default for RetrySettings {
     fn default() -> Self {
-        RetrySettings { kept_tokens_percent: 25, ratio_burst: 50, maximum_resumes: 3 }
+        RetrySettings { retained_tokens_percent: 25, ratio_burst: 50, maximum_resumes: 3 }
     }
 }
 
--- a/crates/calls/src/edge/state.rs
+++ b/crates/calls/src/edge/state.rs
@@ -104,7 +104,7 @@
     }
 
     /// Callers and keys that are remembered for the limits per caller.
-    pub fn remembered_callers_and_keys(&self) -> (usize, usize) {
+    pub fn tracked_callers_and_keys(&self) -> (usize, usize) {
         self.callers.remembered()
     }
 
--- a/crates/calls/src/edge/statistics.rs
+++ b/crates/calls/src/edge/statistics.rs
@@ -13,9 +13,9 @@
     /// Calls of the node's own back end that came without the context of a call in progress.
     pub without_context: u64,
     /// Calls recognised as a caller's own repeat of a key.
-    pub repeated_keys: u64,
+    pub reused_keys: u64,
     /// First attempts sent.
-    pub first_tries: u64,
+    pub first_attempts: u64,
     /// Retries sent, redirects to another owner included.
     pub retries: u64,
     /// Resumed downloads sent.
--- a/crates/calls/src/edge/target.rs
+++ b/crates/calls/src/edge/target.rs
@@ -150,7 +150,7 @@
     /// What another call would have to bear here: the lower the better.
     pub(crate) fn cost(&self, now: Timestamp, settings: &BalanceSettings) -> f64 {
         let idle = now.since(self.sampled_at).as_micros() as f64;
-        let memory = settings.latency_memory.as_micros().max(1) as f64;
+        let memory = settings.latency_decay.as_micros().max(1) as f64;
         let latency = self.latency_microseconds * memory / (memory + idle);
         let queue = f64::from(self.in_flight) + 1.0;
         latency.max(LATENCY_FLOOR_MICROSECONDS) * queue * (1.0 + self.utilization(now, settings))
--- a/crates/calls/src/edge/tests/harness.rs
+++ b/crates/calls/src/edge/tests/harness.rs
@@ -121,7 +121,7 @@
         service: name("giving"),
         class: name(title),
         key: None,
-        drawn_key: RequestKey::new(&format!("drawn-{call}")).expect("a valid key"),
+        generated_key: RequestKey::new(&format!("drawn-{call}")).expect("a valid key"),
         digest: None,
         remaining: None,
         parent: None,
--- a/crates/calls/src/edge/tests/limits.rs
+++ b/crates/calls/src/edge/tests/limits.rs
@@ -238,7 +238,7 @@
         harness.arrive(1, CallArrival { caller, ..keyed(call, "lookup", &format!("key-{call}")) });
     }
     assert_eq!(harness.edge.calls_in_progress(), 50);
-    let (callers, keys) = harness.edge.remembered_callers_and_keys();
+    let (callers, keys) = harness.edge.tracked_callers_and_keys();
     assert!(callers <= 100 && keys <= 100, "{callers} callers, {keys} keys");
 }
 
--- a/crates/calls/src/edge/tests/tree.rs
+++ b/crates/calls/src/edge/tests/tree.rs
@@ -234,7 +234,7 @@
         }
     }
 
-    fn first_tries(&self) -> usize {
+    fn first_attempts(&self) -> usize {
         self.calls
     }
 }
@@ -265,8 +265,8 @@
         let budget = usize::from(shape.budget);
         let leaves = usize::from(shape.fan_out).pow(u32::from(shape.depth));
         let tree = Tree::run(shape);
-        prop_assert!(tree.attempts <= tree.first_tries() + budget,
-            "{} attempts, {} first tries, budget {budget}", tree.attempts, tree.first_tries());
+        prop_assert!(tree.attempts <= tree.first_attempts() + budget,
+            "{} attempts, {} first tries, budget {budget}", tree.attempts, tree.first_attempts());
         // The stricter reading: each token repeats one subtree at most, so no leaf work multiplies with the depth.
         prop_assert!(tree.leaf_runs <= leaves * (1 + budget), "{} runs of {leaves} leaves", tree.leaf_runs);
         prop_assert_eq!(tree.finished.len(), tree.calls);
@@ -279,7 +279,7 @@
 fn without_the_budget_attempts_multiply() {
     let shape = Shape { depth: 8, fan_out: 1, budget: 3, failure: 0.3, bounded: false, seed: 5 };
     let bounded = Tree::run(Shape { bounded: true, ..shape.clone() });
-    assert!(bounded.attempts <= bounded.first_tries() + 3);
+    assert!(bounded.attempts <= bounded.first_attempts() + 3);
     let unbounded = Tree::run(shape);
-    assert!(unbounded.attempts > unbounded.first_tries() + 3, "{} attempts", unbounded.attempts);
+    assert!(unbounded.attempts > unbounded.first_attempts() + 3, "{} attempts", unbounded.attempts);
 }
--- a/crates/model/src/retry_tokens/tests.rs
+++ b/crates/model/src/retry_tokens/tests.rs
@@ -172,7 +172,7 @@
     let off = ["backoff", "retry_ratio", "ejection", "admission_levels", "deadline_check"];
     let mut mechanisms = EdgeMechanisms::default();
     off.iter().for_each(|name| mechanisms.disable(name).expect("a mechanism of the edge"));
-    let retry = RetrySettings { kept_tokens_percent: kept_percent, ..RetrySettings::default() };
+    let retry = RetrySettings { retained_tokens_percent: kept_percent, ..RetrySettings::default() };
     let configuration = configuration();
     let target = &configuration.services[&service()].targets[0];
     let settings = EdgeSettings { mechanisms, retry, ..EdgeSettings::new(target.site.clone(), target.zone.clone()) };
@@ -218,7 +218,7 @@
         service: service(),
         class: class(),
         key: None,
-        drawn_key: RequestKey::new("drawn").expect("a valid key"),
+        generated_key: RequestKey::new("drawn").expect("a valid key"),
         digest: None,
         remaining: None,
         parent: Some(parent),
--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -285,8 +285,8 @@
         self.numbers += 1;
         let call = CallId(u128::from(self.numbers));
         let key = key.map(|key| RequestKey::new(key).unwrap());
-        let drawn_key = RequestKey::new(&format!("drawn-{}", self.numbers)).unwrap();
-        let used = key.clone().unwrap_or_else(|| drawn_key.clone());
+        let generated_key = RequestKey::new(&format!("drawn-{}", self.numbers)).unwrap();
+        let used = key.clone().unwrap_or_else(|| generated_key.clone());
         for attempt in 0..16 {
             self.keys.insert(AttemptId { call, attempt }, used.clone());
         }
@@ -298,7 +298,7 @@
             class: ClassName::new(class).unwrap(),
             digest: key.as_ref().map(|key| digest(key.as_str().as_bytes())),
             key,
-            drawn_key,
+            generated_key,
             remaining: None,
             parent: None,
             outgoing: false,
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -88,7 +88,7 @@
         service: request.service.clone(),
         class: request.class.clone(),
         key: request.key.clone(),
-        drawn_key: random_key(),
+        generated_key: random_key(),
         digest,
         remaining: request.remaining,
         outgoing: edge.outgoing_only || request.context != ContextHeader::Absent,
--- a/crates/simulation/src/policy/direct.rs
+++ b/crates/simulation/src/policy/direct.rs
@@ -105,7 +105,7 @@
             (false, true) => SHORT_TIMEOUT,
             (false, false) => CAREFUL_TIMEOUT,
         };
-        let key = arrival.key.clone().or_else(|| (!class.repeatable).then(|| arrival.drawn_key.clone()));
+        let key = arrival.key.clone().or_else(|| (!class.repeatable).then(|| arrival.generated_key.clone()));
         Some(CallContext {
             call: arrival.call,
             root: arrival.root,
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -295,7 +295,7 @@
             class: ClassName::new(class.name).ok()?,
             digest: call.key.as_ref().map(|_| digest(&call.tag.0.to_le_bytes())),
             key: call.key.clone(),
-            drawn_key: RequestKey::new(&format!("{drawn:032x}")).ok()?,
+            generated_key: RequestKey::new(&format!("{drawn:032x}")).ok()?,
             remaining,
             parent,
             replayable_body: true,
