--- a/crates/calls/src/edge/arrival.rs
+++ b/crates/calls/src/edge/arrival.rs
@@ -5,7 +5,7 @@
 
 use super::budget::RetryBudget;
 use super::call::Call;
-use super::caller::{EarlierUse, KeyHash};
+use super::caller::{KeyHash, KeyHistory};
 use super::deadline::Deadline;
 use super::io::{CallArrival, EdgeOutput};
 use super::state::Edge;
@@ -21,7 +21,7 @@
         if arrival.outgoing && arrival.parent.is_none() {
             self.statistics.without_context += 1;
         }
-        let key = self.note_key(now, &arrival);
+        let key = self.record_key(now, &arrival);
         let repeated = key.is_some_and(|(_, earlier)| earlier.repeated);
         match self.check(now, &arrival, repeated) {
             Ok(class) => {
@@ -35,13 +35,13 @@
     }
 
     /// Remembers the key of a root call. Child calls are bounded by the budget of their tree.
-    fn note_key(&mut self, now: Timestamp, arrival: &CallArrival) -> Option<(KeyHash, EarlierUse)> {
+    fn record_key(&mut self, now: Timestamp, arrival: &CallArrival) -> Option<(KeyHash, KeyHistory)> {
         if arrival.parent.is_some() {
             return None;
         }
         let key = arrival.key.as_ref()?;
         let hash = KeyHash::new(&arrival.caller, &arrival.service, key);
-        let earlier = self.callers.note_key(hash, now);
+        let earlier = self.callers.record_key(hash, now);
         if earlier.repeated {
             self.statistics.reused_keys += 1;
         }
--- a/crates/calls/src/edge/backoff.rs
+++ b/crates/calls/src/edge/backoff.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 /// Doublings after which the delay no longer grows, whatever the maximum.
-const MAXIMUM_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 /// Settings of the delay before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 impl BackoffSettings {
     /// Draws the delay before retry number `retry`, counted from zero; at most `spare`, the time that can be given away.
     pub(crate) fn delay(&self, retry: u32, spare: Duration, random: &mut impl Rng) -> Duration {
-        let factor = 1_u32 << retry.min(MAXIMUM_DOUBLINGS);
+        let factor = 1_u32 << retry.min(MAX_DOUBLINGS);
         let ceiling = self.base.saturating_mul(factor).min(self.maximum).min(spare);
         let microseconds = u64::try_from(ceiling.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(random.gen_range(0..=microseconds))
--- a/crates/calls/src/edge/balance.rs
+++ b/crates/calls/src/edge/balance.rs
@@ -14,7 +14,7 @@
 use super::target::Target;
 
 /// Targets looked at for one call; of larger services this many are drawn at random.
-const MAXIMUM_CANDIDATES: usize = 16;
+const MAX_CANDIDATES: usize = 16;
 
 /// Settings of the choice among targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,11 +53,11 @@
     /// Every target that admits the call has as many attempts in flight as connections.
     Full,
     /// There is no target that takes calls.
-    Nothing,
+    NoTarget,
 }
 
 /// All that the choice for one call depends on.
-pub(crate) struct Choosing<'a> {
+pub(crate) struct TargetSelector<'a> {
     pub(crate) now: Timestamp,
     pub(crate) rank: AdmissionRank,
     pub(crate) tried: &'a [NodeAddress],
@@ -68,7 +68,7 @@
     pub(crate) mechanisms: &'a EdgeMechanisms,
 }
 
-impl Choosing<'_> {
+impl TargetSelector<'_> {
     /// Chooses among the `members` of `targets`; `last_resort` allows targets that are suspected, ejected or closed.
     pub(crate) fn choose(
         &self,
@@ -79,12 +79,12 @@
     ) -> Choice {
         let candidates = self.candidates(targets, members, last_resort, random);
         if candidates.is_empty() {
-            return Choice::Nothing;
+            return Choice::NoTarget;
         }
         let admitting: Vec<usize> =
             candidates.iter().copied().filter(|index| self.is_admitted(&targets[*index])).collect();
         let probe = admitting.is_empty();
-        if probe && !draw(self.probe_share, random) {
+        if probe && !with_probability(self.probe_share, random) {
             return Choice::Closed;
         }
         let open = if probe { candidates } else { admitting };
@@ -102,15 +102,15 @@
 
     /// Whether the target may have another attempt in flight.
     pub(crate) fn is_free(&self, target: &Target) -> bool {
-        !self.mechanisms.connection_limit || target.has_connection()
+        !self.mechanisms.connection_limit || target.has_free_connection()
     }
 
     /// The targets to choose from: those not tried yet, unless there are no others.
     fn candidates(&self, targets: &[Target], members: &[usize], last_resort: bool, random: &mut Pcg64) -> Vec<usize> {
-        let mut candidates = sample(members, random);
+        let mut candidates = sample_members(members, random);
         candidates.retain(|index| self.is_candidate(&targets[*index], last_resort));
-        if candidates.iter().any(|index| !self.was_tried(&targets[*index])) {
-            candidates.retain(|index| !self.was_tried(&targets[*index]));
+        if candidates.iter().any(|index| !self.is_tried(&targets[*index])) {
+            candidates.retain(|index| !self.is_tried(&targets[*index]));
         }
         candidates
     }
@@ -119,10 +119,10 @@
         if last_resort {
             return target.is_serving();
         }
-        target.is_preferred(self.now, self.mechanisms.ejection)
+        target.is_healthy(self.now, self.mechanisms.ejection)
     }
 
-    fn was_tried(&self, target: &Target) -> bool {
+    fn is_tried(&self, target: &Target) -> bool {
         self.tried.contains(&target.node.address)
     }
 
@@ -131,12 +131,12 @@
             return (!free.is_empty()).then(|| free[random.gen_range(0..free.len())]);
         }
         if self.mechanisms.zone_preference {
-            let near: Vec<usize> = free.iter().copied().filter(|index| targets[*index].zone == *self.zone).collect();
-            let nearest = self.better_of_two(targets, &near, random);
-            let has_room = |index: &usize| {
+            let local: Vec<usize> = free.iter().copied().filter(|index| targets[*index].zone == *self.zone).collect();
+            let best_local = self.better_of_two(targets, &local, random);
+            let has_capacity = |index: &usize| {
                 targets[*index].utilization(self.now, self.balance) < self.balance.spill_over_utilization
             };
-            if let Some(index) = nearest.filter(has_room) {
+            if let Some(index) = best_local.filter(has_capacity) {
                 return Some(index);
             }
         }
@@ -158,17 +158,14 @@
     }
 }
 
-/// Whether a draw with the given probability comes out; no value of `share` is out of range.
-pub(crate) fn draw(share: f64, random: &mut Pcg64) -> bool {
+/// Whether a with_probability with the given probability comes out; no value of `share` is out of range.
+pub(crate) fn with_probability(share: f64, random: &mut Pcg64) -> bool {
     random.gen::<f64>() < share
 }
 
-fn sample(members: &[usize], random: &mut Pcg64) -> Vec<usize> {
-    if members.len() <= MAXIMUM_CANDIDATES {
+fn sample_members(members: &[usize], random: &mut Pcg64) -> Vec<usize> {
+    if members.len() <= MAX_CANDIDATES {
         return members.to_vec();
     }
-    rand::seq::index::sample(random, members.len(), MAXIMUM_CANDIDATES)
-        .into_iter()
-        .map(|place| members[place])
-        .collect()
+    rand::seq::index::sample(random, members.len(), MAX_CANDIDATES).into_iter().map(|place| members[place]).collect()
 }
--- a/crates/calls/src/edge/budget.rs
+++ b/crates/calls/src/edge/budget.rs
@@ -10,23 +10,23 @@
 /// The tokens of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RetryBudget {
-    kept: u16,
+    retained: u16,
     lent: u16,
-    kept_percent: u8,
+    retained_percent: u8,
     bounded: bool,
 }
 
 impl RetryBudget {
-    /// A budget of `tokens`, of which each attempt leaves `kept_percent`, and at least one token, with the call.
+    /// A budget of `tokens`, of which each attempt leaves `retained_percent`, and at least one token, with the call.
     ///
     /// An unbounded budget allows every retry; it exists so that the simulation can show what the bound is for.
-    pub(crate) fn new(tokens: u16, kept_percent: u8, bounded: bool) -> Self {
-        RetryBudget { kept: tokens, lent: 0, kept_percent: kept_percent.min(100), bounded }
+    pub(crate) fn new(tokens: u16, retained_percent: u8, bounded: bool) -> Self {
+        RetryBudget { retained: tokens, lent: 0, retained_percent: retained_percent.min(100), bounded }
     }
 
     /// Whether a retry could be paid for now.
     pub(crate) fn allows_retry(&self) -> bool {
-        !self.bounded || self.kept > 0
+        !self.bounded || self.retained > 0
     }
 
     /// Pays for one retry; returns whether it could be paid.
@@ -35,7 +35,7 @@
             return false;
         }
         if self.bounded {
-            self.kept -= 1;
+            self.retained -= 1;
         }
         true
     }
@@ -43,40 +43,40 @@
     /// Takes back a payment for a retry that was not sent.
     pub(crate) fn refund(&mut self) {
         if self.bounded {
-            self.kept = self.kept.saturating_add(1);
+            self.retained = self.retained.saturating_add(1);
         }
     }
 
     /// Splits off the share that the next attempt takes along.
     pub(crate) fn lend(&mut self) -> u16 {
-        let share = (u32::from(self.kept) * u32::from(self.kept_percent)).div_ceil(PERCENT) as u16;
-        let stays = share.max(1).min(self.kept);
-        let lent = self.kept - stays;
+        let share = (u32::from(self.retained) * u32::from(self.retained_percent)).div_ceil(PERCENT) as u16;
+        let retained = share.max(1).min(self.retained);
+        let lent = self.retained - retained;
         if self.bounded {
-            self.kept = stays;
+            self.retained = retained;
             self.lent = lent;
         }
         lent
     }
 
     /// The attempt's answer brought `tokens` back; more than was lent is not believed.
-    pub(crate) fn bring_back(&mut self, tokens: u16) {
-        self.kept += tokens.min(self.lent);
+    pub(crate) fn return_tokens(&mut self, tokens: u16) {
+        self.retained += tokens.min(self.lent);
         self.lent = 0;
     }
 
     /// The attempt never left this node, so its share did not either.
-    pub(crate) fn bring_back_all(&mut self) {
-        self.bring_back(self.lent);
+    pub(crate) fn return_all_tokens(&mut self) {
+        self.return_tokens(self.lent);
     }
 
     /// The attempt's answer is lost, and its share with it: calls below may still spend it.
-    pub(crate) fn lose_lent(&mut self) {
+    pub(crate) fn discard_lent(&mut self) {
         self.lent = 0;
     }
 
     /// The tokens at hand, which go back to the parent when the call ends.
-    pub(crate) fn kept(&self) -> u16 {
-        self.kept
+    pub(crate) fn retained(&self) -> u16 {
+        self.retained
     }
 }
--- a/crates/calls/src/edge/call.rs
+++ b/crates/calls/src/edge/call.rs
@@ -8,7 +8,7 @@
 };
 
 use super::budget::RetryBudget;
-use super::caller::{EarlierUse, KeyHash};
+use super::caller::{KeyHash, KeyHistory};
 use super::deadline::Deadline;
 use super::io::{BodyState, CallArrival};
 
@@ -68,17 +68,17 @@
     /// Attempts sent so far, which is the number of the next one.
     pub(crate) attempts: u8,
     /// Whether the next attempt is paid for as a retry.
-    pub(crate) charged: bool,
+    pub(crate) retry_charged: bool,
     /// How far it is.
     pub(crate) phase: Phase,
     /// The attempt result that says most about whether it ran.
-    pub(crate) worst: Option<Refusal>,
+    pub(crate) worst_refusal: Option<Refusal>,
     /// Targets that failed or refused it.
     pub(crate) tried: Vec<NodeAddress>,
     /// The owner that said it does not own the slot.
-    pub(crate) refused_owner: Option<NodeId>,
+    pub(crate) rejecting_owner: Option<NodeId>,
     /// Whether it waited for an owner, in vain, since the last attempt.
-    pub(crate) waited_out: bool,
+    pub(crate) owner_wait_expired: bool,
     /// Resumed attempts sent so far.
     pub(crate) resumes: u8,
     /// The broken answer that a resumed attempt continues.
@@ -86,7 +86,7 @@
     /// When it wants to be woken.
     pub(crate) timer: Option<Timestamp>,
     /// The hash of the caller's key and what was known of it.
-    pub(crate) key: Option<(KeyHash, EarlierUse)>,
+    pub(crate) key: Option<(KeyHash, KeyHistory)>,
 }
 
 impl Call {
@@ -110,12 +110,12 @@
             deadline,
             budget,
             attempts: 0,
-            charged: false,
+            retry_charged: false,
             phase: Phase::Idle,
-            worst: None,
+            worst_refusal: None,
             tried: Vec::new(),
-            refused_owner: None,
-            waited_out: false,
+            rejecting_owner: None,
+            owner_wait_expired: false,
             resumes: 0,
             broken: None,
             timer: None,
@@ -146,17 +146,17 @@
     }
 
     /// Remembers what an attempt proved; of two results the one that says more about a run counts.
-    pub(crate) fn note(&mut self, refusal: Refusal) {
-        let known = self.worst.map(|worst| severity(worst.outcome));
+    pub(crate) fn record_refusal(&mut self, refusal: Refusal) {
+        let known = self.worst_refusal.map(|worst_refusal| severity(worst_refusal.outcome));
         if known.is_none_or(|known| severity(refusal.outcome) >= known) {
-            self.worst = Some(refusal);
+            self.worst_refusal = Some(refusal);
         }
     }
 
     /// What the caller is told: `refusal`, unless an earlier attempt may have run.
     pub(crate) fn final_refusal(&self, refusal: Refusal) -> Refusal {
-        match self.worst {
-            Some(worst) if severity(worst.outcome) > severity(refusal.outcome) => worst,
+        match self.worst_refusal {
+            Some(worst_refusal) if severity(worst_refusal.outcome) > severity(refusal.outcome) => worst_refusal,
             _ => refusal,
         }
     }
--- a/crates/calls/src/edge/caller.rs
+++ b/crates/calls/src/edge/caller.rs
@@ -15,7 +15,7 @@
 /// Settings of the limits per caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// How long a key is remembered at least, unless too many keys are in use.
+    /// How long a key is tracked at least, unless too many keys are in use.
     pub retry_window: Duration,
     /// Repeats of keys that one caller may send per second.
     pub retries_per_second: u32,
@@ -25,9 +25,9 @@
     pub calls_per_second: u32,
     /// Calls that one caller may send at once.
     pub call_burst: u32,
-    /// Callers remembered at once.
+    /// Callers tracked at once.
     pub maximum_callers: usize,
-    /// Keys remembered at once.
+    /// Keys tracked at once.
     pub maximum_keys: usize,
 }
 
@@ -123,12 +123,12 @@
 #[derive(Clone, Copy, Debug)]
 struct CallerBuckets {
     calls: TokenBucket,
-    repeats: TokenBucket,
+    retries: TokenBucket,
 }
 
 /// What was known of a key when a call with it arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct EarlierUse {
+pub(crate) struct KeyHistory {
     /// The caller used the key a short time ago.
     pub(crate) repeated: bool,
     /// An earlier call with the key is running or may have run, as far as this edge knows.
@@ -169,14 +169,14 @@
     }
 
     /// Notes the use of a key and tells what is known of earlier uses.
-    pub(crate) fn note_key(&mut self, key: KeyHash, now: Timestamp) -> EarlierUse {
+    pub(crate) fn record_key(&mut self, key: KeyHash, now: Timestamp) -> KeyHistory {
         if let Some(calls) = self.keys.refresh(key, now) {
-            let earlier = EarlierUse { repeated: true, may_have_run: *calls > 0 };
+            let earlier = KeyHistory { repeated: true, may_have_run: *calls > 0 };
             *calls = calls.saturating_add(1);
             return earlier;
         }
         self.keys.current.insert(key, 1);
-        EarlierUse::default()
+        KeyHistory::default()
     }
 
     /// One call with the key ended and is proven not to have run.
@@ -196,7 +196,7 @@
         if self.callers.refresh(caller.clone(), now).is_none() {
             let buckets = CallerBuckets {
                 calls: TokenBucket::full(settings.call_burst, now),
-                repeats: TokenBucket::full(settings.retry_burst, now),
+                retries: TokenBucket::full(settings.retry_burst, now),
             };
             self.callers.current.insert(caller.clone(), buckets);
         }
@@ -204,13 +204,13 @@
             return Ok(());
         };
         if repeated {
-            buckets.repeats.take(settings.retries_per_second, settings.retry_burst, now)?;
+            buckets.retries.take(settings.retries_per_second, settings.retry_burst, now)?;
         }
         buckets.calls.take(settings.calls_per_second, settings.call_burst, now)
     }
 
-    /// The number of callers and keys remembered.
-    pub(crate) fn remembered(&self) -> (usize, usize) {
+    /// The number of callers and keys tracked.
+    pub(crate) fn tracked(&self) -> (usize, usize) {
         let callers = self.callers.current.len() + self.callers.previous.len();
         let keys = self.keys.current.len() + self.keys.previous.len();
         (callers, keys)
--- a/crates/calls/src/edge/dispatch.rs
+++ b/crates/calls/src/edge/dispatch.rs
@@ -5,7 +5,7 @@
 use quillhatch_types::{AdmissionRank, CallContext, NodeId, Refusal, RefusalReason, SiteName, Timestamp};
 use rand::Rng;
 
-use super::balance::{draw, Choice, Choosing};
+use super::balance::{with_probability, Choice, TargetSelector};
 use super::call::{Attempt, Call, Phase};
 use super::io::EdgeOutput;
 use super::routes::SlotOwner;
@@ -32,7 +32,7 @@
             return self.finish_refused(call, Refusal::not_run(RefusalReason::DeadlineTooShort), outputs);
         }
         if matches!(call.phase, Phase::WaitingOwner { until, .. } if now >= until) {
-            call.waited_out = true;
+            call.owner_wait_expired = true;
         }
         let rank = self.rank(&call);
         let decision = if call.repeatable {
@@ -42,7 +42,7 @@
         };
         match decision {
             Decision::Send { index, probe } => self.send(now, call, index, probe, rank, outputs),
-            Decision::Wait(refusal) if call.waited_out => self.finish_refused(call, refusal, outputs),
+            Decision::Wait(refusal) if call.owner_wait_expired => self.finish_refused(call, refusal, outputs),
             Decision::Wait(refusal) => self.wait_for_owner(now, call, refusal, outputs),
             Decision::Refuse(refusal) => self.finish_refused(call, refusal, outputs),
         }
@@ -59,7 +59,7 @@
         match self.choose_target(now, call, rank, outputs) {
             Choice::Target { index, probe } => Decision::Send { index, probe },
             Choice::Closed | Choice::Full => Decision::Refuse(self.overloaded()),
-            Choice::Nothing => Decision::Refuse(self.without_owner(RefusalReason::NoTarget)),
+            Choice::NoTarget => Decision::Refuse(self.refuse_unrouted(RefusalReason::NoTarget)),
         }
     }
 
@@ -72,13 +72,13 @@
         outputs: &mut Vec<EdgeOutput>,
     ) -> Choice {
         let Some(service) = self.services.get(&call.arrival.service) else {
-            return Choice::Nothing;
+            return Choice::NoTarget;
         };
         let Some((site, table_is_missing)) = service.site_of_root(call.arrival.root) else {
-            return Choice::Nothing;
+            return Choice::NoTarget;
         };
         let settings = &self.settings;
-        let choosing = Choosing {
+        let selector = TargetSelector {
             now,
             rank,
             tried: &call.tried,
@@ -88,7 +88,7 @@
             probe_share: settings.level.probe_share,
             mechanisms: &settings.mechanisms,
         };
-        let choice = service.choose(&choosing, &site, &settings.site, &mut self.random);
+        let choice = service.choose(&selector, &site, &settings.site, &mut self.random);
         if table_is_missing {
             self.fetch_table(now, call, &site, outputs);
         }
@@ -103,14 +103,14 @@
         let owner = service.route_of_key(call.run_key()).map(|route| route.owner);
         match owner {
             Some(SlotOwner::Known(owner)) => self.decide_known_owner(now, call, rank, owner),
-            Some(SlotOwner::Moving) => Decision::Wait(self.without_owner(RefusalReason::SlotMoving)),
-            Some(SlotOwner::Unknown) => Decision::Wait(self.without_owner(RefusalReason::NotOwner)),
-            None => Decision::Refuse(self.without_owner(RefusalReason::NoTarget)),
+            Some(SlotOwner::Moving) => Decision::Wait(self.refuse_unrouted(RefusalReason::SlotMoving)),
+            Some(SlotOwner::Unknown) => Decision::Wait(self.refuse_unrouted(RefusalReason::NotOwner)),
+            None => Decision::Refuse(self.refuse_unrouted(RefusalReason::NoTarget)),
         }
     }
 
     fn decide_known_owner(&mut self, now: Timestamp, call: &Call, rank: AdmissionRank, owner: NodeId) -> Decision {
-        let not_owner = Decision::Wait(self.without_owner(RefusalReason::NotOwner));
+        let not_owner = Decision::Wait(self.refuse_unrouted(RefusalReason::NotOwner));
         let service = self.services.get(&call.arrival.service);
         let found = service.and_then(|service| Some((service, service.owner_index(owner)?)));
         let Some((service, index)) = found else {
@@ -118,20 +118,20 @@
         };
         let target = &service.targets()[index];
         if !target.is_serving() {
-            return Decision::Wait(self.without_owner(RefusalReason::Draining));
+            return Decision::Wait(self.refuse_unrouted(RefusalReason::Draining));
         }
         // A suspected owner is sent to only after a wait in vain: it may be well, and nobody else can run the call.
-        let doubtful = target.suspected || call.refused_owner == Some(owner);
-        if doubtful && !call.waited_out {
+        let unreliable = target.suspected || call.rejecting_owner == Some(owner);
+        if unreliable && !call.owner_wait_expired {
             return not_owner;
         }
         let mechanisms = &self.settings.mechanisms;
-        if mechanisms.connection_limit && !target.has_connection() {
+        if mechanisms.connection_limit && !target.has_free_connection() {
             return Decision::Refuse(self.overloaded());
         }
         let level = &self.settings.level;
         let admitted = !mechanisms.admission_levels || target.level.admits(rank, now, level.decay);
-        let probe = !admitted && draw(level.probe_share, &mut self.random);
+        let probe = !admitted && with_probability(level.probe_share, &mut self.random);
         if admitted || probe {
             Decision::Send { index, probe }
         } else {
@@ -153,7 +153,7 @@
         for site in sites {
             self.fetch_table(now, &call, &site, outputs);
         }
-        self.keep(now, call);
+        self.insert_call(now, call);
     }
 
     fn send(
@@ -172,14 +172,14 @@
             self.statistics.retries += 1;
         }
         self.statistics.probes += u64::from(probe);
-        if let Some((target, context)) = self.launch(now, &mut call, index, rank) {
+        if let Some((target, context)) = self.start_attempt(now, &mut call, index, rank) {
             outputs.push(EdgeOutput::Send { target, context: Box::new(context) });
         }
-        self.keep(now, call);
+        self.insert_call(now, call);
     }
 
     /// Marks the call's next attempt as sent to the target at `index`.
-    pub(super) fn launch(
+    pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
         call: &mut Call,
@@ -194,9 +194,9 @@
         let context = call.context(tokens, rank, call.deadline.remaining(now));
         call.phase = Phase::InFlight(Attempt { number: call.attempts, target: node.address, sent_at: now });
         call.attempts = call.attempts.saturating_add(1);
-        call.charged = false;
-        call.waited_out = false;
-        call.refused_owner = None;
+        call.retry_charged = false;
+        call.owner_wait_expired = false;
+        call.rejecting_owner = None;
         Some((node, context))
     }
 
@@ -206,7 +206,7 @@
         let Some(service) = self.services.get_mut(&call.arrival.service) else {
             return;
         };
-        if service.may_fetch(site, now, interval) {
+        if service.try_start_fetch(site, now, interval) {
             self.statistics.table_fetches += 1;
             outputs.push(EdgeOutput::FetchTable { service: call.arrival.service.clone(), site: site.clone() });
         }
@@ -220,7 +220,7 @@
         Refusal::not_run(RefusalReason::Overloaded).with_retry_after(base + jitter)
     }
 
-    fn without_owner(&self, reason: RefusalReason) -> Refusal {
+    fn refuse_unrouted(&self, reason: RefusalReason) -> Refusal {
         Refusal::not_run(reason).with_retry_after(self.settings.owner.retry_after)
     }
 }
--- a/crates/calls/src/edge/ejection.rs
+++ b/crates/calls/src/edge/ejection.rs
@@ -8,7 +8,7 @@
 use quillhatch_types::Timestamp;
 
 /// Ejections in a row after which the ejection time no longer doubles.
-const MAXIMUM_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// Settings of outlier ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     }
 
     fn duration(&self, ejections: u32) -> Duration {
-        self.base.saturating_mul(1 << ejections.min(MAXIMUM_DOUBLINGS)).min(self.maximum)
+        self.base.saturating_mul(1 << ejections.min(MAX_DOUBLINGS)).min(self.maximum)
     }
 }
 
--- a/crates/calls/src/edge/finish.rs
+++ b/crates/calls/src/edge/finish.rs
@@ -3,23 +3,23 @@
 use quillhatch_types::{CallId, Outcome, Refusal, RefusalReason, Timestamp};
 
 use super::call::{Attempt, Call, Phase};
-use super::caller::{EarlierUse, KeyHash};
+use super::caller::{KeyHash, KeyHistory};
 use super::io::{Answer, AttemptResult, CallArrival, EdgeOutput};
 use super::state::Edge;
 
 /// An attempt without an answer counts against its target after the class's deadline divided by this.
-const PATIENCE_DIVISOR: u32 = 2;
+const CLASS_DEADLINE_DIVISOR: u32 = 2;
 
 impl Edge {
     /// Refuses a call before anything was done for it.
     pub(super) fn refuse_arrival(
         &mut self,
         arrival: &CallArrival,
-        key: Option<(KeyHash, EarlierUse)>,
+        key: Option<(KeyHash, KeyHistory)>,
         refusal: Refusal,
         outputs: &mut Vec<EdgeOutput>,
     ) {
-        let refusal = self.settle_key(key, refusal);
+        let refusal = self.resolve_key(key, refusal);
         self.statistics.count_refusal(&refusal);
         if let Some(parent) = arrival.parent.as_ref().filter(|parent| parent.tokens > 0) {
             outputs.push(EdgeOutput::ReturnTokens { parent: parent.call, tokens: parent.tokens });
@@ -30,16 +30,16 @@
     /// Gives the caller `refusal`, or what an earlier attempt proved if that is worse, and drops the call.
     pub(super) fn finish_refused(&mut self, mut call: Box<Call>, refusal: Refusal, outputs: &mut Vec<EdgeOutput>) {
         self.refund_retry(&mut call);
-        let refusal = self.settle_key(call.key, call.final_refusal(refusal));
+        let refusal = self.resolve_key(call.key, call.final_refusal(refusal));
         self.statistics.count_refusal(&refusal);
         // The tokens go first: once its child is answered, the parent may answer and take no more tokens back.
-        self.end(&call, outputs);
+        self.return_tokens(&call, outputs);
         outputs.push(EdgeOutput::Finish { call: call.id(), answer: Answer::Refuse(refusal) });
     }
 
     /// Gives the tokens of a call that has ended back to its parent.
-    pub(super) fn end(&mut self, call: &Call, outputs: &mut Vec<EdgeOutput>) {
-        let tokens = call.budget.kept();
+    pub(super) fn return_tokens(&mut self, call: &Call, outputs: &mut Vec<EdgeOutput>) {
+        let tokens = call.budget.retained();
         if let Some(parent) = call.arrival.parent.as_ref().filter(|_| tokens > 0) {
             outputs.push(EdgeOutput::ReturnTokens { parent: parent.call, tokens });
         }
@@ -47,7 +47,7 @@
 
     /// What a refusal proves of the caller's key: an earlier call with the same key may have run, and to the caller both
     /// are the same request. "Not run" would then be a false promise.
-    fn settle_key(&mut self, key: Option<(KeyHash, EarlierUse)>, refusal: Refusal) -> Refusal {
+    fn resolve_key(&mut self, key: Option<(KeyHash, KeyHistory)>, refusal: Refusal) -> Refusal {
         let Some((hash, earlier)) = key else {
             return refusal;
         };
@@ -63,7 +63,7 @@
 
     /// The caller went away: whatever runs for it is stopped.
     pub(super) fn caller_gone(&mut self, id: CallId, outputs: &mut Vec<EdgeOutput>) {
-        let Some(mut call) = self.take(id) else {
+        let Some(mut call) = self.remove_call(id) else {
             self.statistics.stale_inputs += 1;
             return;
         };
@@ -74,11 +74,11 @@
         let is_relayed = call.broken.is_some() || matches!(call.phase, Phase::Relaying(_));
         if is_relayed {
             self.refund_retry(&mut call);
-            self.end(&call, outputs);
+            self.return_tokens(&call, outputs);
             return;
         }
         if attempt.is_some() {
-            call.note(Refusal::unknown(RefusalReason::Cancelled));
+            call.record_refusal(Refusal::unknown(RefusalReason::Cancelled));
         }
         self.finish_refused(call, Refusal::not_run(RefusalReason::Cancelled), outputs);
     }
@@ -87,11 +87,11 @@
     pub(super) fn expire(&mut self, now: Timestamp, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         if let Phase::InFlight(attempt) = call.phase {
             // No answer for long counts like a lost one. A caller with little patience proves nothing against the target.
-            if now.since(attempt.sent_at) * PATIENCE_DIVISOR >= call.class_deadline {
-                self.learn_health(now, &call, attempt, &AttemptResult::Lost);
+            if now.since(attempt.sent_at) * CLASS_DEADLINE_DIVISOR >= call.class_deadline {
+                self.record_health(now, &call, attempt, &AttemptResult::Lost);
             }
             self.cancel(&mut call, attempt, outputs);
-            call.note(Refusal::unknown(RefusalReason::DeadlinePassed));
+            call.record_refusal(Refusal::unknown(RefusalReason::DeadlinePassed));
         }
         if call.broken.is_some() {
             self.break_off(call, outputs);
@@ -102,7 +102,7 @@
 
     fn cancel(&mut self, call: &mut Call, attempt: Attempt, outputs: &mut Vec<EdgeOutput>) {
         self.release_target(call, attempt);
-        call.budget.lose_lent();
+        call.budget.discard_lent();
         self.statistics.cancelled_attempts += 1;
         outputs.push(EdgeOutput::CancelAttempt { attempt: call.attempt_id(attempt) });
     }
--- a/crates/calls/src/edge/level.rs
+++ b/crates/calls/src/edge/level.rs
@@ -27,14 +27,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TargetLevel {
     level: AdmissionLevel,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
 impl TargetLevel {
     /// An answer carried `level`.
-    pub(crate) fn hear(&mut self, level: AdmissionLevel, now: Timestamp) {
+    pub(crate) fn update(&mut self, level: AdmissionLevel, now: Timestamp) {
         self.level = AdmissionLevel(level.0.min(AdmissionLevel::OPEN.0));
-        self.heard_at = now;
+        self.received_at = now;
     }
 
     /// The level now: it rises evenly from the reported level to open.
@@ -43,7 +43,7 @@
         if closed == 0 {
             return AdmissionLevel::OPEN;
         }
-        let age = now.since(self.heard_at);
+        let age = now.since(self.received_at);
         if age >= decay {
             return AdmissionLevel::OPEN;
         }
--- a/crates/calls/src/edge/ratio.rs
+++ b/crates/calls/src/edge/ratio.rs
@@ -24,7 +24,7 @@
     }
 
     /// A first try was sent; it earns `percent` of a retry.
-    pub(crate) fn first_try(&mut self, percent: u8) {
+    pub(crate) fn earn(&mut self, percent: u8) {
         self.parts = (self.parts + u64::from(percent)).min(self.burst);
     }
 
--- a/crates/calls/src/edge/result.rs
+++ b/crates/calls/src/edge/result.rs
@@ -4,7 +4,7 @@
 
 use super::call::{Attempt, Call, Phase};
 use super::io::{Answer, AttemptResult, BodyState, EdgeOutput};
-use super::retry::{is_closing, is_failure, judge, RetryKind, Verdict};
+use super::retry::{classify_result, is_failure, is_unavailable, Classification, RetryKind};
 use super::state::Edge;
 
 impl Edge {
@@ -21,16 +21,17 @@
             Phase::InFlight(attempt) if attempt.number == id.attempt => Some(attempt),
             _ => None,
         });
-        let Some((attempt, mut call)) = in_flight.and_then(|attempt| Some((attempt, self.take(id.call)?))) else {
+        let Some((attempt, mut call)) = in_flight.and_then(|attempt| Some((attempt, self.remove_call(id.call)?)))
+        else {
             self.statistics.stale_inputs += 1;
             return;
         };
-        settle_tokens(&mut call, result, feedback);
-        self.learn_health(now, &call, attempt, result);
+        recover_tokens(&mut call, result, feedback);
+        self.record_health(now, &call, attempt, result);
         if let Some(feedback) = feedback {
-            self.learn_feedback(now, &call, attempt, &feedback, outputs);
+            self.record_feedback(now, &call, attempt, &feedback, outputs);
         }
-        let Some(verdict) = judge(result, call.repeatable) else {
+        let Some(verdict) = classify_result(result, call.repeatable) else {
             return self.relay(now, call, attempt, outputs);
         };
         self.release_target(&call, attempt);
@@ -56,14 +57,14 @@
             Phase::Relaying(attempt) if attempt.number == id.attempt => Some(attempt),
             _ => None,
         });
-        let Some((attempt, mut call)) = relayed.and_then(|attempt| Some((attempt, self.take(id.call)?))) else {
+        let Some((attempt, mut call)) = relayed.and_then(|attempt| Some((attempt, self.remove_call(id.call)?))) else {
             self.statistics.stale_inputs += 1;
             return;
         };
         self.release_target(&call, attempt);
         call.phase = Phase::Idle;
         if broken.is_none() {
-            return self.end(&call, outputs);
+            return self.return_tokens(&call, outputs);
         }
         self.count_failure(now, &call, attempt);
         if !call.tried.contains(&attempt.target) {
@@ -81,7 +82,7 @@
             let answer = Answer::Relay(call.attempt_id(attempt));
             outputs.push(EdgeOutput::Finish { call: call.id(), answer });
         }
-        self.keep(now, call);
+        self.insert_call(now, call);
     }
 
     fn retry_or_refuse(
@@ -89,10 +90,10 @@
         now: Timestamp,
         mut call: Box<Call>,
         attempt: Attempt,
-        verdict: Verdict,
+        verdict: Classification,
         outputs: &mut Vec<EdgeOutput>,
     ) {
-        call.note(verdict.refusal);
+        call.record_refusal(verdict.refusal);
         call.phase = Phase::Idle;
         let useful = verdict.retry.filter(|_| call.arrival.replayable_body && call.deadline.leaves_time(now));
         let Some(kind) = useful.filter(|_| self.charge_retry(&mut call)) else {
@@ -100,7 +101,7 @@
         };
         if kind == RetryKind::OtherOwner && !call.repeatable {
             let service = self.services.get_mut(&call.arrival.service);
-            call.refused_owner = service.and_then(|service| service.target(attempt.target)).map(|target| target.node);
+            call.rejecting_owner = service.and_then(|service| service.target(attempt.target)).map(|target| target.node);
             return self.dispatch(now, call, outputs);
         }
         call.ranks_as_retry = true;
@@ -114,7 +115,7 @@
         let retry = u32::from(call.attempts.saturating_sub(1));
         let delay = self.settings.backoff.delay(retry, call.deadline.spare(now), &mut self.random);
         call.phase = Phase::Backoff { until: now + delay };
-        self.keep(now, call);
+        self.insert_call(now, call);
     }
 
     /// Pays for another attempt out of the call's budget and the class's ratio; returns whether both allow it.
@@ -136,13 +137,13 @@
             self.statistics.ratio_denied += 1;
             return false;
         }
-        call.charged = call.budget.charge();
-        call.charged
+        call.retry_charged = call.budget.charge();
+        call.retry_charged
     }
 
     /// Takes back the payment for an attempt that was not sent.
     pub(super) fn refund_retry(&mut self, call: &mut Call) {
-        if !std::mem::take(&mut call.charged) {
+        if !std::mem::take(&mut call.retry_charged) {
             return;
         }
         call.budget.refund();
@@ -160,12 +161,12 @@
         };
         let percent = service.class(&call.arrival.class).map_or(0, |class| class.retry_ratio_percent);
         if let Some(ratio) = service.ratio(&call.arrival.class) {
-            ratio.first_try(percent);
+            ratio.earn(percent);
         }
     }
 
     /// What the result says of the target's health and speed.
-    pub(super) fn learn_health(&mut self, now: Timestamp, call: &Call, attempt: Attempt, result: &AttemptResult) {
+    pub(super) fn record_health(&mut self, now: Timestamp, call: &Call, attempt: Attempt, result: &AttemptResult) {
         match result {
             AttemptResult::Lost => self.statistics.lost_attempts += 1,
             AttemptResult::ConnectFailed => self.statistics.failed_connects += 1,
@@ -179,12 +180,12 @@
         // A refusal is quick and says nothing of the back end; counted as an answer it would attract calls.
         let elapsed = now.since(attempt.sent_at);
         match result {
-            AttemptResult::Answered { .. } => target.sample(elapsed, now, &settings.balance),
-            AttemptResult::Lost => target.sample_without_answer(elapsed, now),
+            AttemptResult::Answered { .. } => target.record_latency(elapsed, now, &settings.balance),
+            AttemptResult::Lost => target.record_unanswered(elapsed, now),
             _ => {}
         }
-        if is_closing(result) {
-            target.closed_until = now + settings.balance.unavailable_time;
+        if is_unavailable(result) {
+            target.unavailable_until = now + settings.balance.unavailable_time;
         }
         if is_failure(result) {
             self.count_failure(now, call, attempt);
@@ -204,7 +205,7 @@
         }
     }
 
-    fn learn_feedback(
+    fn record_feedback(
         &mut self,
         now: Timestamp,
         call: &Call,
@@ -218,7 +219,7 @@
         let Some(target) = service.target(attempt.target) else {
             return;
         };
-        target.hear(feedback, now);
+        target.record_feedback(feedback, now);
         let site = target.site.clone();
         if feedback.epoch > service.epoch(&site) {
             self.fetch_table(now, call, &site, outputs);
@@ -227,10 +228,10 @@
 }
 
 /// Takes back the tokens that went with the attempt, if the answer proves that they are not in use.
-fn settle_tokens(call: &mut Call, result: &AttemptResult, feedback: Option<Feedback>) {
+fn recover_tokens(call: &mut Call, result: &AttemptResult, feedback: Option<Feedback>) {
     match (result, feedback) {
-        (AttemptResult::ConnectFailed, _) => call.budget.bring_back_all(),
-        (AttemptResult::Lost, _) | (_, None) => call.budget.lose_lent(),
-        (_, Some(feedback)) => call.budget.bring_back(feedback.tokens_left),
+        (AttemptResult::ConnectFailed, _) => call.budget.return_all_tokens(),
+        (AttemptResult::Lost, _) | (_, None) => call.budget.discard_lent(),
+        (_, Some(feedback)) => call.budget.return_tokens(feedback.tokens_left),
     }
 }
--- a/crates/calls/src/edge/resume.rs
+++ b/crates/calls/src/edge/resume.rs
@@ -34,10 +34,10 @@
         call.resumes += 1;
         self.statistics.resumes += 1;
         self.statistics.probes += u64::from(probe);
-        if let Some((target, context)) = self.launch(now, &mut call, index, rank) {
+        if let Some((target, context)) = self.start_attempt(now, &mut call, index, rank) {
             outputs.push(EdgeOutput::Resume { target, context: Box::new(context), offset, validator });
         }
-        self.keep(now, call);
+        self.insert_call(now, call);
     }
 
     /// Ends the caller's stream visibly broken.
@@ -45,7 +45,7 @@
         self.refund_retry(&mut call);
         self.statistics.broken_off += 1;
         outputs.push(EdgeOutput::BreakOff { call: call.id() });
-        self.end(&call, outputs);
+        self.return_tokens(&call, outputs);
     }
 }
 
--- a/crates/calls/src/edge/retry.rs
+++ b/crates/calls/src/edge/retry.rs
@@ -18,7 +18,7 @@
 
 /// What the result of an attempt means for its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Verdict {
+pub(crate) struct Classification {
     /// What the caller is told if this is the end.
     pub(crate) refusal: Refusal,
     /// How another attempt may go, if one is safe and helps.
@@ -26,7 +26,7 @@
 }
 
 /// Judges a result; `None` if the attempt was answered.
-pub(crate) fn judge(result: &AttemptResult, repeatable: bool) -> Option<Verdict> {
+pub(crate) fn classify_result(result: &AttemptResult, repeatable: bool) -> Option<Classification> {
     let refusal = match result {
         AttemptResult::Answered { .. } => return None,
         AttemptResult::Refused(refusal) => *refusal,
@@ -37,7 +37,7 @@
     };
     let safe = repeatable || refusal.outcome == Outcome::NotRun;
     let retry = if safe { retry_kind(refusal.reason, repeatable) } else { None };
-    Some(Verdict { refusal, retry })
+    Some(Classification { refusal, retry })
 }
 
 fn retry_kind(reason: RefusalReason, repeatable: bool) -> Option<RetryKind> {
@@ -86,7 +86,7 @@
 }
 
 /// Whether the target said that it takes no calls at present.
-pub(crate) fn is_closing(result: &AttemptResult) -> bool {
+pub(crate) fn is_unavailable(result: &AttemptResult) -> bool {
     let AttemptResult::Refused(refusal) = result else {
         return false;
     };
--- a/crates/calls/src/edge/service.rs
+++ b/crates/calls/src/edge/service.rs
@@ -11,7 +11,7 @@
 };
 use rand_pcg::Pcg64;
 
-use super::balance::{Choice, Choosing};
+use super::balance::{Choice, TargetSelector};
 use super::ejection::EjectionSettings;
 use super::ratio::RatioLimit;
 use super::routes::{site_by_share, Routes, SlotOwner, SlotRoute};
@@ -159,33 +159,33 @@
         (self.targets[index].node == owner).then_some(index)
     }
 
-    /// Chooses a target at `site`; while that site cannot be reached at all, at another one, `own_site` first.
+    /// Chooses a target at `site`; while that site cannot be reached at all, at another one, `local_site` first.
     pub(crate) fn choose(
         &self,
-        choosing: &Choosing<'_>,
+        selector: &TargetSelector<'_>,
         site: &SiteName,
-        own_site: &SiteName,
+        local_site: &SiteName,
         random: &mut Pcg64,
     ) -> Choice {
         for last_resort in [false, true] {
-            for members in self.members_in_order(site, own_site) {
-                let choice = choosing.choose(&self.targets, members, last_resort, random);
-                if choice != Choice::Nothing {
+            for members in self.members_in_order(site, local_site) {
+                let choice = selector.choose(&self.targets, members, last_resort, random);
+                if choice != Choice::NoTarget {
                     return choice;
                 }
             }
         }
-        Choice::Nothing
+        Choice::NoTarget
     }
 
     fn members_in_order<'a>(
         &'a self,
         site: &'a SiteName,
-        own_site: &'a SiteName,
+        local_site: &'a SiteName,
     ) -> impl Iterator<Item = &'a Vec<usize>> + 'a {
         let first = self.sites.get(site);
-        let second = self.sites.get(own_site).filter(|_| own_site != site);
-        let others = self.sites.iter().filter(move |(name, _)| *name != site && *name != own_site);
+        let second = self.sites.get(local_site).filter(|_| local_site != site);
+        let others = self.sites.iter().filter(move |(name, _)| *name != site && *name != local_site);
         first.into_iter().chain(second).chain(others.map(|(_, members)| members))
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Whether the table of `site` may be asked for now; notes that it is.
-    pub(crate) fn may_fetch(&mut self, site: &SiteName, now: Timestamp, interval: Duration) -> bool {
+    pub(crate) fn try_start_fetch(&mut self, site: &SiteName, now: Timestamp, interval: Duration) -> bool {
         let recent = self.fetched_at.get(site).is_some_and(|at| now.since(*at) < interval);
         if !recent {
             self.fetched_at.insert(site.clone(), now);
--- a/crates/calls/src/edge/state.rs
+++ b/crates/calls/src/edge/state.rs
@@ -105,7 +105,7 @@
 
     /// Callers and keys that are remembered for the limits per caller.
     pub fn tracked_callers_and_keys(&self) -> (usize, usize) {
-        self.callers.remembered()
+        self.callers.tracked()
     }
 
     /// The revision of the configuration in force.
@@ -151,7 +151,7 @@
     }
 
     /// Takes a call out of the state; it is kept again or dropped by the caller of this function.
-    pub(super) fn take(&mut self, id: CallId) -> Option<Box<Call>> {
+    pub(super) fn remove_call(&mut self, id: CallId) -> Option<Box<Call>> {
         let mut call = self.calls.remove(&id)?;
         if let Some(at) = call.timer.take() {
             self.timers.remove(&(at, id));
@@ -165,13 +165,13 @@
     }
 
     /// Keeps a call in progress and sets its timer.
-    pub(super) fn keep(&mut self, now: Timestamp, mut call: Box<Call>) {
+    pub(super) fn insert_call(&mut self, now: Timestamp, mut call: Box<Call>) {
         let id = call.id();
         let wake = match call.phase {
             Phase::Idle | Phase::InFlight(_) => Some(call.deadline.at()),
             Phase::Backoff { until } => Some(until.min(call.deadline.at())),
             Phase::WaitingOwner { until, .. } => {
-                let fetch_again = now + self.settings.owner.fetch_interval.max(MINIMUM_WAIT);
+                let fetch_again = now + self.settings.owner.fetch_interval.max(MIN_FETCH_INTERVAL);
                 Some(until.min(fetch_again).min(call.deadline.at()))
             }
             Phase::Relaying(_) => None,
@@ -194,7 +194,7 @@
                 return;
             }
             self.timers.remove(&(at, id));
-            let Some(call) = self.take(id) else {
+            let Some(call) = self.remove_call(id) else {
                 continue;
             };
             if now >= call.deadline.at() {
@@ -218,7 +218,7 @@
         }
         service.rebuild(&self.sites, &self.suspected);
         for id in std::mem::take(&mut service.waiting) {
-            if let Some(call) = self.take(id) {
+            if let Some(call) = self.remove_call(id) {
                 self.dispatch(now, call, outputs);
             }
         }
@@ -264,4 +264,4 @@
 }
 
 /// Keeps a fetch interval of zero from waking the edge without end.
-const MINIMUM_WAIT: std::time::Duration = std::time::Duration::from_millis(1);
+const MIN_FETCH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(1);
--- a/crates/calls/src/edge/target.rs
+++ b/crates/calls/src/edge/target.rs
@@ -9,7 +9,7 @@
 use super::level::TargetLevel;
 
 /// The latency assumed of a target that has not answered yet, in microseconds; low, so that it gets tried.
-const LATENCY_FLOOR_MICROSECONDS: f64 = 100.0;
+const MIN_LATENCY_MICROSECONDS: f64 = 100.0;
 
 /// A gate's own count of its calls, and what this edge had in flight when it heard it.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
     calls: u32,
     limit: u32,
     in_flight: u32,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
 /// One target.
@@ -42,7 +42,7 @@
     /// Its recent failures.
     pub(crate) outlier: OutlierState,
     /// Until when it is left out because it said that it takes no calls.
-    pub(crate) closed_until: Timestamp,
+    pub(crate) unavailable_until: Timestamp,
     latency_microseconds: f64,
     sampled_at: Timestamp,
     load: Option<GateLoad>,
@@ -60,7 +60,7 @@
             suspected: false,
             level: TargetLevel::default(),
             outlier: OutlierState::default(),
-            closed_until: Timestamp::ZERO,
+            unavailable_until: Timestamp::ZERO,
             latency_microseconds: 0.0,
             sampled_at: Timestamp::ZERO,
             load: None,
@@ -73,13 +73,13 @@
     }
 
     /// Whether nothing speaks against it but its load.
-    pub(crate) fn is_preferred(&self, now: Timestamp, ejection: bool) -> bool {
+    pub(crate) fn is_healthy(&self, now: Timestamp, ejection: bool) -> bool {
         let ejected = ejection && self.outlier.is_ejected(now);
-        self.is_serving() && !self.suspected && !ejected && now >= self.closed_until
+        self.is_serving() && !self.suspected && !ejected && now >= self.unavailable_until
     }
 
     /// Whether another attempt may be in flight.
-    pub(crate) fn has_connection(&self) -> bool {
+    pub(crate) fn has_free_connection(&self) -> bool {
         self.in_flight < self.connections.max(1)
     }
 
@@ -92,14 +92,14 @@
         }
         self.level = old.level;
         self.outlier = old.outlier;
-        self.closed_until = old.closed_until;
+        self.unavailable_until = old.unavailable_until;
         self.latency_microseconds = old.latency_microseconds;
         self.sampled_at = old.sampled_at;
         self.load = old.load;
     }
 
     /// An answer took `latency`: a slower one counts at once, a faster one by and by (peak EWMA).
-    pub(crate) fn sample(&mut self, latency: Duration, now: Timestamp, settings: &BalanceSettings) {
+    pub(crate) fn record_latency(&mut self, latency: Duration, now: Timestamp, settings: &BalanceSettings) {
         let sample = latency.as_micros() as f64;
         let elapsed = now.since(self.sampled_at).as_micros() as f64;
         let window = settings.latency_window.as_micros().max(1) as f64;
@@ -113,7 +113,7 @@
     }
 
     /// No answer came for `waited`: the latency is at least that, but a quick failure does not make a target look fast.
-    pub(crate) fn sample_without_answer(&mut self, waited: Duration, now: Timestamp) {
+    pub(crate) fn record_unanswered(&mut self, waited: Duration, now: Timestamp) {
         let waited = waited.as_micros() as f64;
         if waited >= self.latency_microseconds {
             self.latency_microseconds = waited;
@@ -122,13 +122,13 @@
     }
 
     /// An answer carried news of the gate.
-    pub(crate) fn hear(&mut self, feedback: &Feedback, now: Timestamp) {
-        self.level.hear(feedback.level, now);
+    pub(crate) fn record_feedback(&mut self, feedback: &Feedback, now: Timestamp) {
+        self.level.update(feedback.level, now);
         self.load = Some(GateLoad {
             calls: feedback.running.saturating_add(feedback.waiting),
             limit: feedback.limit.max(1),
             in_flight: self.in_flight,
-            heard_at: now,
+            received_at: now,
         });
     }
 
@@ -138,7 +138,7 @@
     pub(crate) fn utilization(&self, now: Timestamp, settings: &BalanceSettings) -> f64 {
         let own = f64::from(self.in_flight) / f64::from(self.connections.max(1));
         match self.load {
-            Some(load) if now.since(load.heard_at) < settings.feedback_lifetime => {
+            Some(load) if now.since(load.received_at) < settings.feedback_lifetime => {
                 let since = f64::from(self.in_flight) - f64::from(load.in_flight);
                 let calls = (f64::from(load.calls) + since).max(0.0);
                 own.max(calls / f64::from(load.limit))
@@ -153,6 +153,6 @@
         let memory = settings.latency_decay.as_micros().max(1) as f64;
         let latency = self.latency_microseconds * memory / (memory + idle);
         let queue = f64::from(self.in_flight) + 1.0;
-        latency.max(LATENCY_FLOOR_MICROSECONDS) * queue * (1.0 + self.utilization(now, settings))
+        latency.max(MIN_LATENCY_MICROSECONDS) * queue * (1.0 + self.utilization(now, settings))
     }
 }
--- a/crates/calls/src/edge/tests/balance.rs
+++ b/crates/calls/src/edge/tests/balance.rs
@@ -178,10 +178,10 @@
 fn a_quick_failure_does_not_make_a_target_look_fast() {
     let settings = BalanceSettings::default();
     let mut target = Target::new(node(0), name(OLD), name("zone-0"), GateStatus::Serving, 10);
-    target.sample(Duration::from_millis(20), at(0), &settings);
+    target.record_latency(Duration::from_millis(20), at(0), &settings);
     let before = target.cost(at(100), &settings);
-    target.sample_without_answer(Duration::from_millis(1), at(100));
+    target.record_unanswered(Duration::from_millis(1), at(100));
     assert!(target.cost(at(100), &settings) >= before);
-    target.sample_without_answer(Duration::from_millis(400), at(100));
+    target.record_unanswered(Duration::from_millis(400), at(100));
     assert!(target.cost(at(100), &settings) > before);
 }
--- a/crates/calls/src/edge/tests/resume.rs
+++ b/crates/calls/src/edge/tests/resume.rs
@@ -23,7 +23,7 @@
     harness.outputs.iter().any(|output| matches!(output, EdgeOutput::BreakOff { .. }))
 }
 
-fn end(harness: &mut Harness, now: u64, attempt: AttemptId, broken: Option<BodyState>) {
+fn end_body(harness: &mut Harness, now: u64, attempt: AttemptId, broken: Option<BodyState>) {
     harness.step(at(now), EdgeInput::BodyEnded { attempt, broken });
 }
 
@@ -33,13 +33,13 @@
     harness.arrive(1, arrival(1, "archive"));
     let (first_target, context) = harness.sent_one();
     harness.answer(2, context.attempt_id(), ANSWERED);
-    end(&mut harness, 5_000, context.attempt_id(), Some(broken_at(400)));
+    end_body(&mut harness, 5_000, context.attempt_id(), Some(broken_at(400)));
     let (target, resumed) = harness.sent_one();
     assert_ne!(target, first_target);
     assert!(matches!(&harness.outputs[..], [EdgeOutput::Resume { offset: 400, .. }]));
     assert_eq!(resumed.rank, context.rank, "the rest is not sacrificed for first tries");
     assert!(harness.answer(5_001, resumed.attempt_id(), ANSWERED).is_empty());
-    end(&mut harness, 5_002, resumed.attempt_id(), None);
+    end_body(&mut harness, 5_002, resumed.attempt_id(), None);
     assert!(harness.outputs.is_empty());
     assert_eq!(harness.edge.calls_in_progress(), 0);
 }
@@ -54,11 +54,11 @@
     });
     let mut attempt = relayed(&mut harness, "archive");
     for round in 0..2 {
-        end(&mut harness, 10 + round, attempt, Some(broken_at(400 + round)));
+        end_body(&mut harness, 10 + round, attempt, Some(broken_at(400 + round)));
         attempt = harness.sent_one().1.attempt_id();
         harness.answer(10 + round, attempt, ANSWERED);
     }
-    end(&mut harness, 20, attempt, Some(broken_at(500)));
+    end_body(&mut harness, 20, attempt, Some(broken_at(500)));
     assert!(breaks_off(&harness));
 }
 
@@ -69,7 +69,7 @@
 fn breaks_off_what_cannot_be_resumed(class: &str, state: BodyState) {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, class);
-    end(&mut harness, 10, attempt, Some(state));
+    end_body(&mut harness, 10, attempt, Some(state));
     assert!(breaks_off(&harness) && harness.sent().is_empty());
     assert_eq!(harness.edge.calls_in_progress(), 0);
 }
@@ -80,7 +80,7 @@
 fn a_resume_that_fails_is_tried_at_the_third_target(result: AttemptResult) {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, "archive");
-    end(&mut harness, 10, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 10, attempt, Some(broken_at(400)));
     let (second, resumed) = harness.sent_one();
     harness.answer(11, resumed.attempt_id(), result);
     let (third, _) = harness.sent_one();
@@ -91,7 +91,7 @@
 fn a_resume_without_an_answer_breaks_off_in_time() {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, "archive");
-    end(&mut harness, 10, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 10, attempt, Some(broken_at(400)));
     let resumed = harness.sent_one().1.attempt_id();
     let said = harness.run_until(10_000);
     assert_eq!(said[0], EdgeOutput::CancelAttempt { attempt: resumed });
@@ -102,7 +102,7 @@
 fn switched_off_every_broken_download_breaks_off() {
     let mut harness = Harness::new(|settings, _| settings.mechanisms.resume = false);
     let attempt = relayed(&mut harness, "archive");
-    end(&mut harness, 10, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 10, attempt, Some(broken_at(400)));
     assert!(breaks_off(&harness));
 }
 
@@ -112,6 +112,6 @@
     let attempt = relayed(&mut harness, "archive");
     let outputs = harness.step(at(10), EdgeInput::CallerGone { call: attempt.call });
     assert_eq!(outputs, [EdgeOutput::CancelAttempt { attempt }]);
-    end(&mut harness, 11, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 11, attempt, Some(broken_at(400)));
     assert!(harness.outputs.is_empty());
 }
