--- a/crates/calls/src/edge/arrival.rs
+++ b/crates/calls/src/edge/arrival.rs
@@ -1,4 +1,4 @@
-//! Checks a call that arrives and starts it.
+//! Checks a call on arrival and starts it.
 
 use quillhatch_types::call::MAXIMUM_DEPTH;
 use quillhatch_types::{ClassConfiguration, Refusal, RefusalReason, Timestamp};
@@ -11,7 +11,7 @@
 use super::state::Edge;
 
 impl Edge {
-    /// Refuses a call that cannot run, or sends its first attempt.
+    /// Refuses a call that cannot run, or starts it and dispatches its first attempt.
     pub(super) fn arrived(&mut self, now: Timestamp, arrival: CallArrival, outputs: &mut Vec<EdgeOutput>) {
         if self.calls.contains_key(&arrival.call) {
             self.statistics.stale_inputs += 1;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Remembers the key of a root call. Child calls are bounded by the budget of their tree.
+    /// Records the key of a root call. Child calls are exempt, since the retry budget of their tree bounds them.
     fn record_key(&mut self, now: Timestamp, arrival: &CallArrival) -> Option<(KeyHash, KeyHistory)> {
         if arrival.parent.is_some() {
             return None;
@@ -50,7 +50,8 @@
 
     fn check(&mut self, now: Timestamp, arrival: &CallArrival, repeated: bool) -> Result<ClassConfiguration, Refusal> {
         let retry_after = self.settings.level.retry_after;
-        // Calls of a call in progress go on, since a planned stop cuts nothing in flight.
+        // Calls made on behalf of calls in progress are still accepted: a planned shutdown interrupts nothing in
+        // flight.
         if self.stopping && arrival.parent.is_none() && !arrival.outgoing {
             return Err(Refusal::not_run(RefusalReason::Stopping).with_retry_after(retry_after));
         }
@@ -60,7 +61,7 @@
         let service = self.services.get(&arrival.service);
         let class = service.and_then(|service| service.class(&arrival.class)).cloned();
         let class = class.ok_or(Refusal::not_run(RefusalReason::NoRoute))?;
-        // Without a digest the claim could not tell a repeat from another request under the same key.
+        // Without a digest the claim could not distinguish a retry from another request with the same key.
         if !class.repeatable && arrival.key.is_some() && arrival.digest.is_none() {
             return Err(Refusal::not_run(RefusalReason::BadRequest));
         }
--- a/crates/calls/src/edge/backoff.rs
+++ b/crates/calls/src/edge/backoff.rs
@@ -1,12 +1,12 @@
-//! The delay before a retry: exponential with full jitter, bounded, and never beyond the time left.
+//! The delay before a retry: exponential backoff with full jitter, bounded by a maximum and by the time left.
 //!
-//! Full jitter spreads retries evenly, so that calls that failed together do not come back together.
+//! Full jitter spreads retries evenly, so that calls that failed at the same time are not retried at the same time.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Doublings after which the delay no longer grows, whatever the maximum.
+/// The number of doublings after which the delay no longer grows, whatever the maximum.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Settings of the delay before a retry.
@@ -25,7 +25,7 @@
 }
 
 impl BackoffSettings {
-    /// Draws the delay before retry number `retry`, counted from zero; at most `spare`, the time that can be given away.
+    /// A random delay before retry number `retry`, counted from zero; at most `spare`, the time available for waiting.
     pub(crate) fn delay(&self, retry: u32, spare: Duration, random: &mut impl Rng) -> Duration {
         let factor = 1_u32 << retry.min(MAX_DOUBLINGS);
         let ceiling = self.base.saturating_mul(factor).min(self.maximum).min(spare);
--- a/crates/calls/src/edge/balance.rs
+++ b/crates/calls/src/edge/balance.rs
@@ -1,8 +1,8 @@
-//! Chooses a target for a call that any target may run.
+//! Load balancing: chooses a target for a call that any target may run.
 //!
-//! Power of two choices: of two targets drawn at random the one with the lower cost (peak-EWMA latency, calls in flight,
-//! the gate's own load) is taken, so that edges that know the same do not all run to the same target. Targets of the
-//! same zone come first until the one chosen there is loaded.
+//! Power of two choices: of two random targets the one with the lower cost (peak EWMA latency, calls in flight and the
+//! load that the gate reports) is chosen, so that edges with the same information do not all choose the same target.
+//! Targets in the local zone are preferred until the one chosen there reaches the spill-over utilization.
 
 use std::time::Duration;
 
@@ -13,21 +13,21 @@
 use super::mechanisms::EdgeMechanisms;
 use super::target::Target;
 
-/// Targets looked at for one call; of larger services this many are drawn at random.
+/// The maximum number of targets considered for one call; of more targets a random sample of this size is used.
 const MAX_CANDIDATES: usize = 16;
 
-/// Settings of the choice among targets.
+/// Settings of load balancing among targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BalanceSettings {
-    /// The span over which a faster answer replaces a slower one in the latency.
+    /// The time constant of the latency average: how fast it follows lower latencies.
     pub latency_window: Duration,
-    /// The span after which the latency of a target that is not used has halved, so that it is tried again.
+    /// The time after which the latency of an unused target has halved, so that the target is tried again.
     pub latency_decay: Duration,
-    /// How long a gate's count of its calls is believed.
+    /// How long a gate's reported load is used.
     pub feedback_lifetime: Duration,
-    /// The utilization at which calls spill over to other zones; one is full.
+    /// The utilization of a target at which calls spill over to other zones; 1.0 is full.
     pub spill_over_utilization: f64,
-    /// How long a target that said it is draining, stopping or not ready is left out.
+    /// How long a target that reported that it is draining, stopping or not ready is avoided.
     pub unavailable_time: Duration,
 }
 
@@ -43,20 +43,20 @@
     }
 }
 
-/// What came of looking for a target.
+/// The result of choosing a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// The target at this place in the list; `probe` if its level is closed for the call.
+    /// The target at this index; `probe` if its level is closed for the call and the call is sent to get a new report.
     Target { index: usize, probe: bool },
-    /// Every target is closed for the call's rank.
+    /// No target admits the call's rank.
     Closed,
     /// Every target that admits the call has as many attempts in flight as connections.
     Full,
-    /// There is no target that takes calls.
+    /// There is no target that accepts calls.
     NoTarget,
 }
 
-/// All that the choice for one call depends on.
+/// Chooses a target for one call, from the call's properties and the edge's settings.
 pub(crate) struct TargetSelector<'a> {
     pub(crate) now: Timestamp,
     pub(crate) rank: AdmissionRank,
@@ -69,7 +69,8 @@
 }
 
 impl TargetSelector<'_> {
-    /// Chooses among the `members` of `targets`; `last_resort` allows targets that are suspected, ejected or closed.
+    /// Chooses among the `members` of `targets`; `last_resort` also allows targets that are suspected, ejected or
+    /// avoided.
     pub(crate) fn choose(
         &self,
         targets: &[Target],
@@ -100,12 +101,12 @@
         !self.mechanisms.admission_levels || target.level.admits(self.rank, self.now, self.level_decay)
     }
 
-    /// Whether the target may have another attempt in flight.
+    /// Whether the connection limit allows another attempt in flight to the target.
     pub(crate) fn is_free(&self, target: &Target) -> bool {
         !self.mechanisms.connection_limit || target.has_free_connection()
     }
 
-    /// The targets to choose from: those not tried yet, unless there are no others.
+    /// The targets to choose from: those not tried yet, or if all were tried, all of them.
     fn candidates(&self, targets: &[Target], members: &[usize], last_resort: bool, random: &mut Pcg64) -> Vec<usize> {
         let mut candidates = sample_members(members, random);
         candidates.retain(|index| self.is_candidate(&targets[*index], last_resort));
@@ -158,7 +159,7 @@
     }
 }
 
-/// Whether a with_probability with the given probability comes out; no value of `share` is out of range.
+/// Returns true with probability `share`. Unlike `Rng::gen_bool`, it accepts values outside 0 to 1.
 pub(crate) fn with_probability(share: f64, random: &mut Pcg64) -> bool {
     random.gen::<f64>() < share
 }
--- a/crates/calls/src/edge/call.rs
+++ b/crates/calls/src/edge/call.rs
@@ -12,34 +12,34 @@
 use super::deadline::Deadline;
 use super::io::{BodyState, CallArrival};
 
-/// An attempt on its way.
+/// An attempt that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Attempt {
     /// The number of the attempt.
     pub(crate) number: u8,
-    /// Where it went.
+    /// The node it was sent to.
     pub(crate) target: NodeAddress,
     /// When it was sent.
     pub(crate) sent_at: Timestamp,
 }
 
-/// How far a call is.
+/// The phase of a call in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Nothing is on its way.
+    /// No attempt is in flight and the call waits for nothing.
     Idle,
-    /// An attempt was sent and not answered yet.
+    /// An attempt was sent and has not been answered yet.
     InFlight(Attempt),
-    /// Waits until it is sent again.
+    /// Waits for the backoff delay before the next attempt.
     Backoff {
-        /// Until when.
+        /// When the next attempt is sent.
         until: Timestamp,
     },
     /// Waits for a table that names the owner of its slot.
     WaitingOwner {
-        /// Until when at most.
+        /// When the wait times out.
         until: Timestamp,
-        /// What the caller is told if no owner is found.
+        /// The refusal sent to the caller if no owner is found.
         refusal: Refusal,
     },
     /// The answer of this attempt is being relayed to the caller.
@@ -51,46 +51,47 @@
 pub(crate) struct Call {
     /// The call as it arrived.
     pub(crate) arrival: CallArrival,
-    /// Hops above it.
+    /// The number of calls above it in the call tree.
     pub(crate) depth: u8,
-    /// Its priority, inherited ones counted.
+    /// Its priority: the more urgent of its class's and its parent's.
     pub(crate) priority: Priority,
-    /// Whether it may run more than once.
+    /// Whether it may run more than once, as its class says.
     pub(crate) repeatable: bool,
-    /// The deadline of its class, for resumed downloads.
+    /// The deadline of its class: the time limit of a resumed download, and the base of the threshold from which an
+    /// unanswered attempt counts as a failure of its target.
     pub(crate) class_deadline: Duration,
-    /// When it ends.
+    /// The deadline until which it must be answered.
     pub(crate) deadline: Deadline,
     /// Its retry tokens.
     pub(crate) budget: RetryBudget,
-    /// Whether attempts rank as retries.
+    /// Whether its attempts are ranked as retries.
     pub(crate) ranks_as_retry: bool,
-    /// Attempts sent so far, which is the number of the next one.
+    /// Attempts sent so far, which is also the number of the next one.
     pub(crate) attempts: u8,
-    /// Whether the next attempt is paid for as a retry.
+    /// Whether a retry was charged for the next attempt, which is not sent yet.
     pub(crate) retry_charged: bool,
-    /// How far it is.
+    /// Its phase.
     pub(crate) phase: Phase,
-    /// The attempt result that says most about whether it ran.
+    /// The refusal of an attempt that is the strongest evidence that the call may have run.
     pub(crate) worst_refusal: Option<Refusal>,
     /// Targets that failed or refused it.
     pub(crate) tried: Vec<NodeAddress>,
-    /// The owner that said it does not own the slot.
+    /// The owner that refused the last attempt as not the owner, or as draining, stopping or not ready.
     pub(crate) rejecting_owner: Option<NodeId>,
-    /// Whether it waited for an owner, in vain, since the last attempt.
+    /// Whether a wait for an owner timed out since the last attempt.
     pub(crate) owner_wait_expired: bool,
     /// Resumed attempts sent so far.
     pub(crate) resumes: u8,
-    /// The broken answer that a resumed attempt continues.
+    /// The interrupted answer that a resumed attempt continues.
     pub(crate) broken: Option<BodyState>,
-    /// When it wants to be woken.
+    /// When its timer fires.
     pub(crate) timer: Option<Timestamp>,
-    /// The hash of the caller's key and what was known of it.
+    /// The hash of the caller's key and its earlier uses.
     pub(crate) key: Option<(KeyHash, KeyHistory)>,
 }
 
 impl Call {
-    /// A call that arrived. The root that the parent belongs to counts, whatever the arrival says.
+    /// Creates a call from its arrival. The parent's root overrides the root of the arrival.
     pub(crate) fn new(
         mut arrival: CallArrival,
         class: &ClassConfiguration,
@@ -128,7 +129,7 @@
         self.arrival.call
     }
 
-    /// The attempt that is in flight or relayed.
+    /// The attempt that is in flight or whose answer is being relayed.
     pub(crate) fn attempt(&self) -> Option<Attempt> {
         match self.phase {
             Phase::InFlight(attempt) | Phase::Relaying(attempt) => Some(attempt),
@@ -140,12 +141,12 @@
         AttemptId { call: self.id(), attempt: attempt.number }
     }
 
-    /// The key under which it runs at most once.
+    /// The idempotency key: the caller's, or else the generated one.
     pub(crate) fn run_key(&self) -> &RequestKey {
         self.arrival.key.as_ref().unwrap_or(&self.arrival.generated_key)
     }
 
-    /// Remembers what an attempt proved; of two results the one that says more about a run counts.
+    /// Records the refusal of an attempt, unless an earlier one is stronger evidence that the call ran.
     pub(crate) fn record_refusal(&mut self, refusal: Refusal) {
         let known = self.worst_refusal.map(|worst_refusal| severity(worst_refusal.outcome));
         if known.is_none_or(|known| severity(refusal.outcome) >= known) {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// What the caller is told: `refusal`, unless an earlier attempt may have run.
+    /// The refusal for the caller: `refusal`, unless an earlier attempt is stronger evidence that the call ran.
     pub(crate) fn final_refusal(&self, refusal: Refusal) -> Refusal {
         match self.worst_refusal {
             Some(worst_refusal) if severity(worst_refusal.outcome) > severity(refusal.outcome) => worst_refusal,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// What a gate is told with an attempt.
+    /// The call context that the next attempt carries to the gate.
     pub(crate) fn context(&self, tokens: u16, rank: AdmissionRank, remaining: Duration) -> CallContext {
         let arrival = &self.arrival;
         let once = !self.repeatable;
@@ -185,7 +186,7 @@
     }
 }
 
-/// How much an outcome says about a run.
+/// Orders outcomes by how strong their evidence is that the call ran.
 fn severity(outcome: Outcome) -> u8 {
     match outcome {
         Outcome::NotRun => 0,
--- a/crates/calls/src/edge/caller.rs
+++ b/crates/calls/src/edge/caller.rs
@@ -1,7 +1,7 @@
-//! Limits callers that repeat requests or call very often, and remembers which keys may have run.
+//! Limits the retries and the call rate of each caller, and tracks the keys whose calls may have run.
 //!
-//! Use one [`CallerLimits`] per edge, for root calls only: calls made below a call are bounded by its retry budget. All
-//! memory is bounded: entries live in two generations, and the older one is dropped whole.
+//! Use one [`CallerLimits`] per edge, for root calls only: the retry budget of a root call bounds the calls below it.
+//! Memory is bounded: entries are in two generations, and the older generation is dropped as a whole.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -10,24 +10,25 @@
 use quillhatch_types::{CallerName, RequestKey, ServiceName, Timestamp};
 use xxhash_rust::xxh3::Xxh3;
 
+/// Buckets count in millionths of a token, since they refill per microsecond at a rate per second.
 const PARTS_PER_TOKEN: u64 = 1_000_000;
 
 /// Settings of the limits per caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// How long a key is tracked at least, unless too many keys are in use.
+    /// The minimum time for which a key is tracked, unless too many keys are in use.
     pub retry_window: Duration,
-    /// Repeats of keys that one caller may send per second.
+    /// Retries (calls that reuse a key) that one caller may send per second.
     pub retries_per_second: u32,
-    /// Repeats that one caller may send at once.
+    /// Retries that one caller may send in a burst.
     pub retry_burst: u32,
     /// Calls that one caller may send per second.
     pub calls_per_second: u32,
-    /// Calls that one caller may send at once.
+    /// Calls that one caller may send in a burst.
     pub call_burst: u32,
-    /// Callers tracked at once.
+    /// The maximum number of callers tracked.
     pub maximum_callers: usize,
-    /// Keys tracked at once.
+    /// The maximum number of keys tracked.
     pub maximum_keys: usize,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// A map that forgets what was not used for one to two spans, or earlier if it is full.
+/// A map that drops entries not used for one to two spans, or earlier if it is full.
 #[derive(Debug)]
 struct GenerationMap<Key, Value> {
     current: HashMap<Key, Value>,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The value of `key`, moved into the current generation.
+    /// Returns the value of `key` and moves it into the current generation.
     fn refresh(&mut self, key: Key, now: Timestamp) -> Option<&mut Value>
     where
         Key: Clone,
@@ -93,7 +94,7 @@
     }
 }
 
-/// A token bucket whose rate and burst are given with each use.
+/// A token bucket whose rate and burst are passed with each use.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     parts: u64,
@@ -105,7 +106,7 @@
         TokenBucket { parts: u64::from(burst) * PARTS_PER_TOKEN, filled_at: now }
     }
 
-    /// Takes a token, or returns the time until there is one.
+    /// Takes a token, or returns the time until one is available.
     fn take(&mut self, rate: u32, burst: u32, now: Timestamp) -> Result<(), Duration> {
         let elapsed = u64::try_from(now.since(self.filled_at).as_micros()).unwrap_or(u64::MAX);
         let earned = elapsed.saturating_mul(u64::from(rate));
@@ -126,16 +127,16 @@
     retries: TokenBucket,
 }
 
-/// What was known of a key when a call with it arrived.
+/// The earlier uses of a key, as known when a call with it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KeyHistory {
-    /// The caller used the key a short time ago.
+    /// The caller used the key recently, so the call is the caller's own retry.
     pub(crate) repeated: bool,
-    /// An earlier call with the key is running or may have run, as far as this edge knows.
+    /// An earlier call with the key through this edge is running or may have run.
     pub(crate) may_have_run: bool,
 }
 
-/// A key of one caller and service, hashed.
+/// The hash of a key, its caller and its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KeyHash(u128);
 
@@ -155,7 +156,7 @@
 pub(crate) struct CallerLimits {
     settings: CallerSettings,
     callers: GenerationMap<CallerName, CallerBuckets>,
-    /// How many calls with the key are running or may have run.
+    /// Per key, the number of calls that are running or may have run.
     keys: GenerationMap<KeyHash, u32>,
 }
 
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Notes the use of a key and tells what is known of earlier uses.
+    /// Records the use of a key and returns its earlier uses.
     pub(crate) fn record_key(&mut self, key: KeyHash, now: Timestamp) -> KeyHistory {
         if let Some(calls) = self.keys.refresh(key, now) {
             let earlier = KeyHistory { repeated: true, may_have_run: *calls > 0 };
@@ -179,18 +180,18 @@
         KeyHistory::default()
     }
 
-    /// One call with the key ended and is proven not to have run.
+    /// Records that one call with the key ended and is known not to have run.
     pub(crate) fn proven_not_run(&mut self, key: KeyHash) {
         if let Some(calls) = self.keys.find(&key) {
             *calls = calls.saturating_sub(1);
         }
     }
 
-    /// Admits a call of `caller`.
+    /// Admits a call of `caller` if its rate limits allow; `repeated` says that the call reuses a key.
     ///
     /// # Errors
     ///
-    /// Returns the time after which the caller may come back.
+    /// Returns the delay after which the caller may retry.
     pub(crate) fn admit(&mut self, caller: &CallerName, repeated: bool, now: Timestamp) -> Result<(), Duration> {
         let settings = self.settings;
         if self.callers.refresh(caller.clone(), now).is_none() {
@@ -209,7 +210,7 @@
         buckets.calls.take(settings.calls_per_second, settings.call_burst, now)
     }
 
-    /// The number of callers and keys tracked.
+    /// The numbers of callers and keys tracked.
     pub(crate) fn tracked(&self) -> (usize, usize) {
         let callers = self.callers.current.len() + self.callers.previous.len();
         let keys = self.keys.current.len() + self.keys.previous.len();
--- a/crates/calls/src/edge/deadline.rs
+++ b/crates/calls/src/edge/deadline.rs
@@ -1,12 +1,12 @@
-//! The deadline of one call: the earliest of what the caller, the class and the parent allow.
+//! The deadline of one call: the earliest of the limits set by the caller, the class and the parent.
 //!
-//! Only spans travel between nodes; each edge turns the span into a time on its own monotonic clock.
+//! Nodes send each other only durations; each edge converts a duration to a time on its own monotonic clock.
 
 use std::time::Duration;
 
 use quillhatch_types::Timestamp;
 
-/// When a call ends, and how much time its service needs at least.
+/// The deadline of a call, and the minimum time that its service needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Deadline {
     at: Timestamp,
@@ -14,13 +14,14 @@
 }
 
 impl Deadline {
-    /// The deadline of a call that arrives at `now`; a limit that is not given does not count.
+    /// Creates the deadline of a call that arrives at `now`: the smallest of the given limits, or `now` if none is
+    /// given.
     pub(crate) fn new(now: Timestamp, limits: [Option<Duration>; 3], minimum_time: Duration) -> Self {
         let remaining = limits.into_iter().flatten().min().unwrap_or(Duration::ZERO);
         Deadline { at: now + remaining, minimum_time }
     }
 
-    /// When the call ends.
+    /// The time at which the call expires.
     pub(crate) fn at(&self) -> Timestamp {
         self.at
     }
@@ -30,7 +31,7 @@
         now.until(self.at)
     }
 
-    /// The time left beyond what the service needs, which can be spent on waiting.
+    /// The time left beyond the service's minimum time, which is available for waiting.
     pub(crate) fn spare(&self, now: Timestamp) -> Duration {
         self.remaining(now).saturating_sub(self.minimum_time)
     }
--- a/crates/calls/src/edge/dispatch.rs
+++ b/crates/calls/src/edge/dispatch.rs
@@ -1,4 +1,4 @@
-//! Finds a target for a call's next attempt and sends it, or lets the call wait for the owner of its slot.
+//! Chooses a target for a call's next attempt and sends it, or makes the call wait for the owner of its slot.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use super::routes::SlotOwner;
 use super::state::Edge;
 
-/// What to do with a call that wants to be sent.
+/// What to do with a call that is ready to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Decision {
-    /// Send an attempt to the target at this place.
+    /// Send an attempt to the target at this index.
     Send { index: usize, probe: bool },
-    /// Wait for a table that names another owner; else refuse.
+    /// Wait for a table with another owner; refuse with this if the wait times out.
     Wait(Refusal),
     /// Refuse.
     Refuse(Refusal),
 }
 
 impl Edge {
-    /// Sends the call's next attempt, or lets it wait, or refuses it.
+    /// Sends the call's next attempt, makes the call wait for an owner, or refuses it.
     pub(super) fn dispatch(&mut self, now: Timestamp, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         if !self.services.contains_key(&call.arrival.service) {
             return self.finish_refused(call, Refusal::not_run(RefusalReason::NoRoute), outputs);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Chooses among all targets for a call that any of them may run.
+    /// Decides on a repeatable call, which any target may run.
     fn decide_any(
         &mut self,
         now: Timestamp,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The choice of [`super::balance`] at the site of the call's root.
+    /// Chooses a target by load balancing (see [`super::balance`]), first at the site of the call's root.
     pub(super) fn choose_target(
         &mut self,
         now: Timestamp,
@@ -95,7 +95,7 @@
         choice
     }
 
-    /// Only the owner of its slot may run a call that may not be repeated.
+    /// Decides on a non-repeatable call, which only the owner of its slot may run.
     fn decide_owner(&mut self, now: Timestamp, call: &Call, rank: AdmissionRank) -> Decision {
         let Some(service) = self.services.get(&call.arrival.service) else {
             return Decision::Refuse(Refusal::not_run(RefusalReason::NoRoute));
@@ -120,7 +120,8 @@
         if !target.is_serving() {
             return Decision::Wait(self.refuse_unrouted(RefusalReason::Draining));
         }
-        // A suspected owner is sent to only after a wait in vain: it may be well, and nobody else can run the call.
+        // A suspected owner gets the call only after a wait for another owner timed out: it may be alive, and no other
+        // node can run the call. The same holds for an owner that refused the last attempt.
         let unreliable = target.suspected || call.rejecting_owner == Some(owner);
         if unreliable && !call.owner_wait_expired {
             return not_owner;
@@ -178,7 +179,7 @@
         self.insert_call(now, call);
     }
 
-    /// Marks the call's next attempt as sent to the target at `index`.
+    /// Starts the call's next attempt to the target at `index`; returns the target and the context to send.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -200,7 +201,7 @@
         Some((node, context))
     }
 
-    /// Asks for the table of `site`, unless that was done a short time ago.
+    /// Requests the table of `site`, unless it was requested within the fetch interval.
     pub(super) fn fetch_table(&mut self, now: Timestamp, call: &Call, site: &SiteName, outputs: &mut Vec<EdgeOutput>) {
         let interval = self.settings.owner.fetch_interval;
         let Some(service) = self.services.get_mut(&call.arrival.service) else {
@@ -212,7 +213,8 @@
         }
     }
 
-    /// Every target that could run the call is overloaded. Callers are told different times, so as not to come together.
+    /// The refusal for a call that no target can take for lack of capacity. Its retry delay has random jitter, so that
+    /// callers do not retry at the same time.
     fn overloaded(&mut self) -> Refusal {
         let base = self.settings.level.retry_after;
         let microseconds = u64::try_from(base.as_micros()).unwrap_or(u64::MAX);
@@ -220,6 +222,7 @@
         Refusal::not_run(RefusalReason::Overloaded).with_retry_after(base + jitter)
     }
 
+    /// The refusal for a call without a target or a usable owner.
     fn refuse_unrouted(&self, reason: RefusalReason) -> Refusal {
         Refusal::not_run(reason).with_retry_after(self.settings.owner.retry_after)
     }
--- a/crates/calls/src/edge/ejection.rs
+++ b/crates/calls/src/edge/ejection.rs
@@ -1,27 +1,28 @@
-//! Takes a target that keeps failing out of the choice for a while.
+//! Outlier ejection: temporarily excludes a target that keeps failing from load balancing.
 //!
-//! The number of targets ejected at once is capped by the caller, so that ejection alone never takes a service down: when
-//! everything fails, for example behind a partition, everything is still tried.
+//! The caller caps the number of targets that are ejected at the same time, so that ejection alone never makes a
+//! service unavailable: when all targets fail, for example behind a network partition, the others are still tried.
 
 use std::time::Duration;
 
 use quillhatch_types::Timestamp;
 
-/// Ejections in a row after which the ejection time no longer doubles.
+/// The number of doublings after which the ejection time no longer grows.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// Settings of outlier ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectionSettings {
-    /// Failures in a row after which a target is ejected.
+    /// The number of consecutive failures after which a target is ejected.
     pub failures: u32,
-    /// How long the first ejection lasts; doubles with every further one.
+    /// The duration of the first ejection; it doubles with each further one.
     pub base: Duration,
-    /// How long an ejection lasts at most.
+    /// The maximum duration of an ejection.
     pub maximum: Duration,
-    /// The time without an ejection after which the next one is short again.
+    /// The time without an ejection after which the next one lasts only the base duration again.
     pub forget_after: Duration,
-    /// The largest share of a service's targets at one site that is ejected at once, in percent, rounded down.
+    /// The maximum share of a service's targets at one site that are ejected at the same time, in percent, rounded
+    /// down.
     pub maximum_percent: u8,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl EjectionSettings {
-    /// Whether one more of `targets` may be ejected while `ejected` are.
+    /// Whether one more of `targets` may be ejected while `ejected` of them already are.
     pub(crate) fn allows(&self, ejected: usize, targets: usize) -> bool {
         (ejected + 1) * 100 <= targets * usize::from(self.maximum_percent)
     }
@@ -48,7 +49,7 @@
     }
 }
 
-/// The recent failures of one target.
+/// The recent failures and ejections of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OutlierState {
     failures: u32,
@@ -57,18 +58,18 @@
 }
 
 impl OutlierState {
-    /// The target answered.
+    /// Records an answer, which resets the count of consecutive failures.
     pub(crate) fn success(&mut self) {
         self.failures = 0;
     }
 
-    /// The target failed; returns whether it should be ejected if the cap allows.
+    /// Records a failure; returns whether the target should be ejected if the cap allows.
     pub(crate) fn failure(&mut self, settings: &EjectionSettings) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failures >= settings.failures
     }
 
-    /// Ejects the target. It comes back on probation: one more failure ejects it again.
+    /// Ejects the target. After the ejection a single failure ejects it again.
     pub(crate) fn eject(&mut self, now: Timestamp, settings: &EjectionSettings) {
         let quiet = self.ejected_until.is_none_or(|until| now.since(until) >= settings.forget_after);
         if quiet {
@@ -79,7 +80,7 @@
         self.failures = settings.failures.saturating_sub(1);
     }
 
-    /// Whether the target is out of the choice at `now`.
+    /// Whether the target is ejected at `now`.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
--- a/crates/calls/src/edge/finish.rs
+++ b/crates/calls/src/edge/finish.rs
@@ -1,4 +1,4 @@
-//! Ends calls: with a refusal, because the caller went away, or because the time ran out.
+//! Ends calls: with a refusal, because the caller disconnected, or because the deadline passed.
 
 use quillhatch_types::{CallId, Outcome, Refusal, RefusalReason, Timestamp};
 
@@ -7,11 +7,11 @@
 use super::io::{Answer, AttemptResult, CallArrival, EdgeOutput};
 use super::state::Edge;
 
-/// An attempt without an answer counts against its target after the class's deadline divided by this.
+/// An unanswered attempt counts as a failure of its target from the class's deadline divided by this.
 const CLASS_DEADLINE_DIVISOR: u32 = 2;
 
 impl Edge {
-    /// Refuses a call before anything was done for it.
+    /// Refuses a call on arrival, before any attempt.
     pub(super) fn refuse_arrival(
         &mut self,
         arrival: &CallArrival,
@@ -27,17 +27,19 @@
         outputs.push(EdgeOutput::Finish { call: arrival.call, answer: Answer::Refuse(refusal) });
     }
 
-    /// Gives the caller `refusal`, or what an earlier attempt proved if that is worse, and drops the call.
+    /// Answers the caller with `refusal`, or with that of an earlier attempt that is stronger evidence that the call
+    /// ran, and drops the call.
     pub(super) fn finish_refused(&mut self, mut call: Box<Call>, refusal: Refusal, outputs: &mut Vec<EdgeOutput>) {
         self.refund_retry(&mut call);
         let refusal = self.resolve_key(call.key, call.final_refusal(refusal));
         self.statistics.count_refusal(&refusal);
-        // The tokens go first: once its child is answered, the parent may answer and take no more tokens back.
+        // The tokens are returned first: once its child is answered, the parent may answer too and accept no more
+        // tokens.
         self.return_tokens(&call, outputs);
         outputs.push(EdgeOutput::Finish { call: call.id(), answer: Answer::Refuse(refusal) });
     }
 
-    /// Gives the tokens of a call that has ended back to its parent.
+    /// Returns the unused tokens of a call that ends to its parent.
     pub(super) fn return_tokens(&mut self, call: &Call, outputs: &mut Vec<EdgeOutput>) {
         let tokens = call.budget.retained();
         if let Some(parent) = call.arrival.parent.as_ref().filter(|_| tokens > 0) {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// What a refusal proves of the caller's key: an earlier call with the same key may have run, and to the caller both
-    /// are the same request. "Not run" would then be a false promise.
+    /// Changes a "not run" refusal to "unknown" if an earlier call with the caller's key may have run: to the caller
+    /// both are the same request, so "not run" could be false. Records that the refused call itself did not run.
     fn resolve_key(&mut self, key: Option<(KeyHash, KeyHistory)>, refusal: Refusal) -> Refusal {
         let Some((hash, earlier)) = key else {
             return refusal;
@@ -61,7 +63,7 @@
         refusal
     }
 
-    /// The caller went away: whatever runs for it is stopped.
+    /// Cancels a call whose caller disconnected.
     pub(super) fn caller_gone(&mut self, id: CallId, outputs: &mut Vec<EdgeOutput>) {
         let Some(mut call) = self.remove_call(id) else {
             self.statistics.stale_inputs += 1;
@@ -83,10 +85,11 @@
         self.finish_refused(call, Refusal::not_run(RefusalReason::Cancelled), outputs);
     }
 
-    /// The time of a call ran out before it was answered.
+    /// Ends a call whose deadline passed before the head of an answer arrived.
     pub(super) fn expire(&mut self, now: Timestamp, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         if let Phase::InFlight(attempt) = call.phase {
-            // No answer for long counts like a lost one. A caller with little patience proves nothing against the target.
+            // After a long wait a missing answer counts as a lost one. A caller's short timeout is no evidence against
+            // the target.
             if now.since(attempt.sent_at) * CLASS_DEADLINE_DIVISOR >= call.class_deadline {
                 self.record_health(now, &call, attempt, &AttemptResult::Lost);
             }
@@ -107,7 +110,7 @@
         outputs.push(EdgeOutput::CancelAttempt { attempt: call.attempt_id(attempt) });
     }
 
-    /// The attempt is no longer in flight.
+    /// Decrements the target's count of attempts in flight.
     pub(super) fn release_target(&mut self, call: &Call, attempt: Attempt) {
         let service = self.services.get_mut(&call.arrival.service);
         if let Some(target) = service.and_then(|service| service.target(attempt.target)) {
--- a/crates/calls/src/edge/level.rs
+++ b/crates/calls/src/edge/level.rs
@@ -1,19 +1,20 @@
-//! The admission level that a gate reported, as the edge believes it.
+//! The admission level of a target, from the gate's last report and the time since then.
 //!
-//! A level without news opens again by itself, so that no state left over from an overload holds calls back after it.
+//! Without a new report the level rises to open again, so that stale state does not hold calls back after an overload.
 
 use std::time::Duration;
 
 use quillhatch_types::{AdmissionLevel, AdmissionRank, Timestamp};
 
-/// Settings of the admission levels kept per target.
+/// Settings of the admission levels tracked per target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LevelSettings {
-    /// The time without news in which a level returns to [`AdmissionLevel::OPEN`].
+    /// The time without a report after which a level is [`AdmissionLevel::OPEN`] again.
     pub decay: Duration,
-    /// The share of calls that are sent in spite of a closed level, so that news keeps coming; from 0 to 1.
+    /// The share of calls that are sent in spite of a closed level, so that reports keep arriving; from 0 to 1.
     pub probe_share: f64,
-    /// When refused callers may come back; callers are told between one and two times this span.
+    /// The delay after which refused callers may retry. A refusal for a closed level or for lack of connections gives a
+    /// random value between one and two times this.
     pub retry_after: Duration,
 }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// The last level of one target and when it was heard.
+/// The last reported level of one target and when it was received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TargetLevel {
     level: AdmissionLevel,
@@ -31,13 +32,13 @@
 }
 
 impl TargetLevel {
-    /// An answer carried `level`.
+    /// Records the `level` that came with an answer.
     pub(crate) fn update(&mut self, level: AdmissionLevel, now: Timestamp) {
         self.level = AdmissionLevel(level.0.min(AdmissionLevel::OPEN.0));
         self.received_at = now;
     }
 
-    /// The level now: it rises evenly from the reported level to open.
+    /// The level now: it rises linearly from the reported level to open.
     pub(crate) fn effective(&self, now: Timestamp, decay: Duration) -> AdmissionLevel {
         let closed = u128::from(AdmissionLevel::OPEN.0 - self.level.0);
         if closed == 0 {
--- a/crates/calls/src/edge/mechanisms.rs
+++ b/crates/calls/src/edge/mechanisms.rs
@@ -1,6 +1,6 @@
-//! Switches for the mechanisms of the edge, all on by default.
+//! Switches for the mechanisms of the edge, all enabled by default.
 //!
-//! The simulation switches a mechanism off to show what it is for; an operator never needs to.
+//! The simulation disables a mechanism to show its effect; operators never need to.
 
 use derive_more::{Display, Error};
 
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("the edge has no mechanism called {name:?}")]
 pub struct UnknownMechanism {
-    /// The name asked for.
+    /// The requested name.
     pub name: String,
 }
 
 macro_rules! mechanisms {
     ($($(#[$documentation:meta])* $name:ident,)*) => {
-        /// Which mechanisms of the edge are on.
+        /// Which mechanisms of the edge are enabled.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub struct EdgeMechanisms {
             $($(#[$documentation])* pub $name: bool,)*
@@ -30,7 +30,7 @@
             /// The names of all mechanisms.
             pub const NAMES: &'static [&'static str] = &[$(stringify!($name),)*];
 
-            /// Switches the mechanism called `name` off.
+            /// Disables the mechanism called `name`.
             ///
             /// # Errors
             ///
@@ -47,28 +47,28 @@
 }
 
 mechanisms! {
-    /// Retries consume tokens that move with the calls of a tree.
+    /// Retries consume tokens that are shared along a call tree.
     retry_budget,
-    /// Retries of a class are at most a share of its first tries.
+    /// Retries of a class are limited to a percentage of its first attempts.
     retry_ratio,
-    /// Retries wait for a random, growing time.
+    /// Retries wait for a random delay that grows exponentially.
     backoff,
-    /// The better of two targets is taken, by latency and load; else any.
+    /// Of two random targets the one with the lower latency and load is chosen; otherwise a random one.
     balancing,
-    /// Targets of the same zone are taken first.
+    /// Targets in the local zone are preferred.
     zone_preference,
-    /// Targets that keep failing are left out for a while.
+    /// Targets that keep failing are temporarily excluded.
     ejection,
     /// Calls above a target's admission level are not sent to it.
     admission_levels,
-    /// All hops order the same roots alike; else each attempt's place is random.
+    /// All hops rank the calls of one root alike; otherwise each attempt's rank is random.
     consistent_ranks,
-    /// The attempts in flight to a target are at most its connections.
+    /// The attempts in flight to a target are limited to its number of connections.
     connection_limit,
-    /// Calls with too little time left are refused before any work.
+    /// Calls with too little time left are refused before an attempt is sent.
     deadline_check,
-    /// Callers that repeat requests or call very often are limited.
+    /// The retries and the call rate of each caller are limited.
     caller_limit,
-    /// Broken downloads go on from another target.
+    /// Interrupted downloads are resumed from another target.
     resume,
 }
--- a/crates/calls/src/edge/mod.rs
+++ b/crates/calls/src/edge/mod.rs
@@ -1,9 +1,8 @@
 //! The edge takes a call from a caller, chooses a target for each attempt and decides on the final answer.
 //!
-//! Use one [`Edge`] per node. It is a state machine without input or output: the driver hands it what happens as
-//! [`EdgeInput`] with the time on its monotonic clock, does what the [`EdgeOutput`]s say, and steps it with
-//! [`EdgeInput::Tick`] at [`Edge::next_wake`]. Each mechanism has its own module and can be switched off by name in
-//! [`EdgeMechanisms`].
+//! Use one [`Edge`] per node. It is a state machine that does no I/O: the driver passes it each event as an
+//! [`EdgeInput`] with the time on its monotonic clock, executes the [`EdgeOutput`]s, and steps it with
+//! [`EdgeInput::Tick`] at [`Edge::next_wake`]. Each mechanism can be disabled by name in [`EdgeMechanisms`].
 
 mod arrival;
 mod backoff;
--- a/crates/calls/src/edge/result.rs
+++ b/crates/calls/src/edge/result.rs
@@ -1,4 +1,4 @@
-//! Takes in how an attempt came out: learns about the target, then relays, retries or refuses.
+//! Handles the result of an attempt: updates the target's state, then relays the answer, retries or refuses the call.
 
 use quillhatch_types::{AttemptId, Feedback, Timestamp};
 
@@ -8,7 +8,7 @@
 use super::state::Edge;
 
 impl Edge {
-    /// The head of an attempt's answer arrived, or the attempt failed.
+    /// Handles the head of an attempt's answer, or the attempt's failure.
     pub(super) fn attempt_answered(
         &mut self,
         now: Timestamp,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The body of the answer that is being relayed ended.
+    /// Handles the end of the body of a relayed answer; `broken` is given if the body is incomplete.
     pub(super) fn body_ended(
         &mut self,
         now: Timestamp,
@@ -118,7 +118,7 @@
         self.insert_call(now, call);
     }
 
-    /// Pays for another attempt out of the call's budget and the class's ratio; returns whether both allow it.
+    /// Charges a retry to the call's budget and the class's ratio limit; returns whether both allow it.
     pub(super) fn charge_retry(&mut self, call: &mut Call) -> bool {
         if call.attempts == u8::MAX {
             return false;
@@ -141,7 +141,7 @@
         call.retry_charged
     }
 
-    /// Takes back the payment for an attempt that was not sent.
+    /// Returns the charge for a retry that was not sent.
     pub(super) fn refund_retry(&mut self, call: &mut Call) {
         if !std::mem::take(&mut call.retry_charged) {
             return;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A first try earns its class a part of a retry.
+    /// Credits the class's ratio limit for a first attempt.
     pub(super) fn earn_retry(&mut self, call: &Call) {
         let Some(service) = self.services.get_mut(&call.arrival.service) else {
             return;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// What the result says of the target's health and speed.
+    /// Updates the target's latency, availability and failures from the result.
     pub(super) fn record_health(&mut self, now: Timestamp, call: &Call, attempt: Attempt, result: &AttemptResult) {
         match result {
             AttemptResult::Lost => self.statistics.lost_attempts += 1,
@@ -177,7 +177,7 @@
         let Some(target) = service.and_then(|service| service.target(attempt.target)) else {
             return;
         };
-        // A refusal is quick and says nothing of the back end; counted as an answer it would attract calls.
+        // A refusal is quick and says nothing about the back end; recorded as a latency it would attract calls.
         let elapsed = now.since(attempt.sent_at);
         match result {
             AttemptResult::Answered { .. } => target.record_latency(elapsed, now, &settings.balance),
@@ -227,7 +227,7 @@
     }
 }
 
-/// Takes back the tokens that went with the attempt, if the answer proves that they are not in use.
+/// Recovers the tokens lent to the attempt as far as the result proves that they are unused; otherwise discards them.
 fn recover_tokens(call: &mut Call, result: &AttemptResult, feedback: Option<Feedback>) {
     match (result, feedback) {
         (AttemptResult::ConnectFailed, _) => call.budget.return_all_tokens(),
--- a/crates/calls/src/edge/resume.rs
+++ b/crates/calls/src/edge/resume.rs
@@ -1,7 +1,7 @@
-//! Continues a broken download from another target, so that the caller's stream goes on whole.
+//! Resumes an interrupted download from another target, so that the caller receives the complete answer.
 //!
-//! This is safe only if the call may run again and a strong validator shows that both targets serve the same bytes. A
-//! resumed attempt is an attempt like others: it costs a token, counts against the ratio and has a deadline.
+//! This is safe only if the call is repeatable and a strong validator shows that both targets serve the same bytes. A
+//! resumed attempt is charged like a retry: it costs a token, counts against the ratio limit and has a deadline.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use super::state::Edge;
 
 impl Edge {
-    /// Asks another target for the rest of the broken answer, or breaks the caller's stream off.
+    /// Requests the rest of the interrupted answer from another target, or aborts the caller's stream.
     pub(super) fn resume(&mut self, now: Timestamp, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         let Some((offset, validator)) = call.broken.as_ref().and_then(rest) else {
             return self.break_off(call, outputs);
@@ -24,12 +24,13 @@
         if !wanted || !self.charge_retry(&mut call) {
             return self.break_off(call, outputs);
         }
-        // The rank stays that of the first try: refusing the rest would waste what was already sent.
+        // The attempt keeps the call's rank and is not ranked as a retry: a refusal would waste the bytes already sent.
         let rank = self.rank(&call);
         let Choice::Target { index, probe } = self.choose_target(now, &call, rank, outputs) else {
             return self.break_off(call, outputs);
         };
-        // The call's own deadline was for the head of the answer; the caller is still reading, so the rest gets a new one.
+        // The call's deadline applied to the head of the answer; the caller is still reading, so the rest gets a new
+        // one.
         call.deadline = Deadline::new(now, [Some(call.class_deadline), None, None], Duration::ZERO);
         call.resumes += 1;
         self.statistics.resumes += 1;
@@ -40,7 +41,7 @@
         self.insert_call(now, call);
     }
 
-    /// Ends the caller's stream visibly broken.
+    /// Aborts the caller's stream so that the caller can detect the truncation.
     pub(super) fn break_off(&mut self, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         self.refund_retry(&mut call);
         self.statistics.broken_off += 1;
@@ -49,7 +50,7 @@
     }
 }
 
-/// Where the missing rest begins and its validator, if it can be asked for.
+/// The offset of the first missing byte and the validator, if the rest can be requested.
 fn rest(broken: &BodyState) -> Option<(u64, StrongValidator)> {
     let length = broken.length?;
     let validator = broken.validator.clone()?;
--- a/crates/calls/src/edge/retry.rs
+++ b/crates/calls/src/edge/retry.rs
@@ -1,38 +1,38 @@
-//! Decides from the result of an attempt what the caller may be told, and whether another attempt is safe and helps.
+//! Classifies the result of an attempt: the refusal for the caller, and whether a retry is safe and useful.
 //!
-//! A call that may run only once is sent again only after proof that no back end saw it. An answered call is never sent
-//! again.
+//! A non-repeatable call is retried only if it is certain that no back end received it. An answered call is never
+//! retried.
 
 use quillhatch_types::{Outcome, Refusal, RefusalReason};
 
 use super::io::AttemptResult;
 
-/// What another attempt should do differently.
+/// How a call may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryKind {
-    /// Try again, elsewhere if possible.
+    /// Retry, at another target if possible.
     Again,
-    /// Find out who owns the slot first.
+    /// Retry at the slot's owner, which has to be looked up again.
     OtherOwner,
 }
 
-/// What the result of an attempt means for its call.
+/// The classification of an attempt's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Classification {
-    /// What the caller is told if this is the end.
+    /// The refusal for the caller if the call is not retried.
     pub(crate) refusal: Refusal,
-    /// How another attempt may go, if one is safe and helps.
+    /// How the call may be retried, if a retry is safe and useful.
     pub(crate) retry: Option<RetryKind>,
 }
 
-/// Judges a result; `None` if the attempt was answered.
+/// Classifies a result; `None` if the attempt was answered.
 pub(crate) fn classify_result(result: &AttemptResult, repeatable: bool) -> Option<Classification> {
     let refusal = match result {
         AttemptResult::Answered { .. } => return None,
         AttemptResult::Refused(refusal) => *refusal,
         AttemptResult::ConnectFailed => Refusal::not_run(RefusalReason::ConnectFailed),
         AttemptResult::Lost => Refusal::unknown(RefusalReason::ConnectionLost),
-        // Only a resumed attempt can end like this; it ran, and the rest of the answer is missing.
+        // Only a resumed attempt can have this result; the call ran, and the rest of the answer is missing.
         AttemptResult::ResumeRefused => Refusal::failed(RefusalReason::AnswerBroken),
     };
     let safe = repeatable || refusal.outcome == Outcome::NotRun;
@@ -42,7 +42,7 @@
 
 fn retry_kind(reason: RefusalReason, repeatable: bool) -> Option<RetryKind> {
     match reason {
-        // A gate that closes hands its slots on; only the next owner can run the call.
+        // A gate that drains or stops hands its slots over; only the next owner can run the call.
         RefusalReason::Draining | RefusalReason::Stopping | RefusalReason::NotReady if !repeatable => {
             Some(RetryKind::OtherOwner)
         }
@@ -73,7 +73,7 @@
     }
 }
 
-/// Whether a result speaks against the health of its target.
+/// Whether a result counts as a failure of its target in outlier ejection.
 pub(crate) fn is_failure(result: &AttemptResult) -> bool {
     match result {
         AttemptResult::ConnectFailed | AttemptResult::Lost => true,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether the target said that it takes no calls at present.
+/// Whether the target reported that it currently accepts no calls.
 pub(crate) fn is_unavailable(result: &AttemptResult) -> bool {
     let AttemptResult::Refused(refusal) = result else {
         return false;
--- a/crates/calls/src/edge/routes.rs
+++ b/crates/calls/src/edge/routes.rs
@@ -1,7 +1,7 @@
-//! Merges the tables of a service's sites into one answer to "which site and owner has this slot".
+//! Merges the tables of a service's sites into one route per slot: its site and owner.
 //!
-//! Each site's group agrees on its own table. Of two tables' assignments of a slot the one with the higher epoch wins; a
-//! wrong or old view costs a redirect and no more, since the gates check ownership themselves.
+//! Each site's group agrees on its own table. If two tables assign the same slot, the assignment with the higher epoch
+//! wins. A wrong or outdated route costs only a redirect, since the gates check ownership themselves.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,18 +10,18 @@
     Epoch, NodeId, ServiceConfiguration, ServiceTable, SiteName, SlotAssignment, SlotId, SlotState,
 };
 
-/// Who runs the non-repeatable calls of a slot, as far as the edge knows.
+/// The owner of a slot, which runs its non-repeatable calls, as known to the edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotOwner {
-    /// This gate.
+    /// The gate of this node.
     Known(NodeId),
-    /// Nobody at present: the slot is on its way to another site.
+    /// No owner: the slot is moving to another site.
     Moving,
-    /// Not known: no table, or the slot is vacant.
+    /// No known owner: a table is missing, or the slot is vacant.
     Unknown,
 }
 
-/// Where the calls of a slot go.
+/// The route of a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SlotRoute {
     /// The site that serves the slot's repeatable calls.
@@ -45,7 +45,7 @@
         self.tables.get(site)
     }
 
-    /// Takes a table in; returns whether it is news.
+    /// Stores a table; returns whether it supersedes the known one.
     pub(crate) fn accept(&mut self, table: Arc<ServiceTable>) -> bool {
         let known = self.tables.get(&table.site);
         if known.is_some_and(|known| !table.supersedes(known)) {
@@ -55,12 +55,12 @@
         true
     }
 
-    /// Forgets the tables of sites that are no longer configured.
+    /// Drops the tables of sites that are no longer configured.
     pub(crate) fn retain_sites(&mut self, is_configured: impl Fn(&SiteName) -> bool) {
         self.tables.retain(|site, _| is_configured(site));
     }
 
-    /// Merges the tables anew.
+    /// Recomputes the routes of all slots.
     pub(crate) fn rebuild(&mut self, configuration: &ServiceConfiguration) {
         let count = configuration.slot_count.max(1);
         self.slots = (0..count).map(|slot| self.merge(SlotId(slot))).collect();
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The slot is at another site: what that site's own table says of the owner, if it has one.
+    /// The route of a slot that is assigned to another site: the owner is taken from that site's own table, if known.
     fn follow(&self, slot: SlotId, site: &SiteName, assignment: &SlotAssignment) -> SlotRoute {
         let there = self.tables.get(site).and_then(|table| table.slot(slot));
         let owner = match there.map(|found| &found.state) {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Which of two assignments of the same epoch says more about the owner.
+/// Orders assignments of the same epoch by how much they say about the owner.
 fn precedence(state: &SlotState) -> u8 {
     match state {
         SlotState::Owned { .. } => 3,
@@ -104,7 +104,7 @@
     }
 }
 
-/// The site of a slot that no table has, by the shares with which the service's groups are first formed.
+/// The site of a slot that is in no known table, by the site shares with which the service's groups are first formed.
 pub(crate) fn site_by_share(configuration: &ServiceConfiguration, slot: SlotId) -> Option<SiteName> {
     let total: u32 = configuration.site_shares.values().map(|share| u32::from(*share)).sum();
     let count = u32::from(configuration.slot_count.max(1));
--- a/crates/calls/src/edge/service.rs
+++ b/crates/calls/src/edge/service.rs
@@ -1,4 +1,4 @@
-//! What the edge knows of one service: its configuration, routes, targets and ratio limits.
+//! The edge's state of one service: configuration, routes, targets and retry ratio limits.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use super::routes::{site_by_share, Routes, SlotOwner, SlotRoute};
 use super::target::Target;
 
-/// One service as the edge sees it.
+/// The edge's state of one service.
 #[derive(Debug)]
 pub(crate) struct ServiceState {
     configuration: ServiceConfiguration,
@@ -47,7 +47,7 @@
         service
     }
 
-    /// Puts a newer configuration in force; what was learnt stays.
+    /// Applies a newer configuration; the ratio limits of classes that remain are retained.
     pub(crate) fn reconfigure(&mut self, configuration: ServiceConfiguration, ratio_burst: u32) {
         self.configuration = configuration;
         self.rebuild_ratios(ratio_burst);
@@ -86,12 +86,12 @@
         self.targets.get_mut(index)
     }
 
-    /// Takes a table in; returns whether it is news.
+    /// Stores a table; returns whether it supersedes the known one.
     pub(crate) fn accept(&mut self, table: Arc<ServiceTable>) -> bool {
         self.routes.accept(table)
     }
 
-    /// Works out routes and targets anew after a change of tables or configuration.
+    /// Recomputes routes and targets after a change of tables or configuration; the state of known targets is retained.
     pub(crate) fn rebuild(&mut self, sites: &[SiteName], suspected: &BTreeSet<NodeAddress>) {
         self.routes.retain_sites(|site| sites.contains(site));
         self.routes.rebuild(&self.configuration);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The gates in the site's table, or the configured targets while there is no table.
+    /// The gates in the site's table, or the configured targets while no table is known.
     fn site_targets(&self, site: &SiteName) -> Vec<Target> {
         if let Some(table) = self.routes.table(site) {
             let gates = table.gates.iter();
@@ -132,7 +132,7 @@
             .collect()
     }
 
-    /// The site that serves a root's repeatable calls, and whether its table is missing.
+    /// The site that serves a root's repeatable calls, and whether the table of that site is missing.
     pub(crate) fn site_of_root(&self, root: RootId) -> Option<(SiteName, bool)> {
         let slot = slot_of_root(root, self.configuration.slot_count);
         let site = match self.routes.slot(slot) {
@@ -143,7 +143,7 @@
         Some((site, missing))
     }
 
-    /// The slot of a key and its route; the epoch is zero while no table has the slot.
+    /// The route of a key's slot; the epoch is zero while no table has the slot.
     pub(crate) fn route_of_key(&self, key: &RequestKey) -> Option<SlotRoute> {
         let slot: SlotId = slot_of_key(key, self.configuration.slot_count);
         if let Some(route) = self.routes.slot(slot) {
@@ -153,13 +153,14 @@
         Some(SlotRoute { site, owner: SlotOwner::Unknown, epoch: Epoch(0) })
     }
 
-    /// The place of the owner in the list of targets, if it is the run of the node that the table names.
+    /// The index of the owner in the list of targets, if the target has the owner's incarnation.
     pub(crate) fn owner_index(&self, owner: NodeId) -> Option<usize> {
         let index = *self.by_address.get(&owner.address)?;
         (self.targets[index].node == owner).then_some(index)
     }
 
-    /// Chooses a target at `site`; while that site cannot be reached at all, at another one, `local_site` first.
+    /// Chooses a target at `site`, or at another site if that one has no usable target; of the others `local_site`
+    /// first.
     pub(crate) fn choose(
         &self,
         selector: &TargetSelector<'_>,
@@ -189,7 +190,7 @@
         first.into_iter().chain(second).chain(others.map(|(_, members)| members))
     }
 
-    /// Ejects the target unless too large a share of its site is ejected; returns whether it was.
+    /// Ejects the target unless it already is, or too large a share of its site's targets is; returns whether it did.
     pub(crate) fn eject(&mut self, address: NodeAddress, now: Timestamp, settings: &EjectionSettings) -> bool {
         let Some(index) = self.by_address.get(&address).copied() else {
             return false;
@@ -206,7 +207,7 @@
         true
     }
 
-    /// Whether the table of `site` may be asked for now; notes that it is.
+    /// Whether the fetch interval of the table of `site` has passed; if so, records a fetch at `now`.
     pub(crate) fn try_start_fetch(&mut self, site: &SiteName, now: Timestamp, interval: Duration) -> bool {
         let recent = self.fetched_at.get(site).is_some_and(|at| now.since(*at) < interval);
         if !recent {
@@ -215,7 +216,7 @@
         !recent
     }
 
-    /// The epoch of the table of `site` that is known, zero if none is.
+    /// The epoch of the known table of `site`, or zero if none is known.
     pub(crate) fn epoch(&self, site: &SiteName) -> Epoch {
         self.routes.table(site).map_or(Epoch(0), |table| table.epoch)
     }
--- a/crates/calls/src/edge/settings.rs
+++ b/crates/calls/src/edge/settings.rs
@@ -11,17 +11,17 @@
 use super::level::LevelSettings;
 use super::mechanisms::EdgeMechanisms;
 
-/// The salt of admission ranks until [`super::Edge::set_rank_salt`] gives another.
+/// The salt of admission ranks until [`super::Edge::set_rank_salt`] sets another.
 pub const DEFAULT_RANK_SALT: u64 = 0;
 
-/// Settings of the way to the owner of a slot.
+/// Settings of routing to the owner of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerSettings {
-    /// How long a call waits for a table that names an owner.
+    /// How long a call waits for a table with an owner of its slot.
     pub wait: Duration,
-    /// The shortest time between two requests for the same table.
+    /// The minimum time between two fetches of the same table.
     pub fetch_interval: Duration,
-    /// When callers refused for lack of an owner may come back.
+    /// The delay after which callers that were refused for lack of an owner may retry.
     pub retry_after: Duration,
 }
 
@@ -38,11 +38,12 @@
 /// Settings of the retry limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySettings {
-    /// The share of its tokens that a call keeps for its own retries when an attempt is sent, in percent, at least one.
+    /// The share of its tokens that a call retains for its own retries when it sends an attempt, in percent; at least
+    /// one token is retained.
     pub retained_tokens_percent: u8,
-    /// Retries that the ratio limit of a class saves up at most.
+    /// The maximum number of retries that the ratio limit of a class accumulates.
     pub ratio_burst: u32,
-    /// Times that a broken download may be resumed.
+    /// The maximum number of times that an interrupted download is resumed.
     pub maximum_resumes: u8,
 }
 
@@ -59,17 +60,17 @@
     pub site: SiteName,
     /// The zone of the edge's node.
     pub zone: ZoneName,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub mechanisms: EdgeMechanisms,
     /// The salt of admission ranks; must be the same on all nodes. See [`super::Edge::set_rank_salt`].
     pub rank_salt: u64,
-    /// Calls in progress at once; further ones are refused.
+    /// The maximum number of calls in progress; further ones are refused.
     pub maximum_calls: usize,
     /// The retry limits.
     pub retry: RetrySettings,
     /// The delay before a retry.
     pub backoff: BackoffSettings,
-    /// The choice among targets.
+    /// Load balancing among targets.
     pub balance: BalanceSettings,
     /// Outlier ejection.
     pub ejection: EjectionSettings,
@@ -77,7 +78,7 @@
     pub level: LevelSettings,
     /// Limits per caller.
     pub caller: CallerSettings,
-    /// The way to the owner of a slot.
+    /// Routing to the owner of a slot.
     pub owner: OwnerSettings,
 }
 
--- a/crates/calls/src/edge/state.rs
+++ b/crates/calls/src/edge/state.rs
@@ -1,4 +1,4 @@
-//! The edge's state and the inputs that change what it knows of the fleet.
+//! The edge's state, and the handling of tables, configurations and suspicions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -19,24 +19,24 @@
 use super::settings::EdgeSettings;
 use super::statistics::EdgeStatistics;
 
-/// What the edge knows of one target, for metrics and status.
+/// The edge's view of one target, for metrics and status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetView {
     /// The service.
     pub service: ServiceName,
-    /// The node of the target; incarnation zero if only the configuration names it.
+    /// The node of the target; the incarnation is zero if only the configuration lists it.
     pub node: NodeId,
     /// Attempts in flight from this edge, relayed bodies included.
     pub in_flight: u32,
-    /// The admission level, as the edge believes it now.
+    /// The effective admission level: the last reported one, raised over the time since the report.
     pub level: AdmissionLevel,
     /// Whether the target is ejected.
     pub ejected: bool,
-    /// Whether membership suspects it.
+    /// Whether membership suspects the node of having failed.
     pub suspected: bool,
 }
 
-/// The decisions of one node's edge.
+/// The state machine of one node's edge.
 #[derive(Debug)]
 pub struct Edge {
     pub(super) settings: EdgeSettings,
@@ -53,7 +53,8 @@
 }
 
 impl Edge {
-    /// An edge without a configuration: it refuses every call until it has one. All its random choices follow from `seed`.
+    /// Creates an edge without a configuration; it refuses every call until it receives one. `seed` determines all its
+    /// random choices.
     pub fn new(settings: EdgeSettings, seed: u64) -> Self {
         Edge {
             callers: CallerLimits::new(settings.caller),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes in what happened at `now` and appends what to do to `outputs`. `now` must not go backwards.
+    /// Handles `input` at time `now` and appends the requested actions to `outputs`. `now` must not decrease.
     pub fn step(&mut self, now: Timestamp, input: EdgeInput, outputs: &mut Vec<EdgeOutput>) {
         match input {
             EdgeInput::Arrived(arrival) => self.arrived(now, arrival, outputs),
@@ -88,27 +89,27 @@
         self.fire_timers(now, outputs);
     }
 
-    /// When the edge wants to be stepped at the latest.
+    /// The latest time of the next step: when the first timer is due.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// What the edge did so far.
+    /// The counters since the edge was created.
     pub fn statistics(&self) -> &EdgeStatistics {
         &self.statistics
     }
 
-    /// Calls in progress, relayed ones included.
+    /// The number of calls in progress, relayed ones included.
     pub fn calls_in_progress(&self) -> usize {
         self.calls.len()
     }
 
-    /// Callers and keys that are remembered for the limits per caller.
+    /// The numbers of callers and keys tracked for the limits per caller.
     pub fn tracked_callers_and_keys(&self) -> (usize, usize) {
         self.callers.tracked()
     }
 
-    /// The revision of the configuration in force.
+    /// The revision of the current configuration.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
@@ -134,13 +135,14 @@
 
     /// Changes the salt of admission ranks.
     ///
-    /// All nodes must use the same salt at about the same time, so that they refuse the same roots; a driver derives it from
-    /// what all nodes share, such as the hour of the wall clock. A slow change spreads refusals over all callers in time.
+    /// All nodes must use the same salt at about the same time, so that they refuse the same roots; a driver derives it
+    /// from a value that all nodes share, such as the hour of the wall clock. A slow change spreads refusals over all
+    /// callers.
     pub fn set_rank_salt(&mut self, salt: u64) {
         self.settings.rank_salt = salt;
     }
 
-    /// The place of the call's next attempt in the order of refusal.
+    /// The admission rank of the call's next attempt.
     pub(super) fn rank(&mut self, call: &Call) -> AdmissionRank {
         let position = if self.settings.mechanisms.consistent_ranks {
             rank_position(call.arrival.root, self.settings.rank_salt)
@@ -150,7 +152,8 @@
         AdmissionRank::new(call.priority, call.ranks_as_retry, position)
     }
 
-    /// Takes a call out of the state; it is kept again or dropped by the caller of this function.
+    /// Removes a call, its timer and its entry among the calls that wait for an owner. The caller of this function
+    /// inserts the call again or drops it.
     pub(super) fn remove_call(&mut self, id: CallId) -> Option<Box<Call>> {
         let mut call = self.calls.remove(&id)?;
         if let Some(at) = call.timer.take() {
@@ -164,7 +167,7 @@
         Some(call)
     }
 
-    /// Keeps a call in progress and sets its timer.
+    /// Inserts a call in progress and sets its timer.
     pub(super) fn insert_call(&mut self, now: Timestamp, mut call: Box<Call>) {
         let id = call.id();
         let wake = match call.phase {
@@ -206,7 +209,7 @@
     }
 
     fn accept_table(&mut self, now: Timestamp, table: Arc<ServiceTable>, outputs: &mut Vec<EdgeOutput>) {
-        // Tables of services or sites that are not configured would be memory without a bound.
+        // Storing tables of services or sites that are not configured would let memory grow without bound.
         if !self.sites.contains(&table.site) {
             return;
         }
@@ -263,5 +266,5 @@
     }
 }
 
-/// Keeps a fetch interval of zero from waking the edge without end.
+/// A lower bound of the fetch interval: an interval of zero would wake the edge in an endless loop.
 const MIN_FETCH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(1);
--- a/crates/calls/src/edge/statistics.rs
+++ b/crates/calls/src/edge/statistics.rs
@@ -1,32 +1,32 @@
-//! Counters of what the edge did, for metrics.
+//! The edge's counters, for metrics.
 
 use quillhatch_types::{Outcome, Refusal, RefusalReason};
 
-/// Room for one counter per [`RefusalReason`].
+/// The capacity of the array with one counter per [`RefusalReason`].
 const REASONS: usize = 32;
 
-/// What the edge did since it started. All counters only rise.
+/// The edge's counters since it was created. All are monotonic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EdgeStatistics {
     /// Calls that arrived.
     pub arrived: u64,
-    /// Calls of the node's own back end that came without the context of a call in progress.
+    /// Calls from the node's own back end without the context of a call in progress.
     pub without_context: u64,
-    /// Calls recognised as a caller's own repeat of a key.
+    /// Calls that reuse a key of the same caller: the caller's own retries.
     pub reused_keys: u64,
     /// First attempts sent.
     pub first_attempts: u64,
     /// Retries sent, redirects to another owner included.
     pub retries: u64,
-    /// Resumed downloads sent.
+    /// Attempts sent to resume a download.
     pub resumes: u64,
-    /// Retries or resumes that were wanted and that the retry budget did not allow.
+    /// Retries or resumes denied by the retry budget.
     pub budget_denied: u64,
-    /// Retries or resumes that were wanted and that the ratio limit did not allow.
+    /// Retries or resumes denied by the ratio limit.
     pub ratio_denied: u64,
     /// Calls whose answer was relayed.
     pub relayed: u64,
-    /// Relayed answers that were broken off.
+    /// Relayed answers that were aborted.
     pub broken_off: u64,
     /// Calls refused.
     pub refused: u64,
@@ -40,9 +40,9 @@
     pub ejections: u64,
     /// Calls sent in spite of a closed admission level.
     pub probes: u64,
-    /// Calls that waited for the owner of their slot.
+    /// Waits of calls for the owner of their slot.
     pub owner_waits: u64,
-    /// Tables asked for.
+    /// Requests for tables.
     pub table_fetches: u64,
     /// Inputs about attempts or calls that are no longer in progress.
     pub stale_inputs: u64,
--- a/crates/calls/src/edge/target.rs
+++ b/crates/calls/src/edge/target.rs
@@ -1,4 +1,4 @@
-//! What the edge knows of one target of a service.
+//! The edge's state of one target of a service.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 use super::ejection::OutlierState;
 use super::level::TargetLevel;
 
-/// The latency assumed of a target that has not answered yet, in microseconds; low, so that it gets tried.
+/// The lowest latency used in the cost, in microseconds; also that of a target that has not answered yet. It is low so
+/// that new targets are tried.
 const MIN_LATENCY_MICROSECONDS: f64 = 100.0;
 
-/// A gate's own count of its calls, and what this edge had in flight when it heard it.
+/// The number of calls that a gate reported, and this edge's attempts in flight to it when the report arrived.
 #[derive(Clone, Copy, Debug)]
 struct GateLoad {
     calls: u32,
@@ -20,28 +21,28 @@
     received_at: Timestamp,
 }
 
-/// One target.
+/// A target of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The node; incarnation zero if only the configuration names it.
+    /// The node; the incarnation is zero if only the configuration lists it.
     pub(crate) node: NodeId,
     /// The site whose table or configuration lists it.
     pub(crate) site: SiteName,
-    /// Its zone.
+    /// The zone of the node.
     pub(crate) zone: ZoneName,
-    /// Whether the table says that it takes calls.
+    /// Its status in the table: whether it accepts calls.
     pub(crate) status: GateStatus,
-    /// Connections that the back end accepts.
+    /// The number of connections that the back end accepts.
     pub(crate) connections: u32,
     /// Attempts in flight from this edge, relayed bodies included.
     pub(crate) in_flight: u32,
-    /// Whether membership suspects it.
+    /// Whether membership suspects the node of having failed.
     pub(crate) suspected: bool,
     /// The admission level it reported.
     pub(crate) level: TargetLevel,
-    /// Its recent failures.
+    /// Its recent failures and ejections.
     pub(crate) outlier: OutlierState,
-    /// Until when it is left out because it said that it takes no calls.
+    /// The time until which it is avoided because it reported that it accepts no calls.
     pub(crate) unavailable_until: Timestamp,
     latency_microseconds: f64,
     sampled_at: Timestamp,
@@ -67,23 +68,23 @@
         }
     }
 
-    /// Whether a table or the configuration lets it take calls.
+    /// Whether it accepts calls according to the table or the configuration.
     pub(crate) fn is_serving(&self) -> bool {
         self.status == GateStatus::Serving
     }
 
-    /// Whether nothing speaks against it but its load.
+    /// Whether it is serving and neither suspected, ejected nor avoided; its load does not matter.
     pub(crate) fn is_healthy(&self, now: Timestamp, ejection: bool) -> bool {
         let ejected = ejection && self.outlier.is_ejected(now);
         self.is_serving() && !self.suspected && !ejected && now >= self.unavailable_until
     }
 
-    /// Whether another attempt may be in flight.
+    /// Whether fewer attempts are in flight from this edge than the back end accepts connections.
     pub(crate) fn has_free_connection(&self) -> bool {
         self.in_flight < self.connections.max(1)
     }
 
-    /// Takes over what was learnt of the same address; another run of the node starts with a clean record.
+    /// Copies the state of the same address. For another incarnation only the attempts in flight are copied.
     pub(crate) fn inherit(&mut self, old: &Target) {
         self.in_flight = old.in_flight;
         let same_run = self.node == old.node || old.node.incarnation.0 == 0 || self.node.incarnation.0 == 0;
@@ -98,7 +99,8 @@
         self.load = old.load;
     }
 
-    /// An answer took `latency`: a slower one counts at once, a faster one by and by (peak EWMA).
+    /// Records the latency of an answer: a higher one replaces the average at once, a lower one moves it gradually
+    /// (peak EWMA).
     pub(crate) fn record_latency(&mut self, latency: Duration, now: Timestamp, settings: &BalanceSettings) {
         let sample = latency.as_micros() as f64;
         let elapsed = now.since(self.sampled_at).as_micros() as f64;
@@ -112,7 +114,8 @@
         self.latency_microseconds += (sample - self.latency_microseconds) * weight;
     }
 
-    /// No answer came for `waited`: the latency is at least that, but a quick failure does not make a target look fast.
+    /// Records that no answer arrived for `waited`, which is a lower bound of the latency. A quick failure does not
+    /// make a target look fast, since lower values are ignored.
     pub(crate) fn record_unanswered(&mut self, waited: Duration, now: Timestamp) {
         let waited = waited.as_micros() as f64;
         if waited >= self.latency_microseconds {
@@ -121,7 +124,7 @@
         }
     }
 
-    /// An answer carried news of the gate.
+    /// Records the gate's feedback that came with an answer.
     pub(crate) fn record_feedback(&mut self, feedback: &Feedback, now: Timestamp) {
         self.level.update(feedback.level, now);
         self.load = Some(GateLoad {
@@ -132,9 +135,10 @@
         });
     }
 
-    /// How loaded the target is; one is full.
+    /// The utilization of the target; 1.0 is full.
     ///
-    /// The gate's own count is carried on with what this edge sent since; without recent news only this edge's calls count.
+    /// The gate's reported number of calls is adjusted by the change in this edge's attempts in flight since the
+    /// report. Without a recent report only this edge's attempts count.
     pub(crate) fn utilization(&self, now: Timestamp, settings: &BalanceSettings) -> f64 {
         let own = f64::from(self.in_flight) / f64::from(self.connections.max(1));
         match self.load {
@@ -147,7 +151,7 @@
         }
     }
 
-    /// What another call would have to bear here: the lower the better.
+    /// The cost of sending another call to this target; lower is better.
     pub(crate) fn cost(&self, now: Timestamp, settings: &BalanceSettings) -> f64 {
         let idle = now.since(self.sampled_at).as_micros() as f64;
         let memory = settings.latency_decay.as_micros().max(1) as f64;
