--- a/crates/calls/src/gate/admission.rs
+++ b/crates/calls/src/gate/admission.rs
@@ -19,8 +19,10 @@
 const BUCKETS: usize = (BANDS * RANKS_PER_BAND / BUCKET_RANKS) as usize;
 /// The factor applied to the counts of earlier periods at the end of each period.
 const COUNT_RETENTION: f64 = 0.8;
+/// Bounds of the decrease of the level in one period, in ranks.
 const MIN_DECREASE: u16 = 16;
 const MAX_DECREASE: u16 = RANKS_PER_BAND;
+/// The first and the maximum step by which the level rises in one period, in ranks.
 const INITIAL_STEP: u16 = 32;
 const MAX_STEP: u16 = RANKS_PER_BAND;
 /// The growth of the step from one period without overload to the next.
--- a/crates/calls/src/gate/limit/adaptive.rs
+++ b/crates/calls/src/gate/limit/adaptive.rs
@@ -81,15 +81,21 @@
     limit: f64,
     baselines: Baselines,
     period: PeriodMeasurements,
+    /// Whether an attempt has run yet.
     started: bool,
     trial: Option<Trial>,
+    /// The number of periods in a row with inflation above [`INFLATION_TO_CUT`].
     inflated_periods: u32,
+    /// The next step towards the initial limit, as a share of the limit.
     step: f64,
+    /// The limit before the raise that the current period tests, if there was one.
     raised_from: Option<f64>,
     raise_pause: Duration,
     raise_allowed_at: Timestamp,
+    /// The start of the last trial; before the first trial, that of the first attempt.
     verified_at: Timestamp,
     raise_trial_interval: Duration,
+    /// The earliest time of the next trial raise.
     raise_trial_at: Timestamp,
 }
 
@@ -120,6 +126,7 @@
         f64::from(self.bounds.initial_limit.max(1))
     }
 
+    /// The minimum limit.
     fn floor(&self) -> f64 {
         (self.initial_limit() * MIN_LIMIT_SHARE).max(1.0)
     }
--- a/crates/calls/src/gate/machine.rs
+++ b/crates/calls/src/gate/machine.rs
@@ -135,8 +135,8 @@
     /// The end of the drain's grace period, during which waiting attempts may still start; `None` if none waits.
     fn drain_end(&self) -> Option<Timestamp> {
         let closed = self.closed.filter(|closed| closed.reason == RefusalReason::Draining)?;
-        let any_waits = !self.short_queue.is_empty() || !self.large_queue.is_empty();
-        any_waits.then_some(closed.since + self.settings.drain_grace)
+        let any_waiting = !self.short_queue.is_empty() || !self.large_queue.is_empty();
+        any_waiting.then_some(closed.since + self.settings.drain_grace)
     }
 
     /// The feedback that goes to the edge with an answer. If `attempt` is given, its retry tokens go with it.
--- a/crates/calls/src/gate/queue.rs
+++ b/crates/calls/src/gate/queue.rs
@@ -157,11 +157,11 @@
         let rank = self.ordering_rank(rank);
         let band = usize::from(band_of(rank));
         let before: usize = self.per_band[..band].iter().sum();
-        let own = self.per_band[band];
+        let in_band = self.per_band[band];
         if !overloaded || self.order == QueueOrder::Arrival {
-            return before + own;
+            return before + in_band;
         }
-        before + own * usize::from(rank % RANKS_PER_BAND) / usize::from(RANKS_PER_BAND)
+        before + in_band * usize::from(rank % RANKS_PER_BAND) / usize::from(RANKS_PER_BAND)
     }
 
     /// How long the oldest attempt of the least important band in the queue has waited.
--- a/crates/calls/src/gate/service_time.rs
+++ b/crates/calls/src/gate/service_time.rs
@@ -9,9 +9,13 @@
 
 use quillhatch_types::Timestamp;
 
+/// Weight of a sample below the estimate.
 const DOWNWARD_GAIN: f64 = 0.2;
+/// Weight of a sample above the estimate.
 const UPWARD_GAIN: f64 = 0.05;
+/// The maximum ratio of a sample to the estimate; longer samples are reduced to it.
 const MAX_SAMPLE_RATIO: f64 = 2.0;
+/// The maximum estimate as a share of the class's deadline.
 const MAX_DEADLINE_SHARE: f64 = 0.5;
 /// After this long without a sample the estimate starts to decay, and halves once per half-life from then on.
 const HALF_LIFE: Duration = Duration::from_secs(1);
