--- a/crates/quillhatch/src/command_line/mod.rs
+++ b/crates/quillhatch/src/command_line/mod.rs
@@ -1,7 +1,7 @@
-//! The command line: one module for each kind of command.
+//! The command-line interface, with one module for each kind of command.
 //!
-//! Exit status: 0 done, 1 failed or refused, 2 wrong usage. What was asked for goes to standard output, everything else to
-//! standard error.
+//! Exit status: 0 done, 1 failed or refused, 2 wrong usage. The result of a command is written to standard output, errors
+//! and diagnostics to standard error.
 
 mod check;
 mod node;
@@ -18,16 +18,16 @@
 use derive_more::{Display, Error};
 pub use request::parse_request;
 
-/// How a command ended.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     #[display("done")]
     Done,
-    /// Failed, or refused.
+    /// The command failed, or the node refused the request.
     #[display("failed")]
     Failed,
-    /// Not understood.
+    /// The command line is invalid.
     #[display("wrong usage")]
     Usage,
 }
@@ -43,11 +43,11 @@
     }
 }
 
-/// Why a command line is not understood.
+/// An invalid command line.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{problem}")]
 pub struct UsageError {
-    /// What is wrong.
+    /// The error message.
     pub problem: String,
 }
 
@@ -57,22 +57,22 @@
     }
 }
 
-/// Where a command writes.
+/// The streams that a command writes to.
 pub struct OutputStreams<'a> {
-    /// What was asked for.
+    /// Receives the result; standard output.
     pub output: &'a mut dyn Write,
-    /// Everything else.
+    /// Receives errors and diagnostics; standard error.
     pub errors: &'a mut dyn Write,
 }
 
 impl OutputStreams<'_> {
     fn print(&mut self, text: impl std::fmt::Display) {
-        // A reader that closed its end, such as `head`, has seen what it wanted.
+        // A write error is ignored: a reader such as `head` closes the pipe when it has read enough.
         let _ = writeln!(self.output, "{text}");
     }
 
-    fn complain(&mut self, text: impl std::fmt::Display) {
-        // There is nowhere left to tell if standard error is closed.
+    fn print_error(&mut self, text: impl std::fmt::Display) {
+        // If standard error is closed, there is nowhere to report the failure.
         let _ = writeln!(self.errors, "quillhatch: {text}");
     }
 }
@@ -85,24 +85,24 @@
 Commands:
   node         run a node
   sidecar      run a node beside a target of the users' platform
-  trace        tell a request's story from collected logs
+  trace        print the log lines about a request from collected logs
   check        check a settings file or a configuration document
-  plan         ask what would be done for an intent: plan move | retire | retries
-  confirm      do what a plan says
+  plan         compute the steps for an intent: plan move | retire | retries
+  confirm      carry out a plan
   cancel       drop a plan; a confirmed one is stopped and undone
   plans        list the plans
-  status       say what is in force at a node
-  explain      say what a plan did, when and why
-  accept-loss  take a service's keyed calls again although claims were lost
+  status       show the state and configuration in force at a node
+  explain      show what a plan did, when and why
+  accept-loss  accept a service's keyed calls again although claims were lost
 
-quillhatch COMMAND --help tells more about a command; quillhatch --version tells the release.
+quillhatch COMMAND --help describes a command; quillhatch --version prints the version.
 Exit status: 0 done, 1 failed or refused, 2 wrong usage.";
 
-/// Runs the command line `arguments`, without the program's name.
+/// Runs the command line `arguments`, which excludes the program's name.
 pub fn run(arguments: &[String], streams: &mut OutputStreams<'_>) -> ExitStatus {
     let Some((command, rest)) = arguments.split_first() else {
-        streams.complain("no command is given");
-        streams.complain(HELP);
+        streams.print_error("no command given");
+        streams.print_error(HELP);
         return ExitStatus::Usage;
     };
     let result = match command.as_str() {
@@ -119,15 +119,16 @@
         "sidecar" => sidecar::run(rest, streams),
         "trace" => trace::run(rest, streams),
         name if request::is_command(name) => remote::run(name, rest, streams),
-        unknown => Err(UsageError::new(format!("there is no command {unknown:?}"))),
+        unknown => Err(UsageError::new(format!("unknown command {unknown:?}"))),
     };
     result.unwrap_or_else(|error| {
-        streams.complain(error);
-        streams.complain(format!("see quillhatch {}--help", command_prefix(command)));
+        streams.print_error(error);
+        streams.print_error(format!("see quillhatch {}--help", command_prefix(command)));
         ExitStatus::Usage
     })
 }
 
+/// Returns the command's name followed by a space, for the hint at its help, or nothing if there is no such command.
 fn command_prefix(command: &str) -> String {
     let known = matches!(command, "node" | "check" | "sidecar" | "trace") || request::is_command(command);
     if known {
--- a/crates/quillhatch/src/command_line/node.rs
+++ b/crates/quillhatch/src/command_line/node.rs
@@ -1,11 +1,11 @@
-//! `quillhatch node`: runs a node until it is told to stop.
+//! `quillhatch node`: runs a node until it receives a signal to stop.
 
 use getopts::Matches;
 use quillhatch_settings::presentation::render_text;
 use quillhatch_settings::{parse_node_settings, FlagOverrides, NodeSettings};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-use super::options::{no_free_arguments, required, Command};
+use super::options::{reject_free_arguments, required_value, Command};
 use super::{ExitStatus, OutputStreams, UsageError};
 use crate::logging;
 use crate::running::{start, RunningNode};
@@ -13,15 +13,15 @@
 fn command() -> Command {
     Command::new(
         "node --settings FILE [OPTIONS]",
-        "Runs a node until SIGTERM or SIGINT, then stops it without cutting calls.",
+        "Runs a node until SIGTERM or SIGINT, then shuts it down gracefully.",
     )
     .value("settings", "the settings file (TOML)", "FILE")
-    .value("site", "the node's site, in place of the file's", "NAME")
-    .value("zone", "the node's zone, in place of the file's", "NAME")
-    .value("callers", "where callers connect, in place of the file's", "IP:PORT")
-    .value("peers", "where other nodes connect, in place of the file's", "IP:PORT")
-    .value("operators", "where operators connect, in place of the file's", "IP:PORT")
-    .value("backend", "where the back end listens, in place of the file's", "IP:PORT")
+    .value("site", "the node's site; overrides the settings file", "NAME")
+    .value("zone", "the node's zone; overrides the settings file", "NAME")
+    .value("callers", "the address for callers; overrides the settings file", "IP:PORT")
+    .value("peers", "the address for other nodes; overrides the settings file", "IP:PORT")
+    .value("operators", "the address for operators; overrides the settings file", "IP:PORT")
+    .value("backend", "the address of the back end; overrides the settings file", "IP:PORT")
 }
 
 /// Runs the command.
@@ -29,26 +29,26 @@
     let Some(matches) = command().parse(arguments, streams)? else {
         return Ok(ExitStatus::Done);
     };
-    no_free_arguments(&matches)?;
-    let path = required(&matches, "settings")?;
+    reject_free_arguments(&matches)?;
+    let path = required_value(&matches, "settings")?;
     let Some(settings) = read_settings(&path, &overrides(&matches), streams) else {
         return Ok(ExitStatus::Failed);
     };
     if let Err(error) = logging::set_up(&settings.log) {
-        streams.complain(format!("cannot set up logging: {error}"));
+        streams.print_error(format!("cannot set up logging: {error}"));
         return Ok(ExitStatus::Failed);
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            streams.complain(format!("cannot start the runtime: {error}"));
+            streams.print_error(format!("cannot start the runtime: {error}"));
             return Ok(ExitStatus::Failed);
         }
     };
     match runtime.block_on(serve(settings)) {
         Ok(exit) => Ok(exit),
         Err(error) => {
-            streams.complain(error);
+            streams.print_error(error);
             Ok(ExitStatus::Failed)
         }
     }
@@ -65,12 +65,12 @@
     }
 }
 
-/// Reads and checks the settings; tells every finding.
+/// Reads and checks the settings file, and prints all findings.
 fn read_settings(path: &str, overrides: &FlagOverrides, streams: &mut OutputStreams<'_>) -> Option<NodeSettings> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
-            streams.complain(format!("cannot read {path}: {error}"));
+            streams.print_error(format!("cannot read {path}: {error}"));
             return None;
         }
     };
@@ -79,11 +79,12 @@
         Err(findings) => (None, findings),
     };
     if !findings.is_empty() {
-        streams.complain(render_text(&findings).trim_end());
+        streams.print_error(render_text(&findings).trim_end());
     }
     settings
 }
 
+/// The signals that stop the node.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -94,7 +95,8 @@
         Ok(StopSignals { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
     }
 
-    async fn next(&mut self) {
+    /// Waits for the next signal.
+    async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -105,16 +107,16 @@
 async fn serve(settings: NodeSettings) -> Result<ExitStatus, Box<dyn std::error::Error>> {
     let mut signals = StopSignals::new()?;
     let node = start(settings).await?;
-    signals.next().await;
+    signals.wait().await;
     Ok(stop(node, &mut signals).await)
 }
 
-/// Stops the node; a second signal means that nobody wants to wait for the calls in flight.
+/// Shuts the node down gracefully. A second signal ends it at once, without waiting for the calls in flight.
 async fn stop(node: RunningNode, signals: &mut StopSignals) -> ExitStatus {
     tokio::select! {
         report = node.stop() => if report.aborted.is_empty() { ExitStatus::Done } else { ExitStatus::Failed },
-        () = signals.next() => {
-            log::error!("stopped at once by a second signal; calls in flight are cut");
+        () = signals.wait() => {
+            log::error!("stopped immediately by a second signal; calls in flight are aborted");
             ExitStatus::Failed
         }
     }
--- a/crates/quillhatch/src/command_line/options.rs
+++ b/crates/quillhatch/src/command_line/options.rs
@@ -1,22 +1,22 @@
-//! Reads the options of one command.
+//! Parses the options of a command.
 
 use getopts::{Matches, Options, ParsingStyle};
 
 use super::{OutputStreams, UsageError};
 
-/// The options of one command, with its help.
+/// A command's options and help text.
 pub struct Command {
     options: Options,
     brief: String,
 }
 
 impl Command {
-    /// A command with the usage line `usage` and one sentence on what it does.
-    pub fn new(usage: &str, purpose: &str) -> Self {
+    /// Creates a command with the usage line `usage` and a short description.
+    pub fn new(usage: &str, description: &str) -> Self {
         let mut options = Options::new();
         options.parsing_style(ParsingStyle::FloatingFrees);
         options.optflag("h", "help", "print this help");
-        Command { options, brief: format!("{purpose}\n\nUsage: quillhatch {usage}") }
+        Command { options, brief: format!("{description}\n\nUsage: quillhatch {usage}") }
     }
 
     /// Adds an option with a value.
@@ -31,13 +31,13 @@
         self
     }
 
-    /// Reads `arguments`; `None` if the help was asked for and printed.
+    /// Parses `arguments`. If they ask for help, prints it and returns `None`.
     ///
     /// # Errors
     ///
-    /// Returns what is not understood.
+    /// Returns an error if the arguments are invalid.
     pub fn parse(&self, arguments: &[String], streams: &mut OutputStreams<'_>) -> Result<Option<Matches>, UsageError> {
-        // The help is given even if the rest is wrong: whoever asks for it may not know better.
+        // Help is printed even if the other arguments are invalid: a user who asks for it may not know the valid ones.
         if arguments.iter().any(|argument| argument == "--help" || argument == "-h") {
             streams.print(self.options.usage(&self.brief).trim_end());
             return Ok(None);
@@ -46,15 +46,15 @@
     }
 }
 
-/// Refuses arguments that the command does not take.
-pub fn no_free_arguments(matches: &Matches) -> Result<(), UsageError> {
+/// Returns an error if there are positional arguments left.
+pub fn reject_free_arguments(matches: &Matches) -> Result<(), UsageError> {
     match matches.free.first() {
-        Some(argument) => Err(UsageError::new(format!("{argument:?} is not expected here"))),
+        Some(argument) => Err(UsageError::new(format!("unexpected argument {argument:?}"))),
         None => Ok(()),
     }
 }
 
-/// The value of an option that must be there.
-pub fn required(matches: &Matches, name: &str) -> Result<String, UsageError> {
+/// The value of a required option.
+pub fn required_value(matches: &Matches, name: &str) -> Result<String, UsageError> {
     matches.opt_str(name).ok_or_else(|| UsageError::new(format!("--{name} is missing")))
 }
--- a/crates/quillhatch/src/command_line/tests.rs
+++ b/crates/quillhatch/src/command_line/tests.rs
@@ -5,25 +5,25 @@
 
 use super::*;
 
-struct Ran {
+struct CommandResult {
     exit: ExitStatus,
     output: String,
     errors: String,
 }
 
-fn run_line(line: &[&str]) -> Ran {
+fn run_command(line: &[&str]) -> CommandResult {
     let arguments: Vec<String> = line.iter().map(ToString::to_string).collect();
     let (mut output, mut errors) = (Vec::new(), Vec::new());
     let exit = run(&arguments, &mut OutputStreams { output: &mut output, errors: &mut errors });
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    Ran { exit, output: text(output), errors: text(errors) }
+    CommandResult { exit, output: text(output), errors: text(errors) }
 }
 
 fn parse(line: &[&str]) -> Result<OperatorRequest, UsageError> {
     let arguments: Vec<String> = line[1..].iter().map(ToString::to_string).collect();
     let (mut output, mut errors) = (Vec::new(), Vec::new());
     let parsed = parse_request(line[0], &arguments, &mut OutputStreams { output: &mut output, errors: &mut errors })?;
-    Ok(parsed.expect("no help").request)
+    Ok(parsed.expect("a request").request)
 }
 
 #[test_case(&[]; "nothing")]
@@ -44,31 +44,31 @@
 #[test_case(&["plans", "--colour"]; "unknown option")]
 #[test_case(&["sidecar", "--without", "gravity"]; "unknown mechanism")]
 fn wrong_usage_exits_with_2(line: &[&str]) {
-    let ran = run_line(line);
-    assert_eq!((ran.exit.code(), ran.output.as_str()), (2, ""));
-    assert!(ran.errors.contains("--help"), "{}", ran.errors);
+    let result = run_command(line);
+    assert_eq!((result.exit.code(), result.output.as_str()), (2, ""));
+    assert!(result.errors.contains("--help"), "{}", result.errors);
 }
 
 #[test]
 fn every_command_has_its_help() {
     for command in ["node", "check", "plan", "confirm", "cancel", "plans", "status", "explain", "accept-loss"] {
-        let ran = run_line(&[command, "--help"]);
-        assert_eq!(ran.exit, ExitStatus::Done);
-        assert!(ran.output.contains(&format!("Usage: quillhatch {command}")), "{}", ran.output);
+        let result = run_command(&[command, "--help"]);
+        assert_eq!(result.exit, ExitStatus::Done);
+        assert!(result.output.contains(&format!("Usage: quillhatch {command}")), "{}", result.output);
     }
-    assert!(run_line(&["--version"]).output.starts_with("quillhatch "));
+    assert!(run_command(&["--version"]).output.starts_with("quillhatch "));
 }
 
 #[test]
-fn a_node_that_is_not_there_is_a_failure() {
-    // Port 1 of the loopback address: nothing listens there.
-    let ran = run_line(&["status", "--node", "127.0.0.1:1"]);
-    assert_eq!(ran.exit, ExitStatus::Failed);
-    assert!(ran.errors.contains("cannot connect"), "{}", ran.errors);
+fn an_unreachable_node_is_a_failure() {
+    // Nothing listens on port 1 of the loopback address.
+    let result = run_command(&["status", "--node", "127.0.0.1:1"]);
+    assert_eq!(result.exit, ExitStatus::Failed);
+    assert!(result.errors.contains("cannot connect"), "{}", result.errors);
 }
 
 #[test]
-fn intents_are_read_from_options() {
+fn intents_are_parsed_from_options() {
     let line = ["plan", "move", "--service", "giving", "--from", "old", "--to", "new", "--percent", "25"];
     let Ok(OperatorRequest::Plan { intent: Intent::MoveShare { from, to, percent, .. } }) = parse(&line) else {
         panic!("no move: {:?}", parse(&line));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn check_names_every_mistake_with_its_line() {
+fn check_reports_every_error_with_its_line() {
     let text = "deployment = \"test\"\nsite = \"o ld\"\nzone = \"one\"\n\
         [listeners]\ncallers = \"127.0.0.1:1\"\npeers = \"127.0.0.1:2\"\noperators = \"127.0.0.1:2\"\n\
         [fleet]\nkeys = [{ id = 1, secret = \"000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f\" }]\n\
@@ -91,12 +91,13 @@
     let path = std::env::temp_dir().join(format!("quillhatch-check-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("the file is written");
     let name = path.to_string_lossy().into_owned();
-    let ran = run_line(&["check", "--settings", &name]);
+    let result = run_command(&["check", "--settings", &name]);
     std::fs::remove_file(&path).expect("the file is removed");
-    assert_eq!(ran.exit, ExitStatus::Failed);
+    assert_eq!(result.exit, ExitStatus::Failed);
     for (line, key) in [(2, "site"), (7, "listeners.operators"), (13, "stop.grace")] {
-        let found = ran.output.lines().any(|one| one.starts_with(&format!("{name}:{line}:")) && one.contains(key));
-        assert!(found, "line {line} is not named: {}", ran.output);
+        let reported =
+            result.output.lines().any(|output| output.starts_with(&format!("{name}:{line}:")) && output.contains(key));
+        assert!(reported, "line {line} is not reported: {}", result.output);
     }
-    assert_eq!(ran.output.matches(": error: ").count(), 3, "{}", ran.output);
+    assert_eq!(result.output.matches(": error: ").count(), 3, "{}", result.output);
 }
--- a/crates/quillhatch/src/command_line/trace/tests.rs
+++ b/crates/quillhatch/src/command_line/trace/tests.rs
@@ -1,6 +1,6 @@
-//! Stories from lines as nodes write them.
+//! Tests of `trace` with log lines in the form that nodes write.
 
-use super::{collect, story};
+use super::{collect, sort_and_format};
 
 const LINES: &str = r#"
   19.2 n2 {"up_s":7.1,"node":"n2","event":"given-up","id":"a1","route":"pay","why":"broken","may_have_run":true}
@@ -12,11 +12,11 @@
 "#;
 
 #[test]
-fn the_lines_of_a_request_come_in_the_order_of_the_hops() {
-    let mut found = Vec::new();
-    collect("a1", LINES.as_bytes(), &mut found);
-    let story = story(found);
-    let begins: Vec<&str> = story.iter().map(|line| line.split(':').next().expect("a beginning")).collect();
-    assert_eq!(begins, ["a1 gate at n3", "a1 attempt-failed at n2", "a1 given-up at n2", "a1.b2 refused at n3"]);
-    assert!(story[2].contains("why=\"broken\""), "{}", story[2]);
+fn lines_of_a_request_are_printed_in_hop_order() {
+    let mut lines = Vec::new();
+    collect("a1", LINES.as_bytes(), &mut lines);
+    let printed = sort_and_format(lines);
+    let prefixes: Vec<&str> = printed.iter().map(|line| line.split(':').next().expect("a prefix")).collect();
+    assert_eq!(prefixes, ["a1 gate at n3", "a1 attempt-failed at n2", "a1 given-up at n2", "a1.b2 refused at n3"]);
+    assert!(printed[2].contains("why=\"broken\""), "{}", printed[2]);
 }
