--- a/crates/quillhatch/tests/calls.rs
+++ b/crates/quillhatch/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over real nodes: the whole path, keys, replay, and callers that leave.
+//! Calls through real nodes: the whole path, idempotency keys, replayed answers, and callers that disconnect.
 
 mod support;
 
@@ -10,8 +10,8 @@
 use support::fleet::{eventually, Fleet};
 use tokio::task::JoinHandle;
 
-/// Longer than a caller takes to leave, or to send the next request, also on a busy machine.
-const LONG_RUN_MILLISECONDS: u64 = 1_500;
+/// Longer than a caller needs to disconnect or to send the next request, even on a busy machine.
+const SLOW_REQUEST_MILLISECONDS: u64 = 1_500;
 
 const DOWNLOAD_BYTES: u64 = 20_000_000;
 
@@ -22,8 +22,8 @@
     assert_eq!((problem["outcome"].as_str(), problem["reason"].as_str()), (Some(outcome), Some(reason)));
 }
 
-/// Sends the first request under the key and waits until the back end runs it.
-async fn start_first(fleet: &Fleet) -> JoinHandle<reqwest::Result<Response>> {
+/// Sends the first request with the key and waits until the back end runs it.
+async fn start_first_request(fleet: &Fleet) -> JoinHandle<reqwest::Result<Response>> {
     let mut first = tokio::spawn(fleet.post("a-key", "first", "one pledge").send());
     let runs = async || (fleet.gates[0].runs("first").0 == 1).then_some(());
     tokio::select! {
@@ -35,7 +35,7 @@
     }
 }
 
-async fn run_answer(answer: Response) -> RunAnswer {
+async fn expect_run_answer(answer: Response) -> RunAnswer {
     assert_eq!(answer.status(), 200);
     serde_json::from_slice(&answer.bytes().await.expect("body")).expect("a back end's answer")
 }
@@ -53,47 +53,50 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_and_its_answer_is_repeated() {
+async fn a_request_with_a_key_runs_once_and_its_answer_is_replayed() {
     let fleet = Fleet::start(1).await;
     let gate = &fleet.gates[0];
-    gate.set_delay(LONG_RUN_MILLISECONDS);
-    let first = start_first(&fleet).await;
-    let meanwhile = fleet.post("a-key", "meanwhile", "one pledge").send().await.expect("answer");
-    assert_problem(meanwhile, 409, "unknown", "key-in-progress").await;
-    let first = run_answer(first.await.expect("task").expect("answer")).await;
+    gate.set_delay(SLOW_REQUEST_MILLISECONDS);
+    let first = start_first_request(&fleet).await;
+    let concurrent = fleet.post("a-key", "concurrent", "one pledge").send().await.expect("answer");
+    assert_problem(concurrent, 409, "unknown", "key-in-progress").await;
+    let first = expect_run_answer(first.await.expect("task").expect("answer")).await;
     gate.set_delay(0);
-    let repeat = run_answer(fleet.post("a-key", "repeat", "one pledge").send().await.expect("answer")).await;
-    assert_eq!((first.identity.as_str(), &first), ("first", &repeat));
+    let retry = expect_run_answer(fleet.post("a-key", "retry", "one pledge").send().await.expect("answer")).await;
+    assert_eq!((first.identity.as_str(), &first), ("first", &retry));
     let other = fleet.post("a-key", "other", "another pledge").send().await.expect("answer");
     assert_problem(other, 422, "unknown", "key-conflict").await;
-    let runs: Vec<_> = ["first", "meanwhile", "repeat", "other"].map(|identity| gate.runs(identity)).into();
+    let runs: Vec<_> = ["first", "concurrent", "retry", "other"].map(|identity| gate.runs(identity)).into();
     assert_eq!(runs, [(1, 1), (0, 0), (0, 0), (0, 0)]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_run_that_may_not_be_repeated_outlives_its_caller() {
+async fn a_non_repeatable_request_continues_after_its_caller_disconnects() {
     let fleet = Fleet::start(1).await;
     let gate = &fleet.gates[0];
-    gate.set_delay(LONG_RUN_MILLISECONDS);
-    let caller = start_first(&fleet).await;
+    gate.set_delay(SLOW_REQUEST_MILLISECONDS);
+    let caller = start_first_request(&fleet).await;
     caller.abort();
-    eventually("the edge has forgotten it", || async {
+    eventually("the call at the edge ends", || async {
         fleet.edge.driver().active_requests().is_empty().then_some(())
     })
     .await;
-    eventually("the run ends", || async { gate.node.driver().active_requests().is_empty().then_some(()) }).await;
+    eventually("the attempt at the gate ends", || async {
+        gate.node.driver().active_requests().is_empty().then_some(())
+    })
+    .await;
     assert_eq!(gate.runs("first"), (1, 1));
-    let repeat = run_answer(fleet.post("a-key", "repeat", "one pledge").send().await.expect("answer")).await;
-    assert_eq!((repeat.identity.as_str(), gate.runs("repeat")), ("first", (0, 0)));
+    let retry = expect_run_answer(fleet.post("a-key", "retry", "one pledge").send().await.expect("answer")).await;
+    assert_eq!((retry.identity.as_str(), gate.runs("retry")), ("first", (0, 0)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_go_on_when_a_gate_dies() {
+async fn calls_succeed_after_a_gate_fails() {
     let mut fleet = Fleet::start(3).await;
-    let dead = fleet.gates.remove(0);
-    dead.node.kill().await;
+    let failed_gate = fleet.gates.remove(0);
+    failed_gate.node.kill().await;
     for call in 0..20 {
-        let answer = run_answer(fleet.get(&format!("/lookups/{call}")).await).await;
+        let answer = expect_run_answer(fleet.get(&format!("/lookups/{call}")).await).await;
         assert_ne!(answer.backend, "backend-0");
     }
 }
@@ -102,13 +105,13 @@
 async fn calls_of_a_back_end_without_context_are_counted() {
     let fleet = Fleet::start(1).await;
     let node = &fleet.gates[0].node;
-    let counted = || {
+    let count = || {
         let statistics = node.driver().statistics();
-        statistics.iter().find(|one| one.name == "calls_without_context").map(|one| one.value)
+        statistics.iter().find(|statistic| statistic.name == "calls_without_context").map(|statistic| statistic.value)
     };
     for (address, total) in [(Some(node.addresses.callers), 0.0), (node.addresses.outgoing, 1.0)] {
         let url = format!("http://{}/giving/lookups/child", address.expect("the listener"));
-        run_answer(client().get(url).send().await.expect("answer")).await;
-        assert_eq!(counted(), Some(total));
+        expect_run_answer(client().get(url).send().await.expect("answer")).await;
+        assert_eq!(count(), Some(total));
     }
 }
--- a/crates/quillhatch/tests/headers.rs
+++ b/crates/quillhatch/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Which header fields pass, which requests are refused, and what callers are told.
+//! Which header fields are forwarded, which requests are refused, and what callers receive.
 
 mod support;
 
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_cannot_speak_for_the_nodes() {
+async fn reserved_and_hop_by_hop_fields_of_a_back_end_are_removed() {
     let answer = "HTTP/1.1 200 OK\r\nconnection: x-listed\r\nx-listed: 1\r\noutcome: not-run\r\n\
         quillhatch-refusal: not-run overloaded 0\r\nx-own: kept\r\ncontent-length: 2\r\n\r\nok";
     let (backend, _) = start_raw(answer.as_bytes().to_vec(), false).await;
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sizes_are_bounded() {
+async fn header_and_body_sizes_are_limited() {
     let edge = start_edge_with(Vec::new(), keys(1), Some(40_000)).await;
     let long = "x".repeat(usize::try_from(HEADER_LIMIT).expect("size"));
     let answer = client().get(edge.url("/x")).header("x-long", long).send().await.expect("answer");
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_streamed_body_without_a_length_is_bounded_too() {
+async fn a_streamed_body_without_a_length_is_limited() {
     let gate = start_gate(start_rocket().await).await;
     let edge = start_edge_with(vec![gate.node], keys(1), Some(40_000)).await;
     let chunks = (0..50).map(|_| Ok::<_, std::io::Error>(vec![0; 1_000]));
@@ -101,32 +101,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_gate_takes_attempts_of_its_fleet_only() {
-    let (backend, seen) = start_raw(Vec::new(), false).await;
+async fn a_gate_accepts_attempts_of_its_own_fleet_only() {
+    let (backend, record) = start_raw(Vec::new(), false).await;
     let gate = start_gate(backend).await;
-    let stranger = start_edge_with(vec![gate.node], keys(2), None).await;
-    assert_refused(client().get(stranger.url("/x")).send().await.expect("answer"), 503, "no-target").await;
+    let foreign_edge = start_edge_with(vec![gate.node], keys(2), None).await;
+    assert_refused(client().get(foreign_edge.url("/x")).send().await.expect("answer"), 503, "no-target").await;
     let unaccepted = UnacceptedLabels { reason: "wrong-tag" };
-    assert_eq!(stranger.counters.unaccepted_attempts.get_or_create(&unaccepted).get(), 1);
+    assert_eq!(foreign_edge.counters.unaccepted_attempts.get_or_create(&unaccepted).get(), 1);
     let direct = client().get(format!("http://{}/x", gate.node.address)).send().await.expect("answer");
     assert_eq!(direct.status(), 401);
     assert_eq!(gate.counters.rejected_call_headers.get(), 2);
-    assert!(seen.requests.lock().expect("requests").is_empty());
+    assert!(record.requests.lock().expect("requests").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_that_refuses_before_running_proves_not_run() {
+async fn a_status_that_means_refused_before_running_gives_the_outcome_not_run() {
     let gate = start_gate(start_rocket().await).await;
     let edge = start_edge(vec![gate.node]).await;
     assert_refused(client().get(edge.url("/refuse")).send().await.expect("answer"), 503, "overloaded").await;
     let refused = AnswerEnd::RefusedBeforeRunning { status: 529 };
-    let seen =
+    let is_refused =
         |input: &NodeInput| matches!(input, NodeInput::Gate(GateInput::AnswerEnded { end, .. }) if *end == refused);
-    gate.log.wait_for("refused before running", seen).await;
+    gate.log.wait_for("refused before running", is_refused).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_has_the_same_digest_and_another_request_has_not() {
+async fn a_retry_has_the_same_digest_and_a_different_request_a_different_one() {
     let edge = start_edge(Vec::new()).await;
     for body in ["one", "one", "two"] {
         let request = client().post(edge.url("/x")).header("idempotency-key", "k").body(body);
@@ -155,16 +155,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edge_sends_no_forged_field_and_believes_no_stranger() {
+async fn an_edge_drops_forged_fields_and_rejects_answers_of_a_foreign_server() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-    let (stranger, seen) = start_raw(answer.as_bytes().to_vec(), false).await;
-    let target = NodeId { address: NodeAddress(stranger), incarnation: Incarnation(1) };
+    let (foreign_server, record) = start_raw(answer.as_bytes().to_vec(), false).await;
+    let target = NodeId { address: NodeAddress(foreign_server), incarnation: Incarnation(1) };
     let edge = start_edge(vec![target]).await;
     let request =
         client().get(edge.url("/x")).header("quillhatch-context", "forged").header("quillhatch-call", "forged");
     let answer = request.send().await.expect("answer");
     assert_eq!(answer.status(), 502);
     assert_eq!(answer.headers()["outcome"], "unknown");
-    let sent = seen.requests.lock().expect("requests").concat();
+    let sent = record.requests.lock().expect("requests").concat();
     assert!(sent.contains("quillhatch-call: 1.1.") && !sent.contains("forged"), "{sent}");
 }
--- a/crates/quillhatch/tests/node.rs
+++ b/crates/quillhatch/tests/node.rs
@@ -1,4 +1,4 @@
-//! Whole nodes: the operators' listener, messages between nodes, and the planned stop.
+//! Complete nodes: the operator listener, messages between nodes, and graceful shutdown.
 
 mod support;
 
@@ -13,16 +13,16 @@
 use quillhatch_standins::server::any_loopback;
 use support::backend::{start_raw, start_rocket};
 use support::node::{settings, start, TOKEN};
-use support::{client, BOUND, SERVICE};
+use support::{client, SERVICE, TEST_TIMEOUT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_need_the_token() {
+async fn operator_requests_require_the_token() {
     let (node, log) = start(settings(None), Vec::new()).await;
     let url = |path: &str| format!("http://{}{path}", node.addresses.operators);
-    for open in ["/health", "/ready"] {
-        assert_eq!(client().get(url(open)).send().await.expect("answer").status(), 200);
+    for public_path in ["/health", "/ready"] {
+        assert_eq!(client().get(url(public_path)).send().await.expect("answer").status(), 200);
     }
     for token in ["", "another-operators-token"] {
         let metrics = client().get(url("/metrics")).bearer_auth(token).send().await.expect("answer");
@@ -40,12 +40,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn messages_reach_their_node_and_forged_ones_do_not() {
+async fn messages_are_delivered_and_forged_frames_are_rejected() {
     let (sender, _) = start(settings(None), Vec::new()).await;
     let (receiver, log) = start(settings(None), Vec::new()).await;
     let payload = Payload { kind: PayloadKind::Membership, service: None, bytes: vec![1, 2, 3] };
     sender.driver().send(receiver.node.address, Some(receiver.node.incarnation), payload.clone());
-    let arrived = |input: &NodeInput| matches!(input, NodeInput::Message { from, payload: got, .. } if *from == sender.node && *got == payload);
+    let arrived = |input: &NodeInput| matches!(input, NodeInput::Message { from, payload: received, .. } if *from == sender.node && *received == payload);
     log.wait_for("the message", arrived).await;
     let url = format!("http://{}/frames", receiver.addresses.peers);
     let forged = [&40_u32.to_be_bytes()[..], &[7; 40]].concat();
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_lets_a_running_answer_finish() {
+async fn a_graceful_shutdown_finishes_an_answer_in_flight() {
     let (gate, gate_log) = start(settings(Some(start_rocket().await)), Vec::new()).await;
     let (edge, edge_log) = start(settings(None), vec![gate.node]).await;
     let url = format!("http://{}/giving/download", edge.addresses.callers);
@@ -67,13 +67,13 @@
     }
     assert_eq!(answer.bytes().await.expect("the whole body").len(), support::backend::DOWNLOAD_BYTES);
     for node in [edge, gate] {
-        let report = tokio::time::timeout(BOUND, node).await.expect("the node stops").expect("no panic");
+        let report = tokio::time::timeout(TEST_TIMEOUT, node).await.expect("the node stops").expect("no panic");
         assert!(report.aborted.is_empty(), "{report:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_outlasts_the_grace_is_cut_and_named() {
+async fn requests_still_active_after_the_grace_period_are_aborted_and_reported() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n";
     let (backend, _) = start_raw(head.as_bytes().to_vec(), true).await;
     let (gate, log) = start(settings(Some(backend)), Vec::new()).await;
@@ -85,17 +85,18 @@
     while !received.ends_with(b"part\r\n") {
         assert!(caller.read_buf(&mut received).await.expect("read") > 0);
     }
-    let report = tokio::time::timeout(BOUND, edge.stop_within(Duration::from_millis(1))).await.expect("the node stops");
+    let report =
+        tokio::time::timeout(TEST_TIMEOUT, edge.stop_within(Duration::from_millis(1))).await.expect("the node stops");
     assert_eq!(report.aborted.len(), 1, "{report:?}");
     assert!(report.aborted[0].to_string().contains("giving"), "{report:?}");
     let reading = async { while caller.read_buf(&mut received).await.unwrap_or(0) > 0 {} };
-    tokio::time::timeout(BOUND, reading).await.expect("the caller's connection closes");
-    assert!(!received.ends_with(b"0\r\n\r\n"), "a cut body ended as if it were whole");
+    tokio::time::timeout(TEST_TIMEOUT, reading).await.expect("the caller's connection closes");
+    assert!(!received.ends_with(b"0\r\n\r\n"), "an aborted body ended as if it were complete");
     gate.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_the_back_end_says_of_itself_reaches_the_gate() {
+async fn health_and_load_of_the_back_end_reach_the_gate() {
     let options = BackendOptions {
         service: SERVICE.to_owned(),
         name: "backend".to_owned(),
@@ -112,17 +113,17 @@
     let (node, log) = start(settings, Vec::new()).await;
     let hint = |healthy, load| move |input: &NodeInput| *input == GateInput::Hint(LoadHint { healthy, load }).into();
     log.wait_for("a healthy, idle back end", hint(true, Some(0.0))).await;
-    let ill =
+    let unhealthy =
         BackendFaults { shedding: true, always_healthy: false, claimed_load: Some(0.5), ..BackendFaults::default() };
-    backend.behaviour.set_faults(ill);
-    log.wait_for("an ill back end", hint(false, Some(0.5))).await;
+    backend.behaviour.set_faults(unhealthy);
+    log.wait_for("an unhealthy back end", hint(false, Some(0.5))).await;
     backend.stop().await;
-    log.wait_for("a back end that does not answer", hint(false, None)).await;
+    log.wait_for("an unreachable back end", hint(false, None)).await;
     node.kill().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_back_ends_own_listener_marks_its_calls() {
+async fn calls_on_the_outgoing_listener_are_marked_as_outgoing() {
     let mut settings = settings(Some(start_rocket().await));
     if let Some(backend) = &mut settings.backend {
         backend.outgoing_address = Some(any_loopback());
@@ -148,20 +149,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_run_without_a_reader_ends_with_its_node_at_the_latest() {
-    let (backend, seen) = start_raw(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart".to_vec(), true).await;
+async fn a_background_run_is_aborted_when_its_node_stops() {
+    let (backend, record) = start_raw(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart".to_vec(), true).await;
     let (gate, log) = start(settings(Some(backend)), Vec::new()).await;
     let (edge, edge_log) = start(settings(None), vec![gate.node]).await;
     let url = format!("http://{}/giving/x", edge.addresses.callers);
     let answer = client().post(url).header("idempotency-key", "a-key").send().await.expect("head");
     drop(answer);
-    edge_log.wait_for("the caller left", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }))).await;
-    log.wait_for("the edge left", |input| matches!(input, NodeInput::Gate(GateInput::Cancelled { .. }))).await;
+    edge_log
+        .wait_for("the caller disconnected", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. })))
+        .await;
+    log.wait_for("the edge disconnected", |input| matches!(input, NodeInput::Gate(GateInput::Cancelled { .. }))).await;
     let ended = |input: &NodeInput| matches!(input, NodeInput::Gate(GateInput::AnswerEnded { .. }));
-    assert!(!log.inputs().iter().any(ended), "the run was not to be stopped");
-    let report = tokio::time::timeout(BOUND, gate.stop_within(Duration::from_millis(1))).await.expect("the node stops");
+    assert!(!log.inputs().iter().any(ended), "the background run ended too early");
+    let report =
+        tokio::time::timeout(TEST_TIMEOUT, gate.stop_within(Duration::from_millis(1))).await.expect("the node stops");
     assert_eq!(report.aborted.len(), 1, "{report:?}");
-    tokio::time::timeout(BOUND, seen.left.notified()).await.expect("the back end's connection closes");
+    tokio::time::timeout(TEST_TIMEOUT, record.disconnected.notified()).await.expect("the back end's connection closes");
     log.wait_for("the end", ended).await;
     edge.kill().await;
 }
--- a/crates/quillhatch/tests/soak.rs
+++ b/crates/quillhatch/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of the built program without faults: planned work must break nothing.
+//! A short soak test of the built program without injected faults: planned operations must violate no guarantee.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use quillhatch_soak::run::{make_folder, run, SoakOptions};
 
 #[test]
-fn planned_work_breaks_no_promise() {
+fn planned_operations_violate_no_guarantee() {
     let seed = 7;
     let folder = make_folder(&std::env::temp_dir(), seed).expect("a folder");
     let options = SoakOptions {
@@ -22,5 +22,5 @@
     let report = run(&options).expect("the machines start");
     assert!(report.record.calls.len() > 500, "{} calls", report.record.calls.len());
     assert_eq!(report.violations, []);
-    std::fs::remove_dir_all(folder).expect("its own folder");
+    std::fs::remove_dir_all(folder).expect("the folder can be removed");
 }
--- a/crates/quillhatch/tests/streaming.rs
+++ b/crates/quillhatch/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Calls through an edge and a gate over real HTTP: what callers and back ends see.
+//! Streaming through an edge and a gate over real HTTP, as callers and back ends observe it.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use quillhatch_calls::edge::io::EdgeInput;
 use quillhatch_calls::gate::io::{AnswerEnd, GateInput};
 use support::backend::{hex_digest, pattern, start_raw, start_rocket, DOWNLOAD_BYTES};
-use support::{client, start_edge, start_gate, BOUND};
+use support::{client, start_edge, start_gate, TEST_TIMEOUT};
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -36,28 +36,28 @@
     assert_eq!(answer.text().await.expect("text"), expected);
 }
 
-/// Sends a request as raw bytes and reads until the connection closes.
-async fn exchange(address: std::net::SocketAddr, request: &str) -> String {
+/// Sends a request as raw bytes and reads the response until the connection closes.
+async fn exchange_raw(address: std::net::SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(request.as_bytes()).await.expect("write");
     let mut answer = Vec::new();
-    // A reset connection is one way of breaking off; what came before it counts.
+    // A connection reset is one way to end a broken response; the bytes before it are checked.
     let reading = async { while stream.read_buf(&mut answer).await.unwrap_or(0) > 0 {} };
-    tokio::time::timeout(BOUND, reading).await.expect("the connection closes");
+    tokio::time::timeout(TEST_TIMEOUT, reading).await.expect("the connection closes");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
 #[test_case("transfer-encoding: chunked\r\n\r\n4\r\npart\r\n"; "chunked without its terminator")]
 #[test_case("content-length: 9\r\n\r\npart"; "shorter than announced")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_is_visibly_broken(rest: &str) {
+async fn a_broken_answer_does_not_look_complete(rest: &str) {
     let (backend, _) = start_raw(format!("HTTP/1.1 200 OK\r\n{rest}").into_bytes(), false).await;
     let gate = start_gate(backend).await;
     let edge = start_edge(vec![gate.node]).await;
     let request = "GET /giving/file HTTP/1.1\r\nhost: a\r\n\r\n";
-    let answer = exchange(edge.address, request).await;
+    let answer = exchange_raw(edge.address, request).await;
     assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
-    assert!(!answer.contains("0\r\n\r\n"), "a broken body ended as if it were whole: {answer}");
+    assert!(!answer.contains("0\r\n\r\n"), "a broken body ended as if it were complete: {answer}");
     let body = answer.split_once("\r\n\r\n").expect("head").1;
     assert!(body.len() < "4\r\npart\r\n0\r\n\r\n".len() && !answer.contains("content-length: 4"), "{answer}");
     edge.log
@@ -81,15 +81,15 @@
     let response = client().request(method, edge.url("/x")).send().await.expect("answer");
     assert_eq!(response.status(), status);
     gate.log.wait_for("whole", |input| matches!(end_of(input), Some(AnswerEnd::Whole { bytes: 0, .. }))).await;
-    let gone = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }));
-    assert!(!edge.log.inputs().iter().any(gone));
+    let caller_gone = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }));
+    assert!(!edge.log.inputs().iter().any(caller_gone));
 }
 
 #[test_case(""; "before the head of the answer")]
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n"; "in the middle of the body")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_leaves_stops_the_back_end(answer: &str) {
-    let (backend, seen) = start_raw(answer.as_bytes().to_vec(), true).await;
+async fn a_caller_that_disconnects_cancels_the_request_at_the_back_end(answer: &str) {
+    let (backend, record) = start_raw(answer.as_bytes().to_vec(), true).await;
     let gate = start_gate(backend).await;
     let edge = start_edge(vec![gate.node]).await;
     let mut caller = TcpStream::connect(edge.address).await.expect("connect");
@@ -101,7 +101,7 @@
         caller.read_exact(&mut byte).await.expect("the answer begins");
     }
     drop(caller);
-    tokio::time::timeout(BOUND, seen.left.notified()).await.expect("the back end's connection closes");
+    tokio::time::timeout(TEST_TIMEOUT, record.disconnected.notified()).await.expect("the back end's connection closes");
     edge.log.wait_for("caller gone", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }))).await;
     gate.log.wait_for("cancelled", |input| end_of(input) == Some(&AnswerEnd::Cancelled)).await;
 }
@@ -109,18 +109,18 @@
 #[test_case("\"v1\"", true; "the same strong validator")]
 #[test_case("\"v2\"", false; "another validator")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_download_goes_on_only_under_the_same_validator(validator: &str, whole: bool) {
+async fn a_broken_download_resumes_only_with_the_same_validator(validator: &str, resumes: bool) {
     let first = "HTTP/1.1 200 OK\r\naccept-ranges: bytes\r\netag: \"v1\"\r\ncontent-length: 8\r\n\r\nabcd";
     let rest = format!(
         "HTTP/1.1 206 Partial Content\r\netag: {validator}\r\ncontent-range: bytes 4-7/8\r\ncontent-length: 4\r\n\r\nefgh"
     );
     let (first, _) = start_raw(first.as_bytes().to_vec(), false).await;
-    let (second, seen) = start_raw(rest.into_bytes(), false).await;
+    let (second, record) = start_raw(rest.into_bytes(), false).await;
     let (gate, other) = (start_gate(first).await, start_gate(second).await);
     let edge = start_edge(vec![gate.node, other.node]).await;
     let body = client().get(edge.url("/file")).send().await.expect("head").bytes().await;
-    assert_eq!(body.ok().as_deref(), whole.then_some(b"abcdefgh".as_slice()));
-    let request = seen.requests.lock().expect("requests").concat();
+    assert_eq!(body.ok().as_deref(), resumes.then_some(b"abcdefgh".as_slice()));
+    let request = record.requests.lock().expect("requests").concat();
     assert!(request.contains("range: bytes=4-") && request.contains("if-range: \"v1\""), "{request}");
 }
 
--- a/crates/quillhatch/tests/support/backend.rs
+++ b/crates/quillhatch/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! Back ends: one on rocket, and one that writes raw bytes, for answers that a well-behaved server cannot give.
+//! Back ends: one on rocket, and one that writes raw bytes, for responses that a well-behaved server cannot produce.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,9 +15,9 @@
 /// The bytes of the large download.
 pub const DOWNLOAD_BYTES: usize = 20 * 1024 * 1024;
 
-const CHUNK: usize = 32 * 1024;
+const CHUNK_BYTES: usize = 32 * 1024;
 
-/// Bytes without a short period, so that a lost or doubled chunk changes the digest.
+/// Bytes without a short period, so that a lost or duplicated chunk changes the digest.
 pub fn pattern(offset: usize, length: usize) -> Vec<u8> {
     (offset..offset + length).map(|index| (index.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
 }
@@ -26,24 +26,24 @@
     format!("{:x}", Sha256::digest(bytes))
 }
 
-/// The header of a request as text, one field a line.
-struct Fields(String);
+/// The header of a request as text, with one field per line.
+struct HeaderFields(String);
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Fields {
+impl<'r> FromRequest<'r> for HeaderFields {
     type Error = ();
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, ()> {
         let lines: Vec<String> = request.headers().iter().map(|field| format!("{field}").to_lowercase()).collect();
-        Outcome::Success(Fields(lines.join("\n")))
+        Outcome::Success(HeaderFields(lines.join("\n")))
     }
 }
 
 #[rocket::get("/download")]
 fn download() -> ByteStream![Vec<u8>] {
     ByteStream! {
-        for offset in (0..DOWNLOAD_BYTES).step_by(CHUNK) {
-            yield pattern(offset, CHUNK);
+        for offset in (0..DOWNLOAD_BYTES).step_by(CHUNK_BYTES) {
+            yield pattern(offset, CHUNK_BYTES);
         }
     }
 }
@@ -55,7 +55,7 @@
 }
 
 #[rocket::get("/fields")]
-fn fields(fields: Fields) -> RawText<String> {
+fn fields(fields: HeaderFields) -> RawText<String> {
     RawText(fields.0)
 }
 
@@ -76,7 +76,7 @@
     let liftoff = rocket::fairing::AdHoc::on_liftoff("address", move |rocket| {
         let address = SocketAddr::new(rocket.config().address, rocket.config().port);
         if let Some(sender) = sender.lock().expect("sender").take() {
-            sender.send(address).expect("the starter waits");
+            sender.send(address).expect("start_rocket waits for the address");
         }
         Box::pin(async {})
     });
@@ -85,36 +85,36 @@
     receiver.await.expect("the back end starts")
 }
 
-/// What a raw back end saw and when its clients left.
+/// The requests that a raw back end received, and a notification when a client disconnects.
 #[derive(Clone, Default)]
-pub struct Seen {
+pub struct BackendRecord {
     pub requests: Arc<Mutex<Vec<String>>>,
-    pub left: Arc<tokio::sync::Notify>,
+    pub disconnected: Arc<tokio::sync::Notify>,
 }
 
-/// Starts a back end that answers every request with `answer` and then closes the connection, or, if `hold`, keeps it
-/// open until the client leaves.
-pub async fn start_raw(answer: Vec<u8>, hold: bool) -> (SocketAddr, Seen) {
+/// Starts a back end that answers every request with `answer` and then closes the connection or, if `hold` is set, keeps it
+/// open until the client disconnects.
+pub async fn start_raw(answer: Vec<u8>, hold: bool) -> (SocketAddr, BackendRecord) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
-    let seen = Seen::default();
-    let noted = seen.clone();
+    let record = BackendRecord::default();
+    let recorded = record.clone();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let (noted, answer) = (noted.clone(), answer.clone());
+            let (recorded, answer) = (recorded.clone(), answer.clone());
             tokio::spawn(async move {
                 let mut request = vec![0; 64 * 1024];
                 let size = stream.read(&mut request).await.unwrap_or(0);
                 let text = String::from_utf8_lossy(&request[..size]).into_owned();
-                noted.requests.lock().expect("requests").push(text);
+                recorded.requests.lock().expect("requests").push(text);
                 stream.write_all(&answer).await.ok();
                 stream.flush().await.ok();
                 if hold {
                     while stream.read(&mut request).await.unwrap_or(0) > 0 {}
-                    noted.left.notify_one();
+                    recorded.disconnected.notify_one();
                 }
             });
         }
     });
-    (address, seen)
+    (address, record)
 }
--- a/crates/quillhatch/tests/support/fleet.rs
+++ b/crates/quillhatch/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Real nodes on loopback: an edge, gates with stand-in back ends, and the stand-in platform.
+//! Real nodes on the loopback interface: an edge, gates with stand-in back ends, and a stand-in platform.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,23 +14,23 @@
 use serde_json::json;
 
 use super::node::settings;
-use super::{client, BOUND, SERVICE};
+use super::{client, SERVICE, TEST_TIMEOUT};
 
-const PAUSE: Duration = Duration::from_millis(20);
-const SLOTS: u32 = 12;
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const SLOT_COUNT: u32 = 12;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks again and again until `look` gives something.
-pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, mut look: impl FnMut() -> F) -> T {
-    let looking = async {
+/// Calls `check` repeatedly until it returns a value. Panics with `what` after [`TEST_TIMEOUT`].
+pub async fn eventually<T, F: Future<Output = Option<T>>>(what: &str, mut check: impl FnMut() -> F) -> T {
+    let checking = async {
         loop {
-            if let Some(found) = look().await {
+            if let Some(found) = check().await {
                 return found;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     };
-    tokio::time::timeout(BOUND, looking).await.unwrap_or_else(|_| panic!("never came: {what}"))
+    tokio::time::timeout(TEST_TIMEOUT, checking).await.unwrap_or_else(|_| panic!("condition not met in time: {what}"))
 }
 
 /// A gate and the back end beside it.
@@ -44,7 +44,7 @@
         self.backend.behaviour.set_faults(BackendFaults { delay_milliseconds, ..BackendFaults::default() });
     }
 
-    /// How often the request with `identity` began and ended here.
+    /// How many runs of the request `identity` have started and finished at this back end.
     pub fn runs(&self, identity: &str) -> (u32, u32) {
         let record = self.backend.behaviour.runs.all().get(identity).cloned().unwrap_or_default();
         (record.started, record.finished)
@@ -58,15 +58,15 @@
 }
 
 impl Fleet {
-    /// Starts an edge and `count` gates of a new deployment, and waits until all take calls.
+    /// Starts an edge and `count` gates of a new deployment, and waits until all of them accept calls.
     pub async fn start(count: usize) -> Fleet {
         Self::start_as("new", count).await
     }
 
-    /// Starts a deployment with the given formation; an existing one begins with its claims lost.
+    /// Starts a deployment with the given formation. One that is formed as `existing` starts with its claims lost.
     pub async fn start_as(formation: &str, count: usize) -> Fleet {
         let platform = Platform::start(any_loopback(), String::new()).await.expect("the platform starts");
-        // The document needs the addresses of nodes that are about to start.
+        // The platform stays down until the nodes have started, because the document contains their addresses.
         platform.state.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
         let edge = start(node_settings(None, &platform)).await.expect("the edge starts");
         let mut gates = Vec::new();
@@ -92,7 +92,7 @@
         let nodes: Vec<&RunningNode> = self.gates.iter().map(|gate| &gate.node).chain([&self.edge]).collect();
         let ready = || async { nodes.iter().all(|node| node.driver().is_ready()).then_some(()) };
         eventually("all nodes are ready", ready).await;
-        // Nodes take calls without keys before the group is formed.
+        // Nodes accept calls without keys before the group is formed, so readiness alone isn't enough.
         let formed = || async { self.group_is_formed().await.then_some(()) };
         eventually("the group is formed and every slot has its owner", formed).await;
         let answered = || async { self.get("/lookups/first").await.status().is_success().then_some(()) };
@@ -100,17 +100,17 @@
     }
 
     async fn group_is_formed(&self) -> bool {
-        let asked = self.gates[0].node.driver().operator_request(OperatorRequest::Status { export: false });
-        let Ok(OperatorReply::Status { report }) = asked.await else {
+        let reply = self.gates[0].node.driver().operator_request(OperatorRequest::Status { export: false });
+        let Ok(OperatorReply::Status { report }) = reply.await else {
             return false;
         };
         report.services.first().is_some_and(|service| {
             let owned: u32 = service.slots.owned.values().sum();
-            service.leader.is_some() && service.serving.len() == self.gates.len() && owned == SLOTS
+            service.leader.is_some() && service.serving.len() == self.gates.len() && owned == SLOT_COUNT
         })
     }
 
-    /// The URL of `path` of the service at the edge.
+    /// The URL of the service's `path` at the edge.
     pub fn url(&self, path: &str) -> String {
         format!("http://{}/{SERVICE}{path}", self.edge.addresses.callers)
     }
@@ -119,7 +119,7 @@
         client().get(self.url(path)).send().await.expect("an answer")
     }
 
-    /// A request under a key; `identity` names it to the back end.
+    /// Creates a request with an idempotency key. The back end records its runs under `identity`.
     pub fn post(&self, key: &str, identity: &str, body: &'static str) -> reqwest::RequestBuilder {
         let request = client().post(self.url("/pledges")).header("idempotency-key", key);
         request.header("x-request-identity", identity).body(body)
@@ -161,7 +161,7 @@
     };
     let target = |node: &&RunningNode| json!({ "node": node.addresses.peers, "site": "old", "zone": "one", "slots": 16, "connections": 200 });
     let service = json!({
-        "slot_count": SLOTS,
+        "slot_count": SLOT_COUNT,
         "claim_retention": "1 h",
         "queue_timeout": "10 s",
         "classes": [
@@ -177,29 +177,29 @@
         .to_string()
 }
 
-/// What a command wrote and how it ended.
-pub struct Ran {
+/// The exit status and output of a command.
+pub struct CommandResult {
     pub exit: ExitStatus,
     pub output: String,
     pub errors: String,
 }
 
-impl Ran {
-    /// The reply that the command printed as JSON.
+impl CommandResult {
+    /// Parses the reply that the command printed as JSON.
     pub fn reply(&self) -> OperatorReply {
         serde_json::from_str(&self.output).unwrap_or_else(|_| panic!("no reply: {}{}", self.output, self.errors))
     }
 }
 
-/// Runs a command of the program against the operators' listener of `node`.
-pub async fn command(node: &RunningNode, line: &str) -> Ran {
+/// Runs a command of the program against the operator listener of `node`.
+pub async fn command(node: &RunningNode, line: &str) -> CommandResult {
     let line = format!("{line} --node {}", node.addresses.operators);
     let arguments: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
     let running = tokio::task::spawn_blocking(move || {
         let (mut output, mut errors) = (Vec::new(), Vec::new());
         let exit = command_line::run(&arguments, &mut OutputStreams { output: &mut output, errors: &mut errors });
         let text = |bytes| String::from_utf8(bytes).expect("text");
-        Ran { exit, output: text(output), errors: text(errors) }
+        CommandResult { exit, output: text(output), errors: text(errors) }
     });
     running.await.expect("the command ends")
 }
--- a/crates/quillhatch/tests/support/mod.rs
+++ b/crates/quillhatch/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Two nodes in one process, an edge and a gate, with a double in the place of the decision code.
+//! An edge and a gate in one process, with scripted decisions instead of the decision code.
 #![allow(dead_code)]
 
 pub mod backend;
-pub mod double;
 pub mod fleet;
 pub mod node;
+pub mod scripted_decisions;
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -26,13 +26,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use double::{Double, Log};
+use scripted_decisions::{InputLog, ScriptedDecisions};
 
 pub const SERVICE: &str = "giving";
 pub const HEADER_LIMIT: u64 = 4 * 1024;
 pub const RETRY_BUFFER: u64 = 16 * 1024;
-/// No test may hang: every wait is bounded by this, far above what any of them needs.
-pub const BOUND: Duration = Duration::from_secs(30);
+/// The time limit of every wait, so that no test hangs. It is far above what any of them needs.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn configuration() -> Configuration {
     let class = ClassConfiguration {
@@ -75,29 +75,29 @@
     Arc::new(FleetKeys::new(vec![key], KeyId(1)).expect("keys"))
 }
 
-async fn listen() -> (TcpListener, SocketAddr) {
+async fn bind_loopback() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("bind");
     let address = listener.local_addr().expect("address");
     (listener, address)
 }
 
-fn run<H: Handler>(listener: TcpListener, handler: H, stop: &watch::Sender<bool>) {
+fn spawn_server<H: Handler>(listener: TcpListener, handler: H, stop: &watch::Sender<bool>) {
     let limits = ServerLimits { head_bytes: 64 * 1024, connections: 256 };
     tokio::spawn(serve(listener, Arc::new(handler), limits, stop.subscribe()));
 }
 
 pub struct GateNode {
     pub node: NodeId,
-    pub log: Log,
+    pub log: InputLog,
     pub counters: Arc<Counters>,
     pub stop: watch::Sender<bool>,
 }
 
 pub async fn start_gate(backend: SocketAddr) -> GateNode {
-    let (listener, address) = listen().await;
+    let (listener, address) = bind_loopback().await;
     let node = NodeId { address: NodeAddress(address), incarnation: Incarnation(7) };
-    let (double, log) = Double::new(Vec::new());
-    let driver = Driver::new(Box::new(double), Box::new(NullMessageSink));
+    let (decisions, log) = ScriptedDecisions::new(Vec::new());
+    let driver = Driver::new(Box::new(decisions), Box::new(NullMessageSink));
     let counters = Arc::new(Counters::default());
     let opener = FrameOpener::new(node, DeploymentName::new("test").expect("name"), (*keys(1)).clone());
     let backend = Backend {
@@ -115,13 +115,13 @@
         counters: Arc::clone(&counters),
     };
     let stop = watch::Sender::new(false);
-    run(listener, gate, &stop);
+    spawn_server(listener, gate, &stop);
     GateNode { node, log, counters, stop }
 }
 
 pub struct EdgeNode {
     pub address: SocketAddr,
-    pub log: Log,
+    pub log: InputLog,
     pub counters: Arc<Counters>,
     pub driver: Arc<Driver>,
     pub stop: watch::Sender<bool>,
@@ -139,9 +139,9 @@
 }
 
 pub async fn start_edge_with(targets: Vec<NodeId>, keys: Arc<FleetKeys>, body_bytes: Option<u64>) -> EdgeNode {
-    let (listener, address) = listen().await;
-    let (double, log) = Double::new(targets);
-    let driver = Driver::new(Box::new(double), Box::new(NullMessageSink));
+    let (listener, address) = bind_loopback().await;
+    let (decisions, log) = ScriptedDecisions::new(targets);
+    let driver = Driver::new(Box::new(decisions), Box::new(NullMessageSink));
     let counters = Arc::new(Counters::default());
     let edge = Edge {
         driver: Arc::clone(&driver),
@@ -153,10 +153,10 @@
         counters: Arc::clone(&counters),
     };
     let stop = watch::Sender::new(false);
-    run(listener, edge, &stop);
+    spawn_server(listener, edge, &stop);
     EdgeNode { address, log, counters, driver, stop }
 }
 
 pub fn client() -> reqwest::Client {
-    reqwest::Client::builder().no_proxy().timeout(BOUND).build().expect("client")
+    reqwest::Client::builder().no_proxy().timeout(TEST_TIMEOUT).build().expect("client")
 }
--- a/crates/quillhatch/tests/support/node.rs
+++ b/crates/quillhatch/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A whole node with a double in the place of the decision code.
+//! A complete node with scripted decisions instead of the decision code.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use quillhatch_settings::{parse_node_settings, FlagOverrides, NodeSettings};
 use quillhatch_types::{NodeAddress, NodeId};
 
-use super::double::{Double, Log};
+use super::scripted_decisions::{InputLog, ScriptedDecisions};
 
 pub const TOKEN: &str = "an-operators-token";
 
@@ -25,13 +25,15 @@
     );
     let parsed = parse_node_settings("test", &text, &FlagOverrides::default());
     let (mut settings, _) = parsed.unwrap_or_else(|findings| panic!("{findings}"));
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("address");
-    (settings.caller_address, settings.peer_address, settings.operator_address) = (any, NodeAddress(any), any);
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("address");
+    (settings.caller_address, settings.peer_address, settings.operator_address) =
+        (any_port, NodeAddress(any_port), any_port);
     settings
 }
 
-pub async fn start(settings: NodeSettings, targets: Vec<NodeId>) -> (RunningNode, Log) {
-    let (double, log) = Double::new(targets);
-    let build = move |_: NodeId, _: &NodeSettings| -> Result<Box<dyn Decisions>, StartError> { Ok(Box::new(double)) };
+pub async fn start(settings: NodeSettings, targets: Vec<NodeId>) -> (RunningNode, InputLog) {
+    let (decisions, log) = ScriptedDecisions::new(targets);
+    let build =
+        move |_: NodeId, _: &NodeSettings| -> Result<Box<dyn Decisions>, StartError> { Ok(Box::new(decisions)) };
     (start_with(settings, build).await.expect("the node starts"), log)
 }
--- a/crates/quillhatch/tests/support/double.rs
+++ b/crates/quillhatch/tests/support/scripted_decisions.rs
@@ -1,5 +1,5 @@
-//! A double of the decision code: admits everything, tries targets in order, lets keyed attempts run on, and notes what it
-//! was told.
+//! A stand-in for the decision code. It admits every call, tries the targets in order, lets attempts with a key continue after
+//! cancellation, and records its inputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -13,48 +13,54 @@
     RefusalReason, Timestamp,
 };
 
-use super::BOUND;
+use super::TEST_TIMEOUT;
 
-/// What a double was told, in order.
+/// The inputs of a [`ScriptedDecisions`], in order.
 #[derive(Clone, Default)]
-pub struct Log(Arc<Mutex<Vec<NodeInput>>>);
+pub struct InputLog(Arc<Mutex<Vec<NodeInput>>>);
 
-impl Log {
+impl InputLog {
     pub fn inputs(&self) -> Vec<NodeInput> {
         self.0.lock().expect("log").clone()
     }
 
-    /// Waits until an input satisfies `wanted`.
-    pub async fn wait_for(&self, what: &str, wanted: impl Fn(&NodeInput) -> bool) -> NodeInput {
-        let waiting = async {
+    /// Waits for an input that satisfies `predicate` and returns it.
+    pub async fn wait_for(&self, what: &str, predicate: impl Fn(&NodeInput) -> bool) -> NodeInput {
+        let search = async {
             loop {
-                if let Some(input) = self.inputs().into_iter().find(|input| wanted(input)) {
+                if let Some(input) = self.inputs().into_iter().find(|input| predicate(input)) {
                     return input;
                 }
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        match tokio::time::timeout(BOUND, waiting).await {
+        match tokio::time::timeout(TEST_TIMEOUT, search).await {
             Ok(input) => input,
-            Err(_) => panic!("never told: {what}; told {:#?}", self.inputs()),
+            Err(_) => panic!("no such input: {what}; inputs: {:#?}", self.inputs()),
         }
     }
 }
 
-pub struct Double {
+pub struct ScriptedDecisions {
     targets: Vec<NodeId>,
     calls: BTreeMap<CallId, (CallArrival, u8)>,
     unrepeatable: BTreeSet<AttemptId>,
-    log: Log,
+    log: InputLog,
     configuration: Arc<Configuration>,
 }
 
-impl Double {
-    pub fn new(targets: Vec<NodeId>) -> (Self, Log) {
-        let log = Log::default();
+impl ScriptedDecisions {
+    pub fn new(targets: Vec<NodeId>) -> (Self, InputLog) {
+        let log = InputLog::default();
         let configuration = Arc::new(super::configuration());
         (
-            Double { targets, calls: BTreeMap::new(), unrepeatable: BTreeSet::new(), log: log.clone(), configuration },
+            ScriptedDecisions {
+                targets,
+                calls: BTreeMap::new(),
+                unrepeatable: BTreeSet::new(),
+                log: log.clone(),
+                configuration,
+            },
             log,
         )
     }
@@ -132,7 +138,7 @@
     EdgeOutput::Finish { call, answer: Answer::Refuse(refusal) }
 }
 
-impl Decisions for Double {
+impl Decisions for ScriptedDecisions {
     fn step(&mut self, _now: Timestamp, input: NodeInput, outputs: &mut Vec<NodeOutput>) {
         self.log.0.lock().expect("log").push(input.clone());
         match input {
