--- a/crates/calls/src/gate/arrival.rs
+++ b/crates/calls/src/gate/arrival.rs
@@ -7,14 +7,14 @@
 use super::attempt::{is_protected, Attempt, Lane, Phase};
 use super::io::GateOutput;
 use super::machine::Gate;
-use super::queue::{Ticket, Waiting};
+use super::queue::{QueueTicket, WaitingAttempt};
 use super::tokens::TokenAccount;
 
 /// A waiting attempt that can be evicted for a more important one.
 #[derive(Clone, Copy, Debug)]
-struct Victim {
+struct EvictionCandidate {
     lane: Lane,
-    ticket: Ticket,
+    ticket: QueueTicket,
     attempt: AttemptId,
     rank: AdmissionRank,
 }
@@ -118,14 +118,14 @@
         if !protected_can_evict && (above_level || too_late) {
             // A refusal caused by the level itself must not count as pressure, or the level would keep itself low.
             if !above_level {
-                self.note_pressure(now, lane);
+                self.record_queue_pressure(now, lane);
             }
             return Some(self.overload_refusal(RefusalReason::Overloaded));
         }
         if self.queue(lane).len() < self.max_queue_len(now, lane) {
             return None;
         }
-        self.note_pressure(now, lane);
+        self.record_queue_pressure(now, lane);
         let Some(victim) = candidate else {
             return Some(self.overload_refusal(RefusalReason::Overloaded));
         };
@@ -135,10 +135,15 @@
 
     /// The waiting attempt to evict for `context`, if any. No protected one is chosen while an unprotected one waits in
     /// either lane.
-    fn eviction_candidate(&self, lane: Lane, context: &CallContext) -> Option<Victim> {
+    fn eviction_candidate(&self, lane: Lane, context: &CallContext) -> Option<EvictionCandidate> {
         let candidate_in = |lane: Lane| {
             let least = self.queue(lane).least_important().filter(|(_, waiting)| waiting.rank > context.rank);
-            least.map(|(ticket, waiting)| Victim { lane, ticket, attempt: waiting.attempt, rank: waiting.rank })
+            least.map(|(ticket, waiting)| EvictionCandidate {
+                lane,
+                ticket,
+                attempt: waiting.attempt,
+                rank: waiting.rank,
+            })
         };
         let own = candidate_in(lane);
         if !is_protected(context.rank) || own.is_some_and(|victim| !is_protected(victim.rank)) {
@@ -191,7 +196,7 @@
         self.target.as_ref().map_or(Duration::ZERO, |target| target.queue_timeout)
     }
 
-    pub(super) fn note_pressure(&mut self, now: Timestamp, lane: Lane) {
+    pub(super) fn record_queue_pressure(&mut self, now: Timestamp, lane: Lane) {
         // Large answers have a limit of their own: their queue says nothing about the slots of short calls.
         if lane == Lane::Short {
             self.admission.record_pressure(now);
@@ -203,7 +208,7 @@
         let deadline = now + context.remaining.min(MAX_REMAINING_TIME);
         let queue_expires = now + self.queue_timeout();
         let expires = queue_expires.min(self.latest_start(now, deadline, &context));
-        let waiting = Waiting { attempt, rank: context.rank, since: now, expires };
+        let waiting = WaitingAttempt { attempt, rank: context.rank, since: now, expires };
         let ticket = self.queue_mut(lane).push(waiting);
         let entry = Attempt {
             lane,
@@ -261,7 +266,7 @@
         &mut self,
         now: Timestamp,
         lane: Lane,
-        ticket: Ticket,
+        ticket: QueueTicket,
         outputs: &mut Vec<GateOutput>,
     ) -> bool {
         let Some(waiting) = self.queue(lane).get(ticket) else { return false };
@@ -271,22 +276,22 @@
         let Some(victim) = eviction_candidate.filter(|_| entry.is_protected() && latest > now) else {
             return false;
         };
-        self.note_pressure(now, lane);
+        self.record_queue_pressure(now, lane);
         self.evict(now, victim, outputs);
         self.extend_wait(now, lane, ticket, latest);
         true
     }
 
-    fn extend_wait(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, latest: Timestamp) {
+    fn extend_wait(&mut self, now: Timestamp, lane: Lane, ticket: QueueTicket, latest: Timestamp) {
         let queue_expires = now + self.queue_timeout();
         let Some(waiting) = self.queue_mut(lane).remove(ticket) else { return };
-        let ticket = self.queue_mut(lane).push(Waiting { expires: queue_expires.min(latest), ..waiting });
+        let ticket = self.queue_mut(lane).push(WaitingAttempt { expires: queue_expires.min(latest), ..waiting });
         if let Some(entry) = self.attempts.get_mut(&waiting.attempt) {
             entry.phase = Phase::Waiting { ticket, queue_expires };
         }
     }
 
-    fn refuse_expired(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, outputs: &mut Vec<GateOutput>) {
+    fn refuse_expired(&mut self, now: Timestamp, lane: Lane, ticket: QueueTicket, outputs: &mut Vec<GateOutput>) {
         let Some(waiting) = self.queue_mut(lane).remove(ticket) else { return };
         let Some(entry) = self.attempts.get(&waiting.attempt) else { return };
         let queue_timed_out = matches!(entry.phase, Phase::Waiting { queue_expires, .. } if queue_expires <= now);
@@ -296,11 +301,11 @@
         } else {
             Refusal::not_run(RefusalReason::DeadlineTooShort)
         };
-        self.note_pressure(now, lane);
+        self.record_queue_pressure(now, lane);
         self.end_refused(now, waiting.attempt, refusal, outputs);
     }
 
-    fn evict(&mut self, now: Timestamp, victim: Victim, outputs: &mut Vec<GateOutput>) {
+    fn evict(&mut self, now: Timestamp, victim: EvictionCandidate, outputs: &mut Vec<GateOutput>) {
         self.queue_mut(victim.lane).remove(victim.ticket);
         let refusal = self.overload_refusal(RefusalReason::Overloaded);
         self.end_refused(now, victim.attempt, refusal, outputs);
--- a/crates/calls/src/gate/attempt.rs
+++ b/crates/calls/src/gate/attempt.rs
@@ -6,7 +6,7 @@
 use quillhatch_types::admission::RANKS_PER_BAND;
 use quillhatch_types::{AdmissionRank, CallContext, Timestamp};
 
-use super::queue::Ticket;
+use super::queue::QueueTicket;
 use super::tokens::TokenAccount;
 
 /// Calls with a rank below this are protected: first attempts and retries of the highest priority.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Waits for a slot.
-    Waiting { ticket: Ticket, queue_expires: Timestamp },
+    Waiting { ticket: QueueTicket, queue_expires: Timestamp },
     /// Holds a slot while its claim is being recorded.
     Claiming { claim_expires: Timestamp },
     /// Runs at the back end.
--- a/crates/calls/src/gate/classes.rs
+++ b/crates/calls/src/gate/classes.rs
@@ -21,7 +21,7 @@
 
 /// The part of the configuration that applies to one gate.
 #[derive(Clone, Debug)]
-pub(super) struct Target {
+pub(super) struct GateTarget {
     pub(super) slots: u32,
     pub(super) connections: u32,
     pub(super) minimum_time: Duration,
@@ -29,7 +29,7 @@
     pub(super) classes: Vec<ClassState>,
 }
 
-impl Target {
+impl GateTarget {
     /// Reads the gate's part of `configuration`, and takes over the service times measured in `previous`.
     ///
     /// Returns `None` if the service or the target is not listed: the gate then retains its old values, and the code
@@ -37,7 +37,7 @@
     pub(super) fn read(
         configuration: &Configuration,
         settings: &GateSettings,
-        previous: Option<&Target>,
+        previous: Option<&GateTarget>,
     ) -> Option<Self> {
         let service = configuration.services.get(&settings.service)?;
         let target = service.targets.iter().find(|target| target.node == settings.node)?;
@@ -48,7 +48,7 @@
         service: &ServiceConfiguration,
         target: &TargetConfiguration,
         settings: &GateSettings,
-        previous: Option<&Target>,
+        previous: Option<&GateTarget>,
     ) -> Self {
         let connections = target.connections.clamp(1, settings.maximum_running.max(1));
         let class_state = |class: &quillhatch_types::ClassConfiguration| ClassState {
@@ -60,7 +60,7 @@
                 .map(|old| old.service_time)
                 .unwrap_or_default(),
         };
-        Target {
+        GateTarget {
             slots: target.slots.clamp(1, connections),
             connections,
             minimum_time: service.minimum_time,
--- a/crates/calls/src/gate/limit/adaptive.rs
+++ b/crates/calls/src/gate/limit/adaptive.rs
@@ -13,7 +13,7 @@
 
 use super::baseline::{Baselines, Inflation, LoadLevel};
 use super::period::PeriodMeasurements;
-use super::trial::{PeriodResult, Trial, TrialKind, Verdict};
+use super::trial::{LimitTrial, PeriodResult, TrialKind, Verdict};
 use super::{ConcurrencyLimit, LimitBounds};
 
 /// The minimum length of a period.
@@ -83,7 +83,7 @@
     period: PeriodMeasurements,
     /// Whether an attempt has run yet.
     started: bool,
-    trial: Option<Trial>,
+    trial: Option<LimitTrial>,
     /// The number of periods in a row with inflation above [`INFLATION_TO_CUT`].
     inflated_periods: u32,
     /// The next step towards the initial limit, as a share of the limit.
@@ -274,7 +274,7 @@
         // Attempts that are running now started under the old limit, so their latency must not count for the new one.
         let mean_latency = self.period.latency_sum / f64::from(self.period.samples.max(1));
         let settled = now + Duration::from_secs_f64(mean_latency.min(MAX_PERIOD.as_secs_f64()));
-        self.trial = Some(Trial::new(kind, self.limit, before, settled));
+        self.trial = Some(LimitTrial::new(kind, self.limit, before, settled));
         self.verified_at = now;
         self.set_limit(limit);
     }
--- a/crates/calls/src/gate/limit/trial.rs
+++ b/crates/calls/src/gate/limit/trial.rs
@@ -48,7 +48,7 @@
 
 /// A trial in progress.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Trial {
+pub(super) struct LimitTrial {
     pub(super) kind: TrialKind,
     pub(super) previous_limit: f64,
     before: PeriodResult,
@@ -56,10 +56,10 @@
     periods: u32,
 }
 
-impl Trial {
+impl LimitTrial {
     /// Begins a trial; attempts measured before `settled_at` ran under the previous limit.
     pub(super) fn new(kind: TrialKind, previous_limit: f64, before: PeriodResult, settled_at: Timestamp) -> Self {
-        Trial { kind, previous_limit, before, settled_at, periods: 0 }
+        LimitTrial { kind, previous_limit, before, settled_at, periods: 0 }
     }
 
     /// Whether attempts measured at `now` started under the trial's limit.
--- a/crates/calls/src/gate/machine.rs
+++ b/crates/calls/src/gate/machine.rs
@@ -12,7 +12,7 @@
 
 use super::admission::{AdmissionController, GateState};
 use super::attempt::{Attempt, Lane, Phase};
-use super::classes::Target;
+use super::classes::GateTarget;
 use super::cold_start::ColdStart;
 use super::hint::HintWeight;
 use super::io::{GateInput, GateOutput};
@@ -53,7 +53,7 @@
 pub struct Gate {
     pub(super) settings: GateSettings,
     pub(super) random: Pcg64,
-    pub(super) target: Option<Target>,
+    pub(super) target: Option<GateTarget>,
     pub(super) limit: Box<dyn ConcurrencyLimit>,
     pub(super) cold_start: ColdStart,
     pub(super) hint: HintWeight,
@@ -203,7 +203,7 @@
     }
 
     fn configure(&mut self, configuration: &Configuration) {
-        let Some(target) = Target::read(configuration, &self.settings, self.target.as_ref()) else { return };
+        let Some(target) = GateTarget::read(configuration, &self.settings, self.target.as_ref()) else { return };
         let max_streams = target.slots * u32::from(self.settings.large_answer_share_percent.min(100)) / 100;
         self.large_limit.set_max_streams(max_streams);
         let bounds = LimitBounds { initial_limit: target.slots, maximum: target.connections };
@@ -297,7 +297,7 @@
     /// answers.
     pub(super) fn large_share_percent(&self) -> u32 {
         let separate = self.settings.mechanisms.large_answer_limit;
-        let large = separate && self.target.as_ref().is_some_and(Target::has_large_answers);
+        let large = separate && self.target.as_ref().is_some_and(GateTarget::has_large_answers);
         if large {
             u32::from(self.settings.large_answer_share_percent.min(100))
         } else {
--- a/crates/calls/src/gate/queue.rs
+++ b/crates/calls/src/gate/queue.rs
@@ -24,7 +24,7 @@
 
 /// A waiting attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct WaitingAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// Its rank in the order of refusal; higher ranks are refused first.
@@ -37,7 +37,7 @@
 
 /// Identifies an entry of the queue, so that the owner of the attempt can remove it early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket {
+pub struct QueueTicket {
     rank: u16,
     sequence: u64,
 }
@@ -47,9 +47,9 @@
 pub struct WaitingQueue {
     order: QueueOrder,
     next_sequence: u64,
-    by_rank: BTreeMap<Ticket, Waiting>,
+    by_rank: BTreeMap<QueueTicket, WaitingAttempt>,
     by_band: BTreeSet<(u16, u64, u16)>,
-    by_expiry: BTreeSet<(Timestamp, Ticket)>,
+    by_expiry: BTreeSet<(Timestamp, QueueTicket)>,
     per_band: [usize; BANDS as usize],
 }
 
@@ -88,9 +88,9 @@
     }
 
     /// Adds an attempt.
-    pub fn push(&mut self, waiting: Waiting) -> Ticket {
+    pub fn push(&mut self, waiting: WaitingAttempt) -> QueueTicket {
         let rank = self.ordering_rank(waiting.rank);
-        let ticket = Ticket { rank, sequence: self.next_sequence };
+        let ticket = QueueTicket { rank, sequence: self.next_sequence };
         self.next_sequence += 1;
         self.by_rank.insert(ticket, waiting);
         self.by_band.insert((band_of(rank), ticket.sequence, rank));
@@ -100,7 +100,7 @@
     }
 
     /// Removes an attempt, if it is still waiting.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
+    pub fn remove(&mut self, ticket: QueueTicket) -> Option<WaitingAttempt> {
         let waiting = self.by_rank.remove(&ticket)?;
         let band = band_of(ticket.rank);
         self.by_band.remove(&(band, ticket.sequence, ticket.rank));
@@ -110,45 +110,45 @@
     }
 
     /// The attempt of a ticket, if it is still waiting.
-    pub fn get(&self, ticket: Ticket) -> Option<Waiting> {
+    pub fn get(&self, ticket: QueueTicket) -> Option<WaitingAttempt> {
         self.by_rank.get(&ticket).copied()
     }
 
     /// The attempt that leaves the queue next.
-    pub fn peek(&self, overloaded: bool) -> Option<(Ticket, Waiting)> {
+    pub fn peek(&self, overloaded: bool) -> Option<(QueueTicket, WaitingAttempt)> {
         let ticket = if overloaded && self.order == QueueOrder::Rank {
             let first_rank = self.by_rank.first_key_value()?.0.rank;
             self.newest_of(first_rank)?
         } else {
             let (_, sequence, rank) = *self.by_band.first()?;
-            Ticket { rank, sequence }
+            QueueTicket { rank, sequence }
         };
         Some((ticket, *self.by_rank.get(&ticket)?))
     }
 
     /// The sort key of a waiting attempt for comparison with those of other queues; the lowest leaves first.
-    pub fn precedence(&self, waiting: &Waiting, overloaded: bool) -> (u16, Timestamp) {
+    pub fn precedence(&self, waiting: &WaitingAttempt, overloaded: bool) -> (u16, Timestamp) {
         let rank = self.ordering_rank(waiting.rank);
         (if overloaded { rank } else { band_of(rank) }, waiting.since)
     }
 
-    fn newest_of(&self, rank: u16) -> Option<Ticket> {
-        let range = Ticket { rank, sequence: 0 }..=Ticket { rank, sequence: u64::MAX };
+    fn newest_of(&self, rank: u16) -> Option<QueueTicket> {
+        let range = QueueTicket { rank, sequence: 0 }..=QueueTicket { rank, sequence: u64::MAX };
         self.by_rank.range(range).next_back().map(|(ticket, _)| *ticket)
     }
 
     /// The attempt to evict first: the oldest one of the highest rank. With [`QueueOrder::Arrival`] there is none.
-    pub fn least_important(&self) -> Option<(Ticket, Waiting)> {
+    pub fn least_important(&self) -> Option<(QueueTicket, WaitingAttempt)> {
         if self.order == QueueOrder::Arrival {
             return None;
         }
         let rank = self.by_rank.last_key_value()?.0.rank;
-        let (ticket, waiting) = self.by_rank.range(Ticket { rank, sequence: 0 }..).next()?;
+        let (ticket, waiting) = self.by_rank.range(QueueTicket { rank, sequence: 0 }..).next()?;
         Some((*ticket, *waiting))
     }
 
     /// The waiting attempt that expires first.
-    pub fn first_expiry(&self) -> Option<(Timestamp, Ticket)> {
+    pub fn first_expiry(&self) -> Option<(Timestamp, QueueTicket)> {
         self.by_expiry.first().copied()
     }
 
@@ -168,7 +168,7 @@
     pub fn longest_wait(&self, now: Timestamp) -> std::time::Duration {
         let oldest = self.by_band.last().and_then(|(band, _, _)| self.by_band.range((*band, 0, 0)..).next());
         let waiting = oldest.and_then(|(_, sequence, rank)| {
-            let ticket = Ticket { rank: *rank, sequence: *sequence };
+            let ticket = QueueTicket { rank: *rank, sequence: *sequence };
             self.by_rank.get(&ticket)
         });
         waiting.map(|waiting| now.since(waiting.since)).unwrap_or_default()
--- a/crates/calls/src/gate/tests/components.rs
+++ b/crates/calls/src/gate/tests/components.rs
@@ -7,7 +7,7 @@
 use crate::gate::admission::{AdmissionController, GateState};
 use crate::gate::hint::{HintWeight, MAX_REDUCTION};
 use crate::gate::io::LoadHint;
-use crate::gate::queue::{QueueOrder, Waiting, WaitingQueue};
+use crate::gate::queue::{QueueOrder, WaitingAttempt, WaitingQueue};
 use crate::gate::service_time::ServiceTime;
 
 /// The calls of a queue in the order in which they leave it.
@@ -26,7 +26,7 @@
 fn attempts_leave_in_order(order: QueueOrder, overloaded: bool) -> Vec<u128> {
     let mut queue = WaitingQueue::new(order);
     for (call, rank) in [(1, 2900), (2, 2100), (3, 7), (4, 2100)] {
-        let waiting = Waiting { attempt: id(call), rank: AdmissionRank(rank), since: at(0), expires: at(9) };
+        let waiting = WaitingAttempt { attempt: id(call), rank: AdmissionRank(rank), since: at(0), expires: at(9) };
         queue.push(waiting);
     }
     drain_queue(queue, overloaded)
