--- a/crates/mesh/src/admission_level.rs
+++ b/crates/mesh/src/admission_level.rs
@@ -36,7 +36,8 @@
         self.0
     }
 
-    /// Returns whether all calls are admitted.
+    /// Returns whether all calls are admitted. This holds for levels within 0.0001 of one too: a level without reports
+    /// approaches one but never reaches it.
     pub fn admits_all(self) -> bool {
         self.0 >= 1.0 - 1e-4
     }
--- a/crates/mesh/src/capacity.rs
+++ b/crates/mesh/src/capacity.rs
@@ -245,6 +245,8 @@
         if demand <= capacity || evidence == 0.0 {
             return None;
         }
+        // Calls beyond the level still take the minimum share of their demand. What remains of the capacity admits this
+        // demand by priority.
         let mut left = (capacity - MIN_ADMITTED_SHARE * demand).max(0.0) / (1.0 - MIN_ADMITTED_SHARE);
         for (full_priorities, route_demands) in demand_by_priority.into_iter().enumerate() {
             let priority_demand: f64 = route_demands.values().sum();
@@ -257,8 +259,8 @@
         None
     }
 
-    /// The integral of the decay weights over the time for which demand was measured: demand is the slot time divided
-    /// by this.
+    /// The integral of the decay weights over the time for which demand was measured (at least 50 ms), in seconds:
+    /// demand is the slot time divided by this.
     fn measured_seconds(&self, now: Timestamp) -> f64 {
         let age = self.first_call_at.map_or(0.0, |first_call_at| now.since(first_call_at).as_secs_f64());
         DEMAND_TIME_CONSTANT_S * (1.0 - (-age.max(0.05) / DEMAND_TIME_CONSTANT_S).exp())
--- a/crates/mesh/src/feed/tree.rs
+++ b/crates/mesh/src/feed/tree.rs
@@ -132,7 +132,7 @@
 }
 
 /// The parent of the node with the given index among the nodes of its zone that are not heads, and a substitute parent.
-/// When a parent is lost, its children are spread over the other nodes of its level.
+/// When a parent is lost, its children are spread over the nodes that precede it.
 fn parents(index: usize, members: &[OrderKey]) -> [OrderKey; 2] {
     let parent = index / FANOUT;
     let substitute = (parent + 1 + index % FANOUT) % (parent + 1);
--- a/crates/sidecar/src/edge/attempt.rs
+++ b/crates/sidecar/src/edge/attempt.rs
@@ -27,7 +27,8 @@
 use crate::relay::relay_response;
 use crate::store_view;
 
-/// How long past the deadline the edge waits for a response that the target sends at the deadline.
+/// How long past the deadline the edge waits for a response that the target sends at the deadline: longer than the gate
+/// waits.
 const DEADLINE_ALLOWANCE: Duration = Duration::from_millis(40);
 /// The fraction of its remaining time that a nested call may spend in a gate's queue.
 const NESTED_QUEUE_FRACTION: f64 = 0.6;
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -128,7 +128,7 @@
         }
     }
     // After the admission at entry, so that only calls that may run count towards the tenant's limit: in the reverse
-    // order the score of two days with a shortage was 0.702 and 0.689 instead of 0.745 and 0.730.
+    // order, the score of two test days with a shortage was 0.702 and 0.689 instead of 0.745 and 0.730.
     if let Err(over) = check_limit(node, tenant.as_deref(), arrived) {
         return refuse_over_limit(node, tenant.as_deref(), over, &id, arrived);
     }
--- a/crates/sidecar/src/edge/responses.rs
+++ b/crates/sidecar/src/edge/responses.rs
@@ -15,7 +15,7 @@
 
 /// The range of `Retry-After`, as fractions of the call's latency objective: late enough for a short shortage to be
 /// over, and early enough for a response in time. With 0.6 to 1.4 s for calls refused at entry more responses were
-/// late: on two days with a shortage of 18 s the score was 0.745 instead of 0.754 and 0.730 instead of 0.735.
+/// late: on two test days with a shortage of 18 s the score was 0.745 instead of 0.754 and 0.730 instead of 0.735.
 const RETRY_AFTER_FRACTION: std::ops::Range<f64> = 0.15..0.4;
 
 /// The final response to a call that no target has responded to. If the call has not run, the response tells its caller
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Refuses the waiting calls whose maximum wait has passed, or all of them if the gate is closed.
+/// Refuses the waiting calls whose maximum time to wait has passed, or all of them if the gate is closed.
 pub fn evict_waiting_calls(node: &Rc<Node>) {
     loop {
         let now = node.now();
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -38,7 +38,7 @@
 /// The response to a request whose head does not arrive within the header timeout.
 const REQUEST_TIMEOUT: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// How long a connection that this node closes waits for its peer to close too.
+/// How long a connection that this node closes stays open for its peer to close it too.
 const LINGER: Duration = Duration::from_millis(500);
 
 /// Adapts a Tokio TCP stream to hyper's I/O traits.
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -31,8 +31,8 @@
 /// The maximum number of messages that wait for their second broadcast. Each belongs to a crash of the one local
 /// target, or to a request that was cleared.
 const MAX_PENDING_REBROADCASTS: usize = 32;
-/// The interval of gossip: a fraction of the time within which a machine that was partitioned must keep all bounds
-/// again.
+/// The interval of gossip: a fraction of [`quillhatch_mesh::settings::Bounds::recovery`], after which machines that
+/// were partitioned must meet all bounds again.
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 /// The interval at which a gate that has started sends queries, until a gate responds.
 const QUERY_INTERVAL: Duration = Duration::from_millis(300);
