--- a/crates/calls/benches/edge.rs
+++ b/crates/calls/benches/edge.rs
@@ -155,7 +155,7 @@
     };
     let result = AttemptResult::Answered { status: 200 };
     edge.step(now, EdgeInput::AttemptAnswered { attempt, result, feedback: Some(feedback()) }, outputs);
-    edge.step(now, EdgeInput::BodyEnded { attempt, broken: None }, outputs);
+    edge.step(now, EdgeInput::BodyEnded { attempt, incomplete: None }, outputs);
     outputs.clear();
 }
 
--- a/crates/calls/src/edge/io.rs
+++ b/crates/calls/src/edge/io.rs
@@ -77,7 +77,7 @@
     /// A call arrived.
     Arrived(CallArrival),
     /// The caller disconnected.
-    CallerGone {
+    CallerDisconnected {
         /// The call.
         call: CallId,
     },
@@ -95,7 +95,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// `None` if the answer is complete; otherwise how much of it was received.
-        broken: Option<BodyState>,
+        incomplete: Option<BodyState>,
     },
     /// A routing table of a service at one site.
     Table(Arc<ServiceTable>),
@@ -157,7 +157,7 @@
         answer: Answer,
     },
     /// Abort the caller's stream so that the caller can detect the truncation; follows a `Finish` with `Relay`.
-    BreakOff {
+    AbortStream {
         /// The call.
         call: CallId,
     },
--- a/crates/calls/src/edge/resume.rs
+++ b/crates/calls/src/edge/resume.rs
@@ -44,8 +44,8 @@
     /// Aborts the caller's stream so that the caller can detect the truncation.
     pub(super) fn break_off(&mut self, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         self.refund_retry(&mut call);
-        self.statistics.broken_off += 1;
-        outputs.push(EdgeOutput::BreakOff { call: call.id() });
+        self.statistics.aborted_streams += 1;
+        outputs.push(EdgeOutput::AbortStream { call: call.id() });
         self.return_tokens(&call, outputs);
     }
 }
--- a/crates/calls/src/edge/state.rs
+++ b/crates/calls/src/edge/state.rs
@@ -75,11 +75,11 @@
     pub fn step(&mut self, now: Timestamp, input: EdgeInput, outputs: &mut Vec<EdgeOutput>) {
         match input {
             EdgeInput::Arrived(arrival) => self.arrived(now, arrival, outputs),
-            EdgeInput::CallerGone { call } => self.caller_gone(call, outputs),
+            EdgeInput::CallerDisconnected { call } => self.caller_gone(call, outputs),
             EdgeInput::AttemptAnswered { attempt, result, feedback } => {
                 self.attempt_answered(now, attempt, &result, feedback, outputs);
             }
-            EdgeInput::BodyEnded { attempt, broken } => self.body_ended(now, attempt, broken, outputs),
+            EdgeInput::BodyEnded { attempt, incomplete } => self.body_ended(now, attempt, incomplete, outputs),
             EdgeInput::Table(table) => self.accept_table(now, table, outputs),
             EdgeInput::Configuration(configuration) => self.accept_configuration(&configuration),
             EdgeInput::Suspicion { node, suspected } => self.suspect(node, suspected),
--- a/crates/calls/src/edge/statistics.rs
+++ b/crates/calls/src/edge/statistics.rs
@@ -27,7 +27,7 @@
     /// Calls whose answer was relayed.
     pub relayed: u64,
     /// Relayed answers that were aborted.
-    pub broken_off: u64,
+    pub aborted_streams: u64,
     /// Calls refused.
     pub refused: u64,
     /// Attempts cancelled.
--- a/crates/calls/src/edge/tests/balance.rs
+++ b/crates/calls/src/edge/tests/balance.rs
@@ -25,7 +25,7 @@
             open.remove(&key);
             let feedback = Some(news(target));
             harness.step(at(now), EdgeInput::AttemptAnswered { attempt, result: ANSWERED, feedback });
-            harness.step(at(now), EdgeInput::BodyEnded { attempt, broken: None });
+            harness.step(at(now), EdgeInput::BodyEnded { attempt, incomplete: None });
         }
         harness.arrive(now, arrival(u128::from(call), "lookup"));
         let (target, context) = harness.sent_one();
--- a/crates/calls/src/edge/tests/owner.rs
+++ b/crates/calls/src/edge/tests/owner.rs
@@ -94,7 +94,7 @@
     harness.arrive(1, call);
     let attempt = harness.sent_one().1.attempt_id();
     harness.answer(2, attempt, AttemptResult::ConnectFailed);
-    harness.step(at(2), EdgeInput::CallerGone { call: attempt.call });
+    harness.step(at(2), EdgeInput::CallerDisconnected { call: attempt.call });
     let returned = EdgeOutput::ReturnTokens { parent: CallId(77), tokens: 3 };
     assert!(harness.outputs.contains(&returned), "{:?}", harness.outputs);
 }
--- a/crates/calls/src/edge/tests/resume.rs
+++ b/crates/calls/src/edge/tests/resume.rs
@@ -20,11 +20,11 @@
 }
 
 fn breaks_off(harness: &Harness) -> bool {
-    harness.outputs.iter().any(|output| matches!(output, EdgeOutput::BreakOff { .. }))
+    harness.outputs.iter().any(|output| matches!(output, EdgeOutput::AbortStream { .. }))
 }
 
-fn end_body(harness: &mut Harness, now: u64, attempt: AttemptId, broken: Option<BodyState>) {
-    harness.step(at(now), EdgeInput::BodyEnded { attempt, broken });
+fn end_body(harness: &mut Harness, now: u64, attempt: AttemptId, incomplete: Option<BodyState>) {
+    harness.step(at(now), EdgeInput::BodyEnded { attempt, incomplete });
 }
 
 #[test]
@@ -110,7 +110,7 @@
 fn a_caller_that_leaves_stops_the_download() {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, "archive");
-    let outputs = harness.step(at(10), EdgeInput::CallerGone { call: attempt.call });
+    let outputs = harness.step(at(10), EdgeInput::CallerDisconnected { call: attempt.call });
     assert_eq!(outputs, [EdgeOutput::CancelAttempt { attempt }]);
     end_body(&mut harness, 11, attempt, Some(broken_at(400)));
     assert!(harness.outputs.is_empty());
--- a/crates/calls/src/edge/tests/retry.rs
+++ b/crates/calls/src/edge/tests/retry.rs
@@ -109,7 +109,7 @@
     let attempt = context.attempt_id();
     let answered = EdgeInput::AttemptAnswered { attempt, result: ANSWERED, feedback: Some(generous) };
     harness.step(at(2), answered);
-    let outputs = harness.step(at(3), EdgeInput::BodyEnded { attempt, broken: None });
+    let outputs = harness.step(at(3), EdgeInput::BodyEnded { attempt, incomplete: None });
     assert_eq!(outputs, [EdgeOutput::ReturnTokens { parent: CallId(77), tokens: 4 }]);
 }
 
@@ -246,9 +246,9 @@
                 }
                 Event::BodyEnd { call, attempt, broken } => EdgeInput::BodyEnded {
                     attempt: AttemptId { call: CallId(call), attempt },
-                    broken: broken.then_some(BodyState { received: 5, length: None, validator: None }),
+                    incomplete: broken.then_some(BodyState { received: 5, length: None, validator: None }),
                 },
-                Event::Gone { call } => EdgeInput::CallerGone { call: CallId(call) },
+                Event::Gone { call } => EdgeInput::CallerDisconnected { call: CallId(call) },
                 Event::Stop => EdgeInput::Stop,
                 Event::Pass { milliseconds } => {
                     now = now + Duration::from_millis(milliseconds);
--- a/crates/calls/src/edge/tests/tree.rs
+++ b/crates/calls/src/edge/tests/tree.rs
@@ -182,7 +182,7 @@
     /// The body of a relayed answer ends at once, and the end is reported twice.
     fn end_body(&mut self, now: Timestamp, attempt: AttemptId) {
         for _ in 0..2 {
-            let outputs = self.harness.step(now, EdgeInput::BodyEnded { attempt, broken: None }).to_vec();
+            let outputs = self.harness.step(now, EdgeInput::BodyEnded { attempt, incomplete: None }).to_vec();
             for output in outputs {
                 self.apply(now, output);
             }
--- a/crates/model/src/retry_tokens/tests.rs
+++ b/crates/model/src/retry_tokens/tests.rs
@@ -290,7 +290,7 @@
         launch(&mut budget, along, endings);
     }
     outputs.clear();
-    edge.step(NOW, EdgeInput::CallerGone { call: CallId(2) }, &mut outputs);
+    edge.step(NOW, EdgeInput::CallerDisconnected { call: CallId(2) }, &mut outputs);
     budget.lose_lent(Checks::default());
     assert_eq!(returned(&outputs), budget.end(), "{endings:?}");
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -139,7 +139,7 @@
             Statistic::counter("calls_arrived", "Calls that arrived at the edge.", edge.arrived),
             Statistic::counter("calls_relayed", "Calls answered by a back end.", edge.relayed),
             Statistic::counter("calls_refused", "Calls refused.", edge.refused),
-            Statistic::counter("answers_broken_off", "Answers that were visibly broken off.", edge.broken_off),
+            Statistic::counter("answers_broken_off", "Answers that were visibly broken off.", edge.aborted_streams),
             Statistic::counter("attempts_first", "First tries sent.", edge.first_attempts),
             Statistic::counter("attempts_retry", "Retries sent.", edge.retries),
             Statistic::counter("downloads_resumed", "Broken downloads continued from another target.", edge.resumes),
--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -204,7 +204,7 @@
         let whole = matches!(result, AttemptResult::Answered { .. });
         self.post(edge, None, EdgeInput::AttemptAnswered { attempt, result, feedback }.into());
         if whole {
-            self.post(edge, None, EdgeInput::BodyEnded { attempt, broken: None }.into());
+            self.post(edge, None, EdgeInput::BodyEnded { attempt, incomplete: None }.into());
         }
     }
 
--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -216,7 +216,7 @@
         }
         EdgeOutput::CancelAttempt { attempt } => channels.send_to_call(attempt.call, CallCommand::Cancel(attempt)),
         EdgeOutput::Finish { call, answer } => channels.send_to_call(call, CallCommand::Finish(answer)),
-        EdgeOutput::BreakOff { call } => channels.send_to_call(call, CallCommand::BreakOff),
+        EdgeOutput::AbortStream { call } => channels.send_to_call(call, CallCommand::BreakOff),
         // The decision code handles these outputs itself.
         EdgeOutput::ReturnTokens { .. } | EdgeOutput::FetchTable { .. } => {}
     }
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -42,7 +42,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.driver.edge_input(EdgeInput::CallerGone { call: self.call });
+            self.driver.edge_input(EdgeInput::CallerDisconnected { call: self.call });
         }
         self.driver.close_call(self.call);
     }
--- a/crates/quillhatch/src/edge/relay.rs
+++ b/crates/quillhatch/src/edge/relay.rs
@@ -140,7 +140,7 @@
 
     fn end(&mut self) {
         if self.guard.end() {
-            self.driver.edge_input(EdgeInput::BodyEnded { attempt: self.attempt, broken: None });
+            self.driver.edge_input(EdgeInput::BodyEnded { attempt: self.attempt, incomplete: None });
         }
     }
 
@@ -148,7 +148,7 @@
         self.source = None;
         self.outgoing.edge().counters.broken_sources.inc();
         let broken = BodyState { received: self.received, length: self.length, validator: self.validator.clone() };
-        self.driver.edge_input(EdgeInput::BodyEnded { attempt: self.attempt, broken: Some(broken) });
+        self.driver.edge_input(EdgeInput::BodyEnded { attempt: self.attempt, incomplete: Some(broken) });
     }
 
     async fn resume(&mut self, target: NodeId, context: &CallContext, range: Option<&RangeRequest>) {
--- a/crates/quillhatch/tests/node.rs
+++ b/crates/quillhatch/tests/node.rs
@@ -157,7 +157,9 @@
     let answer = client().post(url).header("idempotency-key", "a-key").send().await.expect("head");
     drop(answer);
     edge_log
-        .wait_for("the caller disconnected", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. })))
+        .wait_for("the caller disconnected", |input| {
+            matches!(input, NodeInput::Edge(EdgeInput::CallerDisconnected { .. }))
+        })
         .await;
     log.wait_for("the edge disconnected", |input| matches!(input, NodeInput::Gate(GateInput::Cancelled { .. }))).await;
     let ended = |input: &NodeInput| matches!(input, NodeInput::Gate(GateInput::AnswerEnded { .. }));
--- a/crates/quillhatch/tests/streaming.rs
+++ b/crates/quillhatch/tests/streaming.rs
@@ -19,7 +19,7 @@
     assert_eq!(answer.status(), 200);
     let body = answer.bytes().await.expect("body");
     assert_eq!(hex_digest(&body), hex_digest(&pattern(0, DOWNLOAD_BYTES)));
-    let ended = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::BodyEnded { broken: None, .. }));
+    let ended = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::BodyEnded { incomplete: None, .. }));
     edge.log.wait_for("whole body at the edge", ended).await;
     gate.log.wait_for("whole body at the gate", |input| matches!(end_of(input), Some(AnswerEnd::Whole { .. }))).await;
 }
@@ -62,7 +62,7 @@
     assert!(body.len() < "4\r\npart\r\n0\r\n\r\n".len() && !answer.contains("content-length: 4"), "{answer}");
     edge.log
         .wait_for("a broken body", |input| {
-            matches!(input, NodeInput::Edge(EdgeInput::BodyEnded { broken: Some(_), .. }))
+            matches!(input, NodeInput::Edge(EdgeInput::BodyEnded { incomplete: Some(_), .. }))
         })
         .await;
     gate.log.wait_for("a broken answer", |input| end_of(input) == Some(&AnswerEnd::Broken)).await;
@@ -81,7 +81,7 @@
     let response = client().request(method, edge.url("/x")).send().await.expect("answer");
     assert_eq!(response.status(), status);
     gate.log.wait_for("whole", |input| matches!(end_of(input), Some(AnswerEnd::Whole { bytes: 0, .. }))).await;
-    let caller_gone = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }));
+    let caller_gone = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::CallerDisconnected { .. }));
     assert!(!edge.log.inputs().iter().any(caller_gone));
 }
 
@@ -102,7 +102,9 @@
     }
     drop(caller);
     tokio::time::timeout(TEST_TIMEOUT, record.disconnected.notified()).await.expect("the back end's connection closes");
-    edge.log.wait_for("caller gone", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }))).await;
+    edge.log
+        .wait_for("caller gone", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerDisconnected { .. })))
+        .await;
     gate.log.wait_for("cancelled", |input| end_of(input) == Some(&AnswerEnd::Cancelled)).await;
 }
 
--- a/crates/quillhatch/tests/support/scripted_decisions.rs
+++ b/crates/quillhatch/tests/support/scripted_decisions.rs
@@ -106,13 +106,13 @@
                 Some(output) => output,
                 None => return,
             },
-            EdgeInput::BodyEnded { attempt, broken: Some(broken) } => {
+            EdgeInput::BodyEnded { attempt, incomplete: Some(broken) } => {
                 let rest = broken.validator.and_then(|validator| Some((validator, self.next_attempt(attempt.call)?)));
                 match rest {
                     Some((validator, (target, context))) => {
                         EdgeOutput::Resume { target, context, offset: broken.received, validator }
                     }
-                    None => EdgeOutput::BreakOff { call: attempt.call },
+                    None => EdgeOutput::AbortStream { call: attempt.call },
                 }
             }
             _ => return,
@@ -126,7 +126,7 @@
         Some(match result {
             AttemptResult::Answered { .. } if resumed => return None,
             AttemptResult::Answered { .. } => EdgeOutput::Finish { call, answer: Answer::Relay(attempt) },
-            AttemptResult::ResumeRefused => EdgeOutput::BreakOff { call },
+            AttemptResult::ResumeRefused => EdgeOutput::AbortStream { call },
             AttemptResult::Refused(refusal) => finish(call, refusal),
             AttemptResult::ConnectFailed => finish(call, Refusal::not_run(RefusalReason::ConnectFailed)),
             AttemptResult::Lost => finish(call, Refusal::unknown(RefusalReason::ConnectionLost)),
--- a/crates/simulation/src/policy/direct.rs
+++ b/crates/simulation/src/policy/direct.rs
@@ -168,8 +168,8 @@
                 self.send(call, outputs);
             }
             EdgeInput::AttemptAnswered { attempt, result, .. } => self.answered(attempt, result, outputs),
-            EdgeInput::BodyEnded { attempt, broken: Some(_) } => {
-                outputs.push(HostOutput::Edge(EdgeOutput::BreakOff { call: attempt.call }));
+            EdgeInput::BodyEnded { attempt, incomplete: Some(_) } => {
+                outputs.push(HostOutput::Edge(EdgeOutput::AbortStream { call: attempt.call }));
             }
             _ => {}
         }
--- a/crates/simulation/src/policy/product.rs
+++ b/crates/simulation/src/policy/product.rs
@@ -71,7 +71,7 @@
                 outputs.push(HostOutput::Edge(EdgeOutput::Finish { call: arrival.call, answer }));
                 None
             }
-            HostInput::Edge(EdgeInput::CallerGone { .. }) if self.without_cancellation => None,
+            HostInput::Edge(EdgeInput::CallerDisconnected { .. }) if self.without_cancellation => None,
             HostInput::Gate(GateInput::Cancelled { .. }) if self.without_cancellation => None,
             HostInput::Edge(input) => Some(NodeInput::Edge(input)),
             HostInput::Gate(input) => Some(NodeInput::Gate(input)),
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -160,7 +160,7 @@
         }
         call.phase = CallPhase::Done;
         if self.is_alive(edge, life) {
-            self.step(edge, HostInput::Edge(EdgeInput::CallerGone { call: id }), agenda);
+            self.step(edge, HostInput::Edge(EdgeInput::CallerDisconnected { call: id }), agenda);
         }
     }
 
--- a/crates/simulation/src/world/edges.rs
+++ b/crates/simulation/src/world/edges.rs
@@ -46,7 +46,7 @@
             }
             EdgeOutput::CancelAttempt { attempt } => self.cancel_attempt(attempt, agenda),
             EdgeOutput::Finish { call, answer } => self.finish_call(call, answer, agenda),
-            EdgeOutput::BreakOff { call } => self.break_off(call, agenda),
+            EdgeOutput::AbortStream { call } => self.break_off(call, agenda),
             // The node routes these inside itself.
             EdgeOutput::ReturnTokens { .. } | EdgeOutput::FetchTable { .. } => {}
         }
@@ -280,7 +280,7 @@
             return;
         }
         self.calls[call.at()].parts.push(part);
-        self.step(edge, HostInput::Edge(EdgeInput::BodyEnded { attempt: id, broken: None }), agenda);
+        self.step(edge, HostInput::Edge(EdgeInput::BodyEnded { attempt: id, incomplete: None }), agenda);
         if self.calls[call.at()].phase == CallPhase::Relaying(attempt) {
             self.deliver(call, CallerNews::Complete, agenda);
         }
@@ -303,7 +303,7 @@
         if self.calls[call.at()].phase == CallPhase::Relaying(attempt) {
             self.calls[call.at()].parts.push(received);
         }
-        let input = EdgeInput::BodyEnded { attempt: id, broken: Some(body) };
+        let input = EdgeInput::BodyEnded { attempt: id, incomplete: Some(body) };
         self.step(edge, HostInput::Edge(input), agenda);
     }
 
--- a/crates/simulation/tests/planted.rs
+++ b/crates/simulation/tests/planted.rs
@@ -56,7 +56,7 @@
     }
 
     fn resume_badly(&self, input: &HostInput) -> Option<HostOutput> {
-        let HostInput::Edge(EdgeInput::BodyEnded { attempt, broken: Some(body) }) = input else { return None };
+        let HostInput::Edge(EdgeInput::BodyEnded { attempt, incomplete: Some(body) }) = input else { return None };
         let BodyState { received, validator: Some(validator), .. } = body.clone() else { return None };
         let (target, mut context) = self.last_sent.clone()?;
         context.call = attempt.call;
