--- a/crates/calls/src/edge/call.rs
+++ b/crates/calls/src/edge/call.rs
@@ -70,7 +70,6 @@
     pub(crate) attempts: u8,
     /// Whether a retry was charged for the next attempt, which is not sent yet.
     pub(crate) retry_charged: bool,
-    /// Its phase.
     pub(crate) phase: Phase,
     /// The refusal of an attempt that is the strongest evidence that the call may have run.
     pub(crate) worst_refusal: Option<Refusal>,
@@ -83,7 +82,7 @@
     /// Resumed attempts sent so far.
     pub(crate) resumes: u8,
     /// The interrupted answer that a resumed attempt continues.
-    pub(crate) broken: Option<BodyState>,
+    pub(crate) interrupted: Option<BodyState>,
     /// When its timer fires.
     pub(crate) timer: Option<Timestamp>,
     /// The hash of the caller's key and its earlier uses.
@@ -118,7 +117,7 @@
             rejecting_owner: None,
             owner_wait_expired: false,
             resumes: 0,
-            broken: None,
+            interrupted: None,
             timer: None,
             key: None,
             arrival,
--- a/crates/calls/src/edge/dispatch.rs
+++ b/crates/calls/src/edge/dispatch.rs
@@ -15,10 +15,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Decision {
     /// Send an attempt to the target at this index.
-    Send { index: usize, probe: bool },
+    Send {
+        index: usize,
+        probe: bool,
+    },
     /// Wait for a table with another owner; refuse with this if the wait times out.
     Wait(Refusal),
-    /// Refuse.
     Refuse(Refusal),
 }
 
--- a/crates/calls/src/edge/finish.rs
+++ b/crates/calls/src/edge/finish.rs
@@ -7,7 +7,7 @@
 use super::io::{Answer, AttemptResult, CallArrival, EdgeOutput};
 use super::state::Edge;
 
-/// An unanswered attempt counts as a failure of its target from the class's deadline divided by this.
+/// An attempt without an answer for at least the class's deadline divided by this counts as a failure of its target.
 const CLASS_DEADLINE_DIVISOR: u32 = 2;
 
 impl Edge {
@@ -64,7 +64,7 @@
     }
 
     /// Cancels a call whose caller disconnected.
-    pub(super) fn caller_gone(&mut self, id: CallId, outputs: &mut Vec<EdgeOutput>) {
+    pub(super) fn caller_disconnected(&mut self, id: CallId, outputs: &mut Vec<EdgeOutput>) {
         let Some(mut call) = self.remove_call(id) else {
             self.statistics.stale_inputs += 1;
             return;
@@ -73,7 +73,7 @@
         if let Some(attempt) = attempt {
             self.cancel(&mut call, attempt, outputs);
         }
-        let is_relayed = call.broken.is_some() || matches!(call.phase, Phase::Relaying(_));
+        let is_relayed = call.interrupted.is_some() || matches!(call.phase, Phase::Relaying(_));
         if is_relayed {
             self.refund_retry(&mut call);
             self.return_tokens(&call, outputs);
@@ -96,8 +96,8 @@
             self.cancel(&mut call, attempt, outputs);
             call.record_refusal(Refusal::unknown(RefusalReason::DeadlinePassed));
         }
-        if call.broken.is_some() {
-            self.break_off(call, outputs);
+        if call.interrupted.is_some() {
+            self.abort_stream(call, outputs);
             return;
         }
         self.finish_refused(call, Refusal::not_run(RefusalReason::DeadlinePassed), outputs);
--- a/crates/calls/src/edge/result.rs
+++ b/crates/calls/src/edge/result.rs
@@ -38,19 +38,19 @@
         if !call.tried.contains(&attempt.target) {
             call.tried.push(attempt.target);
         }
-        if call.broken.is_some() {
+        if call.interrupted.is_some() {
             self.resume(now, call, outputs);
         } else {
             self.retry_or_refuse(now, call, attempt, verdict, outputs);
         }
     }
 
-    /// Handles the end of the body of a relayed answer; `broken` is given if the body is incomplete.
+    /// Handles the end of the body of a relayed answer; `incomplete` is the progress of a body that was cut short.
     pub(super) fn body_ended(
         &mut self,
         now: Timestamp,
         id: AttemptId,
-        broken: Option<BodyState>,
+        incomplete: Option<BodyState>,
         outputs: &mut Vec<EdgeOutput>,
     ) {
         let relayed = self.calls.get(&id.call).and_then(|call| match call.phase {
@@ -63,20 +63,20 @@
         };
         self.release_target(&call, attempt);
         call.phase = Phase::Idle;
-        if broken.is_none() {
+        if incomplete.is_none() {
             return self.return_tokens(&call, outputs);
         }
-        self.count_failure(now, &call, attempt);
+        self.record_failure(now, &call, attempt);
         if !call.tried.contains(&attempt.target) {
             call.tried.push(attempt.target);
         }
-        call.broken = broken;
+        call.interrupted = incomplete;
         self.resume(now, call, outputs);
     }
 
     fn relay(&mut self, now: Timestamp, mut call: Box<Call>, attempt: Attempt, outputs: &mut Vec<EdgeOutput>) {
         call.phase = Phase::Relaying(attempt);
-        let continues = call.broken.take().is_some();
+        let continues = call.interrupted.take().is_some();
         if !continues {
             self.statistics.relayed += 1;
             let answer = Answer::Relay(call.attempt_id(attempt));
@@ -188,13 +188,13 @@
             target.unavailable_until = now + settings.balance.unavailable_time;
         }
         if is_failure(result) {
-            self.count_failure(now, call, attempt);
+            self.record_failure(now, call, attempt);
         } else if !matches!(result, AttemptResult::Refused(_)) {
             target.outlier.success();
         }
     }
 
-    fn count_failure(&mut self, now: Timestamp, call: &Call, attempt: Attempt) {
+    fn record_failure(&mut self, now: Timestamp, call: &Call, attempt: Attempt) {
         let settings = &self.settings.ejection;
         let Some(service) = self.services.get_mut(&call.arrival.service) else {
             return;
--- a/crates/calls/src/edge/resume.rs
+++ b/crates/calls/src/edge/resume.rs
@@ -16,18 +16,18 @@
 impl Edge {
     /// Requests the rest of the interrupted answer from another target, or aborts the caller's stream.
     pub(super) fn resume(&mut self, now: Timestamp, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
-        let Some((offset, validator)) = call.broken.as_ref().and_then(rest) else {
-            return self.break_off(call, outputs);
+        let Some((offset, validator)) = call.interrupted.as_ref().and_then(missing_rest) else {
+            return self.abort_stream(call, outputs);
         };
         let safe = call.repeatable && call.arrival.replayable_body;
         let wanted = self.settings.mechanisms.resume && safe && call.resumes < self.settings.retry.maximum_resumes;
         if !wanted || !self.charge_retry(&mut call) {
-            return self.break_off(call, outputs);
+            return self.abort_stream(call, outputs);
         }
         // The attempt keeps the call's rank and is not ranked as a retry: a refusal would waste the bytes already sent.
         let rank = self.rank(&call);
         let Choice::Target { index, probe } = self.choose_target(now, &call, rank, outputs) else {
-            return self.break_off(call, outputs);
+            return self.abort_stream(call, outputs);
         };
         // The call's deadline applied to the head of the answer; the caller is still reading, so the rest gets a new
         // one.
@@ -42,7 +42,7 @@
     }
 
     /// Aborts the caller's stream so that the caller can detect the truncation.
-    pub(super) fn break_off(&mut self, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
+    pub(super) fn abort_stream(&mut self, mut call: Box<Call>, outputs: &mut Vec<EdgeOutput>) {
         self.refund_retry(&mut call);
         self.statistics.aborted_streams += 1;
         outputs.push(EdgeOutput::AbortStream { call: call.id() });
@@ -51,8 +51,8 @@
 }
 
 /// The offset of the first missing byte and the validator, if the rest can be requested.
-fn rest(broken: &BodyState) -> Option<(u64, StrongValidator)> {
-    let length = broken.length?;
-    let validator = broken.validator.clone()?;
-    (broken.received < length).then_some((broken.received, validator))
+fn missing_rest(interrupted: &BodyState) -> Option<(u64, StrongValidator)> {
+    let length = interrupted.length?;
+    let validator = interrupted.validator.clone()?;
+    (interrupted.received < length).then_some((interrupted.received, validator))
 }
--- a/crates/calls/src/edge/service.rs
+++ b/crates/calls/src/edge/service.rs
@@ -169,7 +169,7 @@
         random: &mut Pcg64,
     ) -> Choice {
         for last_resort in [false, true] {
-            for members in self.members_in_order(site, local_site) {
+            for members in self.members_by_site_preference(site, local_site) {
                 let choice = selector.choose(&self.targets, members, last_resort, random);
                 if choice != Choice::NoTarget {
                     return choice;
@@ -179,7 +179,7 @@
         Choice::NoTarget
     }
 
-    fn members_in_order<'a>(
+    fn members_by_site_preference<'a>(
         &'a self,
         site: &'a SiteName,
         local_site: &'a SiteName,
--- a/crates/calls/src/edge/state.rs
+++ b/crates/calls/src/edge/state.rs
@@ -75,7 +75,7 @@
     pub fn step(&mut self, now: Timestamp, input: EdgeInput, outputs: &mut Vec<EdgeOutput>) {
         match input {
             EdgeInput::Arrived(arrival) => self.arrived(now, arrival, outputs),
-            EdgeInput::CallerDisconnected { call } => self.caller_gone(call, outputs),
+            EdgeInput::CallerDisconnected { call } => self.caller_disconnected(call, outputs),
             EdgeInput::AttemptAnswered { attempt, result, feedback } => {
                 self.attempt_answered(now, attempt, &result, feedback, outputs);
             }
--- a/crates/calls/src/edge/tests/balance.rs
+++ b/crates/calls/src/edge/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which target a repeatable call goes to.
+//! The choice of a target for a repeatable call.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     harness: &mut Harness,
     calls: u64,
     latency: impl Fn(NodeId) -> u64,
-    news: impl Fn(NodeId) -> Feedback,
+    reported: impl Fn(NodeId) -> Feedback,
 ) -> BTreeMap<NodeId, u64> {
     let mut counts = BTreeMap::new();
     let mut open = BTreeMap::new();
@@ -23,7 +23,7 @@
         let due: Vec<_> = open.range(..=(now, u64::MAX)).map(|(key, value)| (*key, *value)).collect();
         for (key, (target, attempt)) in due {
             open.remove(&key);
-            let feedback = Some(news(target));
+            let feedback = Some(reported(target));
             harness.step(at(now), EdgeInput::AttemptAnswered { attempt, result: ANSWERED, feedback });
             harness.step(at(now), EdgeInput::BodyEnded { attempt, incomplete: None });
         }
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_until_it_is_loaded() {
+fn the_local_zone_is_preferred_until_it_is_loaded() {
     let mut harness = Harness::new(|_, _| {});
-    let calm = spread(&mut harness, 300, |_| 3, |_| feedback());
-    assert_eq!(calm.get(&node(0)), Some(&300));
+    let idle = spread(&mut harness, 300, |_| 3, |_| feedback());
+    assert_eq!(idle.get(&node(0)), Some(&300));
 
     let mut harness = Harness::new(|_, _| {});
     let loaded = |target: NodeId| Feedback { running: if target == node(0) { 10 } else { 2 }, ..feedback() };
@@ -64,7 +64,7 @@
     assert!(random > 150, "{random} of 600 calls without balancing");
 }
 
-/// Refuses connections to the `dead` nodes and counts the attempts sent there.
+/// Makes connections to the `dead` nodes fail and counts the attempts sent to them.
 fn attempts_at_dead(harness: &mut Harness, dead: &[NodeId], calls: u64) -> usize {
     let mut attempts = 0;
     for call in 0..calls {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_dead_target_is_ejected_and_comes_back() {
+fn a_dead_target_is_ejected_and_later_reinstated() {
     let attempts = |ejection: bool| {
         let mut harness = Harness::new(|settings, _| {
             settings.mechanisms.ejection = ejection;
@@ -97,18 +97,18 @@
 }
 
 #[test]
-fn ejection_never_takes_more_than_its_share() {
+fn ejection_never_exceeds_its_maximum_share() {
     let mut harness = Harness::new(|_, _| {});
     let all = [node(0), node(1), node(2)];
     attempts_at_dead(&mut harness, &all, 300);
     let ejected = harness.edge.targets(at(300)).iter().filter(|target| target.ejected).count();
     assert_eq!(ejected, 1, "one of three");
     harness.arrive(301, arrival(1_000, "lookup"));
-    assert_eq!(harness.sent().len(), 1, "behind a partition what is left is still tried");
+    assert_eq!(harness.sent().len(), 1, "behind a partition the remaining targets are still tried");
 }
 
 #[test]
-fn suspected_draining_and_closing_targets_are_left_out() {
+fn suspected_and_draining_targets_are_avoided() {
     let mut harness = Harness::new(|settings, _| settings.mechanisms.zone_preference = false);
     harness.step(at(0), EdgeInput::Suspicion { node: node(0).address, suspected: true });
     let mut draining = table(OLD, 2, &owned_by(0));
@@ -140,11 +140,11 @@
         harness.step(at(2), EdgeInput::Suspicion { node: node(number).address, suspected: true });
     }
     harness.arrive(3, arrival(2, "lookup"));
-    assert_eq!(harness.sent().len(), 1, "if all are suspected, all are used");
+    assert_eq!(harness.sent().len(), 1, "if all targets are suspected, they are still used");
 }
 
 #[test]
-fn attempts_in_flight_are_at_most_the_connections() {
+fn attempts_in_flight_are_limited_to_the_connections() {
     let mut harness = Harness::new(|_, _| {});
     let mut narrow = table(OLD, 2, &owned_by(0));
     narrow.gates.iter_mut().for_each(|gate| gate.connections = 2);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn an_impatient_caller_ejects_nobody() {
+fn short_caller_timeouts_do_not_eject_a_target() {
     let ejected_after = |remaining: u64| {
         let mut harness = Harness::new(|_, _| {});
         for call in 0..30 {
@@ -171,7 +171,7 @@
         harness.edge.statistics().ejections
     };
     assert_eq!(ejected_after(5), 0);
-    assert!(ejected_after(1_900) > 0, "a target that lets nearly all the class's deadline pass is ejected");
+    assert!(ejected_after(1_900) > 0, "a target without an answer for most of the class's deadline is ejected");
 }
 
 #[test]
--- a/crates/calls/src/edge/tests/harness.rs
+++ b/crates/calls/src/edge/tests/harness.rs
@@ -1,4 +1,4 @@
-//! A service with targets at two sites, and shorthands for stepping an edge in front of it.
+//! A service with targets at two sites, and helpers that step an edge in front of it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,10 +20,10 @@
 pub(super) const NEW: &str = "new";
 
 pub(super) fn name<Name: TryFrom<String>>(text: &str) -> Name {
-    Name::try_from(text.to_owned()).unwrap_or_else(|_| panic!("{text} is no name"))
+    Name::try_from(text.to_owned()).unwrap_or_else(|_| panic!("{text} is not a valid name"))
 }
 
-/// Node `number` of the old site; those of the new site have numbers from 100.
+/// The node with this number. Nodes of the old site are numbered from 0, those of the new site from 100.
 pub(super) fn node(number: u16) -> NodeId {
     let address = NodeAddress(SocketAddr::from(([127, 0, 0, 1], 7000 + number)));
     NodeId { address, incarnation: Incarnation(1) }
@@ -135,7 +135,7 @@
     CallArrival { key, digest: Some(Digest(1)), ..arrival(call, title) }
 }
 
-/// What a calm gate says; it gives all tokens back.
+/// The feedback of an idle gate, which returns all tokens.
 pub(super) fn feedback() -> Feedback {
     let tokens_left = u16::MAX;
     Feedback { level: AdmissionLevel::OPEN, limit: 10, epoch: Epoch(1), tokens_left, ..Feedback::default() }
@@ -147,7 +147,7 @@
 
 pub(super) const ANSWERED: AttemptResult = AttemptResult::Answered { status: 200 };
 
-/// An edge and what it said last.
+/// An edge and the outputs of its last step.
 pub(super) struct Harness {
     pub(super) edge: Edge,
     pub(super) outputs: Vec<EdgeOutput>,
@@ -163,7 +163,7 @@
         harness
     }
 
-    /// An edge that knows both tables; node 0 of the old site owns all slots.
+    /// An edge with the tables of both sites; node 0 of the old site owns all slots.
     pub(super) fn new(change: impl FnOnce(&mut EdgeSettings, &mut Configuration)) -> Self {
         let mut harness = Self::without_tables(change);
         harness.table(0, table(OLD, 1, &owned_by(0)));
@@ -189,14 +189,14 @@
         self.step(at(now), EdgeInput::AttemptAnswered { attempt, result, feedback: Some(feedback()) })
     }
 
-    /// Steps at every wake-up until `end` and returns all that was said.
+    /// Steps the edge at every wake-up until `end` and returns all outputs.
     pub(super) fn run_until(&mut self, end: u64) -> Vec<EdgeOutput> {
-        let mut said = Vec::new();
+        let mut outputs = Vec::new();
         while let Some(wake) = self.edge.next_wake().filter(|wake| *wake <= at(end)) {
-            said.extend_from_slice(self.step(wake, EdgeInput::Tick));
+            outputs.extend_from_slice(self.step(wake, EdgeInput::Tick));
         }
-        self.outputs.clone_from(&said);
-        said
+        self.outputs.clone_from(&outputs);
+        outputs
     }
 
     /// The attempts sent by the last step, resumed ones included.
--- a/crates/calls/src/edge/tests/limits.rs
+++ b/crates/calls/src/edge/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What is refused before any work: closed admission levels, short deadlines, callers that repeat too often.
+//! Refusals on arrival: closed admission levels, short deadlines, malformed calls, limits per caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use super::harness::{arrival, at, configuration, feedback, keyed, name, refused, Harness, ANSWERED};
 use crate::edge::{AttemptResult, CallArrival, EdgeInput, EdgeMechanisms};
 
-/// Hears `level` from every target of the old site.
+/// Makes every target of the old site report `level`.
 fn close(harness: &mut Harness, now: u64, level: u16) {
     let closed = Feedback { level: AdmissionLevel(level), ..feedback() };
-    let mut heard = std::collections::BTreeSet::new();
+    let mut reported = std::collections::BTreeSet::new();
     let mut call = 1_000_000;
-    while heard.len() < 3 {
+    while reported.len() < 3 {
         call += 1;
         harness.arrive(now, arrival(call, "pledge-everywhere"));
         let (target, context) = harness.sent_one();
-        heard.insert(target);
+        reported.insert(target);
         let attempt = context.attempt_id();
         harness.step(at(now), EdgeInput::AttemptAnswered { attempt, result: ANSWERED, feedback: Some(closed) });
     }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_closed_level_refuses_at_once_and_opens_by_itself() {
+fn a_closed_level_refuses_at_once_and_reopens_without_reports() {
     let mut harness = harness(|_| {});
     close(&mut harness, 1, 1024);
     harness.arrive(2, arrival(1, "lookup"));
@@ -47,13 +47,13 @@
     assert_eq!((refusal.outcome, refusal.reason), (Outcome::NotRun, RefusalReason::Overloaded));
     assert!(refusal.retry_after.is_some() && harness.sent().is_empty());
     harness.arrive(2, arrival(2, "pledge-everywhere"));
-    assert_eq!(harness.sent().len(), 1, "protected calls are below the level");
+    assert_eq!(harness.sent().len(), 1, "the level admits protected calls");
     harness.arrive(2_010, arrival(3, "archive"));
-    assert_eq!(harness.sent().len(), 1, "two seconds without news open the level");
+    assert_eq!(harness.sent().len(), 1, "the level is open after two seconds without a report");
 }
 
 #[test]
-fn without_levels_the_refused_call_is_sent() {
+fn a_closed_level_is_ignored_when_levels_are_disabled() {
     let mut harness = harness(|mechanisms| mechanisms.admission_levels = false);
     close(&mut harness, 1, 1024);
     harness.arrive(2, arrival(1, "lookup"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn all_hops_order_the_same_root_alike_and_the_salt_changes_the_order() {
+fn all_hops_rank_the_same_root_alike_and_the_salt_changes_the_rank() {
     let rank = |salt: u64, seed_call: u128, consistent: bool| {
         let mut harness = harness(|mechanisms| mechanisms.consistent_ranks = consistent);
         harness.edge.set_rank_salt(salt);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_time_left_shrinks_on_the_way() {
+fn a_retry_carries_the_remaining_time() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(0, arrival(1, "lookup"));
     let (_, first) = harness.sent_one();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_stopping_node_takes_no_root_call_but_finishes_trees() {
+fn a_stopping_node_refuses_root_calls_but_accepts_child_calls() {
     let mut harness = Harness::new(|_, _| {});
     harness.step(at(0), EdgeInput::Stop);
     harness.arrive(1, arrival(1, "lookup"));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_back_ends_call_without_context_gets_no_budget() {
+fn a_call_of_a_back_end_without_context_gets_no_retry_budget() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, CallArrival { outgoing: true, ..arrival(1, "lookup") });
     let (_, context) = harness.sent_one();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_callers_repeats_are_limited_and_rank_as_retries() {
+fn a_callers_own_retries_are_limited_and_rank_as_retries() {
     let admitted = |limited: bool| {
         let mut harness = Harness::new(|settings, _| settings.mechanisms.caller_limit = limited);
         let mut admitted = 0;
@@ -195,39 +195,39 @@
                 assert!(refusal.reason != RefusalReason::CallerRate || refusal.retry_after.is_some());
             }
         }
-        // Another caller is not touched.
+        // The limits of another caller are not affected.
         harness.arrive(500, CallArrival { caller: name("other"), ..keyed(1_000, "pledge", "same") });
         assert_eq!(harness.sent().len(), 1);
         admitted
     };
-    assert_eq!(admitted(true), 6, "the first call and a burst of five repeats");
+    assert_eq!(admitted(true), 6, "the first call and a burst of five retries");
     assert_eq!(admitted(false), 40);
 }
 
 #[test]
-fn a_repeat_is_not_told_not_run_while_the_first_call_may_have_run() {
+fn a_retry_of_a_key_is_unknown_while_the_first_call_may_have_run() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, keyed(1, "pledge", "key"));
     let (_, first) = harness.sent_one();
     harness.answer(2, first.attempt_id(), AttemptResult::Lost);
     assert_eq!(harness.refusal().outcome, Outcome::Unknown);
     harness.arrive(3, keyed(2, "pledge", "key"));
-    let (_, repeat) = harness.sent_one();
-    harness.answer(4, repeat.attempt_id(), refused(RefusalReason::BadRequest));
-    assert_eq!(harness.refusal().outcome, Outcome::Unknown, "to the caller both are one request");
+    let (_, retry) = harness.sent_one();
+    harness.answer(4, retry.attempt_id(), refused(RefusalReason::BadRequest));
+    assert_eq!(harness.refusal().outcome, Outcome::Unknown, "for the caller both are the same request");
 
     harness.arrive(5, keyed(3, "pledge", "fresh"));
     let (_, first) = harness.sent_one();
     harness.answer(6, first.attempt_id(), refused(RefusalReason::BadRequest));
     assert_eq!(harness.refusal().outcome, Outcome::NotRun);
     harness.arrive(7, keyed(4, "pledge", "fresh"));
-    let (_, repeat) = harness.sent_one();
-    harness.answer(8, repeat.attempt_id(), refused(RefusalReason::BadRequest));
-    assert_eq!(harness.refusal().outcome, Outcome::NotRun, "both are proven");
+    let (_, retry) = harness.sent_one();
+    harness.answer(8, retry.attempt_id(), refused(RefusalReason::BadRequest));
+    assert_eq!(harness.refusal().outcome, Outcome::NotRun, "both are known not to have run");
 }
 
 #[test]
-fn memory_is_bounded() {
+fn calls_callers_and_keys_are_bounded() {
     let mut harness = Harness::new(|settings, _| {
         settings.maximum_calls = 50;
         settings.caller.maximum_callers = 100;
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_is_ignored() {
     let mut harness = Harness::new(|_, _| {});
     let mut newer = configuration();
     newer.revision = Revision(5);
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn mechanisms_are_switched_off_by_name() {
+fn mechanisms_are_disabled_by_name() {
     for name in EdgeMechanisms::NAMES {
         let mut mechanisms = EdgeMechanisms::default();
         mechanisms.disable(name).expect("a known name");
--- a/crates/calls/src/edge/tests/mod.rs
+++ b/crates/calls/src/edge/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the edge: what its driver is told to do when something happens.
+//! Tests of the edge: the outputs that follow from its inputs.
 
 mod balance;
 mod harness;
--- a/crates/calls/src/edge/tests/owner.rs
+++ b/crates/calls/src/edge/tests/owner.rs
@@ -1,4 +1,4 @@
-//! A call that may run only once goes to the owner of its slot, or waits for one, or is refused.
+//! A non-repeatable call is sent to the owner of its slot, waits for an owner, or is refused.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::harness::{arrival, at, keyed, name, node, owned_by, refused, table, Harness, ANSWERED, NEW, OLD};
 use crate::edge::{AttemptResult, CallArrival, EdgeInput, EdgeOutput};
 
-/// A pledge that a call in progress makes with `tokens` lent to it.
+/// A non-repeatable child call of `parent`, which lends it `tokens`.
 fn child_of(parent: u128, tokens: u16, call: u128) -> CallArrival {
     let parent = ParentContext {
         call: CallId(parent),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn goes_to_the_owner_with_its_key() {
+fn a_call_is_sent_to_the_owner_with_its_key() {
     let mut harness = Harness::new(|_, _| {});
     for call in 0..20 {
         harness.arrive(1, keyed(call, "pledge", &format!("key-{call}")));
@@ -38,7 +38,7 @@
 
 #[test_case(SlotState::Sealed { destination: name(NEW) }, RefusalReason::SlotMoving; "sealed")]
 #[test_case(SlotState::Vacant, RefusalReason::NotOwner; "vacant")]
-fn waits_for_an_owner_for_a_bounded_time(state: SlotState, reason: RefusalReason) {
+fn a_call_waits_for_an_owner_for_a_bounded_time(state: SlotState, reason: RefusalReason) {
     let mut harness = Harness::new(|_, _| {});
     harness.table(0, table(OLD, 2, &state));
     harness.arrive(10, arrival(1, "pledge"));
@@ -53,13 +53,14 @@
 }
 
 #[test]
-fn a_waiting_call_goes_to_the_new_owner_at_the_other_site() {
+fn a_waiting_call_is_sent_to_the_new_owner_at_the_other_site() {
     let mut harness = Harness::new(|_, _| {});
     harness.table(0, table(OLD, 2, &SlotState::Sealed { destination: name(NEW) }));
     harness.arrive(10, arrival(1, "pledge"));
     harness.table(20, table(NEW, 3, &owned_by(101)));
     assert_eq!(harness.sent_one().0, node(101));
-    // The old site's later word that the slot is elsewhere does not hide the owner, nor does an older table come back.
+    // A later table of the old site that assigns the slot elsewhere does not hide the owner, and an older table is
+    // ignored.
     harness.table(21, table(OLD, 4, &SlotState::Elsewhere { site: name(NEW) }));
     harness.table(22, table(OLD, 1, &owned_by(0)));
     harness.arrive(23, arrival(2, "pledge"));
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn an_older_table_of_a_site_never_comes_back() {
+fn an_older_table_of_a_site_is_ignored() {
     let mut harness = Harness::new(|_, _| {});
     harness.table(1, table(OLD, 5, &owned_by(1)));
     harness.table(2, table(OLD, 4, &owned_by(2)));
@@ -76,19 +77,19 @@
 }
 
 #[test]
-fn a_retry_that_is_not_sent_costs_nothing() {
+fn a_retry_that_is_not_sent_is_refunded() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, child_of(77, 3, 1));
     let (_, first) = harness.sent_one();
     harness.answer(2, first.attempt_id(), refused(RefusalReason::NotOwner));
     harness.table(3, table(OLD, 2, &SlotState::Vacant));
-    let said = harness.run_until(1_000);
+    let outputs = harness.run_until(1_000);
     let returned = EdgeOutput::ReturnTokens { parent: CallId(77), tokens: 3 };
-    assert!(said.contains(&returned), "{said:?}");
+    assert!(outputs.contains(&returned), "{outputs:?}");
 }
 
 #[test]
-fn a_connection_that_fails_brings_its_tokens_back() {
+fn a_failed_connection_returns_its_tokens() {
     let mut harness = Harness::new(|_, _| {});
     let call = child_of(77, 3, 1);
     harness.arrive(1, call);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn of_two_sites_at_one_epoch_the_one_that_names_an_owner_counts() {
+fn at_equal_epochs_the_table_with_an_owner_wins() {
     let mut harness = Harness::new(|_, _| {});
     harness.table(1, table(OLD, 2, &SlotState::Elsewhere { site: name(NEW) }));
     harness.table(1, table(NEW, 2, &owned_by(102)));
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn without_any_table_a_call_that_may_run_once_is_refused_and_others_go_on() {
+fn without_tables_non_repeatable_calls_are_refused_and_repeatable_ones_are_sent() {
     let mut harness = Harness::without_tables(|_, _| {});
     harness.arrive(1, arrival(1, "lookup"));
     let (target, _) = harness.sent_one();
@@ -130,17 +131,17 @@
 }
 
 #[test]
-fn a_redirect_costs_a_token_and_leads_to_the_owner_of_a_newer_table() {
+fn a_redirect_costs_a_token_and_goes_to_the_owner_in_a_newer_table() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, arrival(1, "pledge"));
     let (_, first) = harness.sent_one();
     harness.answer(2, first.attempt_id(), refused(RefusalReason::NotOwner));
-    assert!(harness.sent().is_empty(), "the same owner is not asked again at once");
+    assert!(harness.sent().is_empty(), "the call is not sent to the same owner again at once");
     assert!(!harness.fetched_sites().is_empty());
     harness.table(5, table(OLD, 2, &owned_by(1)));
     let (target, second) = harness.sent_one();
     assert_eq!((target, second.attempt), (node(1), 1));
-    assert_eq!(second.rank, first.rank, "a redirect did no work and ranks as before");
+    assert_eq!(second.rank, first.rank, "a redirect is not ranked as a retry, since no work was done");
     for (step, epoch) in [(6, 3), (8, 4)] {
         let (_, context) = harness.sent_one();
         harness.answer(step, context.attempt_id(), refused(RefusalReason::NotOwner));
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn an_owner_that_says_no_is_asked_again_after_a_wait_in_vain() {
+fn an_owner_that_refused_is_retried_after_the_wait_times_out() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, arrival(1, "pledge"));
     let (_, first) = harness.sent_one();
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_newer_epoch_on_an_answer_fetches_the_table_once_per_interval() {
+fn a_newer_epoch_in_an_answer_fetches_the_table_once_per_interval() {
     let mut harness = Harness::new(|_, _| {});
     let mut fetches = 0;
     for call in 0..50 {
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_slots_share_of_repeatable_calls_moves_with_it() {
+fn repeatable_calls_of_a_slot_move_to_its_new_site() {
     let mut harness = Harness::new(|_, _| {});
     let mut half = table(NEW, 2, &SlotState::Elsewhere { site: name(OLD) });
     for slot in half.slots.iter_mut().step_by(2) {
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_suspected_owner_is_sent_to_only_after_a_wait() {
+fn a_suspected_owner_gets_a_call_only_after_a_wait() {
     let mut harness = Harness::new(|_, _| {});
     harness.step(Timestamp::ZERO, EdgeInput::Suspicion { node: node(0).address, suspected: true });
     harness.arrive(1, arrival(1, "pledge"));
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn time_running_out_while_waiting_is_not_run_and_in_flight_unknown() {
+fn an_expired_call_is_not_run_if_waiting_and_unknown_if_in_flight() {
     let mut harness = Harness::new(|settings, _| settings.owner.wait = Duration::from_secs(60));
     let short = |call| {
         let remaining = Some(Duration::from_millis(100));
@@ -213,10 +214,10 @@
     harness.arrive(1, short(1));
     let (_, context) = harness.sent_one();
     let attempt = context.attempt_id();
-    let said = harness.run_until(101);
-    assert!(said.contains(&EdgeOutput::CancelAttempt { attempt }));
+    let outputs = harness.run_until(101);
+    assert!(outputs.contains(&EdgeOutput::CancelAttempt { attempt }));
     assert_eq!(harness.refusal().outcome, Outcome::Unknown);
-    assert!(harness.answer(102, attempt, AttemptResult::Lost).is_empty(), "a late input changes nothing");
+    assert!(harness.answer(102, attempt, AttemptResult::Lost).is_empty(), "a late input is ignored");
     harness.table(200, table(OLD, 2, &SlotState::Vacant));
     harness.arrive(201, short(2));
     harness.run_until(302);
--- a/crates/calls/src/edge/tests/resume.rs
+++ b/crates/calls/src/edge/tests/resume.rs
@@ -1,4 +1,4 @@
-//! A broken download goes on from another target, or the caller's stream is visibly broken off.
+//! An interrupted download is resumed from another target, or the caller's stream is aborted.
 
 use quillhatch_types::{AttemptId, RefusalReason};
 use test_case::test_case;
@@ -6,7 +6,7 @@
 use super::harness::{arrival, at, refused, Harness, ANSWERED};
 use crate::edge::{AttemptResult, BodyState, EdgeInput, EdgeOutput, StrongValidator};
 
-fn broken_at(received: u64) -> BodyState {
+fn interrupted_at(received: u64) -> BodyState {
     BodyState { received, length: Some(1_000), validator: Some(StrongValidator("\"v1\"".to_owned())) }
 }
 
@@ -19,7 +19,7 @@
     attempt
 }
 
-fn breaks_off(harness: &Harness) -> bool {
+fn aborts_stream(harness: &Harness) -> bool {
     harness.outputs.iter().any(|output| matches!(output, EdgeOutput::AbortStream { .. }))
 }
 
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn a_broken_download_goes_on_elsewhere_without_a_second_answer() {
+fn an_interrupted_download_is_resumed_elsewhere_without_a_second_answer() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, arrival(1, "archive"));
     let (first_target, context) = harness.sent_one();
     harness.answer(2, context.attempt_id(), ANSWERED);
-    end_body(&mut harness, 5_000, context.attempt_id(), Some(broken_at(400)));
+    end_body(&mut harness, 5_000, context.attempt_id(), Some(interrupted_at(400)));
     let (target, resumed) = harness.sent_one();
     assert_ne!(target, first_target);
     assert!(matches!(&harness.outputs[..], [EdgeOutput::Resume { offset: 400, .. }]));
-    assert_eq!(resumed.rank, context.rank, "the rest is not sacrificed for first tries");
+    assert_eq!(resumed.rank, context.rank, "the resumed attempt is not ranked as a retry");
     assert!(harness.answer(5_001, resumed.attempt_id(), ANSWERED).is_empty());
     end_body(&mut harness, 5_002, resumed.attempt_id(), None);
     assert!(harness.outputs.is_empty());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn resumes_are_bounded() {
+fn the_number_of_resumes_is_bounded() {
     let mut harness = Harness::new(|settings, configuration| {
         settings.retry.maximum_resumes = 2;
         for service in configuration.services.values_mut() {
@@ -54,33 +54,33 @@
     });
     let mut attempt = relayed(&mut harness, "archive");
     for round in 0..2 {
-        end_body(&mut harness, 10 + round, attempt, Some(broken_at(400 + round)));
+        end_body(&mut harness, 10 + round, attempt, Some(interrupted_at(400 + round)));
         attempt = harness.sent_one().1.attempt_id();
         harness.answer(10 + round, attempt, ANSWERED);
     }
-    end_body(&mut harness, 20, attempt, Some(broken_at(500)));
-    assert!(breaks_off(&harness));
+    end_body(&mut harness, 20, attempt, Some(interrupted_at(500)));
+    assert!(aborts_stream(&harness));
 }
 
-#[test_case("archive", BodyState { validator: None, ..broken_at(400) }; "no strong validator")]
-#[test_case("archive", BodyState { length: None, ..broken_at(400) }; "length not known")]
-#[test_case("archive", broken_at(1_000); "nothing is missing")]
-#[test_case("pledge", broken_at(400); "may not run again")]
-fn breaks_off_what_cannot_be_resumed(class: &str, state: BodyState) {
+#[test_case("archive", BodyState { validator: None, ..interrupted_at(400) }; "no strong validator")]
+#[test_case("archive", BodyState { length: None, ..interrupted_at(400) }; "length not known")]
+#[test_case("archive", interrupted_at(1_000); "nothing is missing")]
+#[test_case("pledge", interrupted_at(400); "may not run again")]
+fn aborts_downloads_that_cannot_be_resumed(class: &str, state: BodyState) {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, class);
     end_body(&mut harness, 10, attempt, Some(state));
-    assert!(breaks_off(&harness) && harness.sent().is_empty());
+    assert!(aborts_stream(&harness) && harness.sent().is_empty());
     assert_eq!(harness.edge.calls_in_progress(), 0);
 }
 
 #[test_case(AttemptResult::ResumeRefused; "another version")]
 #[test_case(AttemptResult::Lost; "lost")]
 #[test_case(refused(RefusalReason::Overloaded); "overloaded")]
-fn a_resume_that_fails_is_tried_at_the_third_target(result: AttemptResult) {
+fn a_failed_resume_is_retried_at_the_third_target(result: AttemptResult) {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, "archive");
-    end_body(&mut harness, 10, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 10, attempt, Some(interrupted_at(400)));
     let (second, resumed) = harness.sent_one();
     harness.answer(11, resumed.attempt_id(), result);
     let (third, _) = harness.sent_one();
@@ -88,30 +88,30 @@
 }
 
 #[test]
-fn a_resume_without_an_answer_breaks_off_in_time() {
+fn a_resume_without_an_answer_aborts_the_stream_at_its_deadline() {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, "archive");
-    end_body(&mut harness, 10, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 10, attempt, Some(interrupted_at(400)));
     let resumed = harness.sent_one().1.attempt_id();
-    let said = harness.run_until(10_000);
-    assert_eq!(said[0], EdgeOutput::CancelAttempt { attempt: resumed });
-    assert!(breaks_off(&harness));
+    let outputs = harness.run_until(10_000);
+    assert_eq!(outputs[0], EdgeOutput::CancelAttempt { attempt: resumed });
+    assert!(aborts_stream(&harness));
 }
 
 #[test]
-fn switched_off_every_broken_download_breaks_off() {
+fn without_the_resume_mechanism_interrupted_downloads_are_aborted() {
     let mut harness = Harness::new(|settings, _| settings.mechanisms.resume = false);
     let attempt = relayed(&mut harness, "archive");
-    end_body(&mut harness, 10, attempt, Some(broken_at(400)));
-    assert!(breaks_off(&harness));
+    end_body(&mut harness, 10, attempt, Some(interrupted_at(400)));
+    assert!(aborts_stream(&harness));
 }
 
 #[test]
-fn a_caller_that_leaves_stops_the_download() {
+fn a_disconnected_caller_cancels_the_download() {
     let mut harness = Harness::new(|_, _| {});
     let attempt = relayed(&mut harness, "archive");
     let outputs = harness.step(at(10), EdgeInput::CallerDisconnected { call: attempt.call });
     assert_eq!(outputs, [EdgeOutput::CancelAttempt { attempt }]);
-    end_body(&mut harness, 11, attempt, Some(broken_at(400)));
+    end_body(&mut harness, 11, attempt, Some(interrupted_at(400)));
     assert!(harness.outputs.is_empty());
 }
--- a/crates/calls/src/edge/tests/retry.rs
+++ b/crates/calls/src/edge/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which results are tried again, and what the caller is told in the end.
+//! Which results are retried, and the final answer to the caller.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 #[test_case("pledge", AttemptResult::Lost, false; "pledge may have run")]
 #[test_case("pledge", unknown(RefusalReason::ConnectionLost), false; "pledge may have reached the back end")]
 #[test_case("pledge", AttemptResult::Refused(Refusal::failed(RefusalReason::AnswerBroken)), false; "pledge ran")]
-fn retries_only_what_is_safe_and_helps(class: &str, result: AttemptResult, retried: bool) {
+fn retries_only_if_safe_and_useful(class: &str, result: AttemptResult, retried: bool) {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, arrival(1, class));
     let (_, first) = harness.sent_one();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_answered_call_is_never_sent_again() {
+fn an_answered_call_is_never_retried() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, arrival(1, "lookup"));
     let (_, first) = harness.sent_one();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_body_that_cannot_be_sent_again_is_not() {
+fn a_call_without_a_replayable_body_is_not_retried() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, CallArrival { replayable_body: false, ..arrival(1, "lookup") });
     let (_, first) = harness.sent_one();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_retry_ranks_behind_first_tries_and_goes_elsewhere() {
+fn a_retry_ranks_behind_first_attempts_and_goes_to_another_target() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, arrival(1, "lookup"));
     let (target, first) = harness.sent_one();
@@ -97,17 +97,17 @@
 }
 
 #[test]
-fn a_child_call_inherits_and_gives_back() {
+fn a_child_call_inherits_from_its_parent_and_returns_tokens() {
     let mut harness = Harness::new(|_, _| {});
     harness.arrive(1, child(1, 4));
     let (_, context) = harness.sent_one();
     assert_eq!((context.root, context.depth, context.priority), (RootId(5), 4, Priority::Protected));
     assert_eq!((context.tokens, context.remaining), (3, Duration::from_millis(300)));
     assert_eq!(context.rank.0 / 1024, 1, "a child of a retry ranks as a retry");
-    let mut generous = feedback();
-    generous.tokens_left = 500;
+    let mut excessive = feedback();
+    excessive.tokens_left = 500;
     let attempt = context.attempt_id();
-    let answered = EdgeInput::AttemptAnswered { attempt, result: ANSWERED, feedback: Some(generous) };
+    let answered = EdgeInput::AttemptAnswered { attempt, result: ANSWERED, feedback: Some(excessive) };
     harness.step(at(2), answered);
     let outputs = harness.step(at(3), EdgeInput::BodyEnded { attempt, incomplete: None });
     assert_eq!(outputs, [EdgeOutput::ReturnTokens { parent: CallId(77), tokens: 4 }]);
@@ -132,7 +132,7 @@
         harness.edge.statistics().retries
     };
     let limited = retries_of(true);
-    assert!(limited <= 10 + 500 / 10, "{limited} retries of 500 first tries at 10 percent");
+    assert!(limited <= 10 + 500 / 10, "{limited} retries of 500 first attempts at 10 percent");
     assert!(retries_of(false) > 400);
 }
 
@@ -160,9 +160,9 @@
     Arrive { class: usize, key: Option<u8>, remaining: Option<u64>, child: bool },
     Answer { call: u128, attempt: u8, result: usize },
     BodyEnd { call: u128, attempt: u8, broken: bool },
-    Gone { call: u128 },
+    Disconnect { call: u128 },
     Stop,
-    Pass { milliseconds: u64 },
+    Advance { milliseconds: u64 },
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -173,9 +173,9 @@
             .prop_map(|(class, key, remaining, child)| Event::Arrive { class, key, remaining, child }),
         10 => (call.clone(), attempt.clone(), 0_usize..8).prop_map(|(call, attempt, result)| Event::Answer { call, attempt, result }),
         4 => (call.clone(), attempt, any::<bool>()).prop_map(|(call, attempt, broken)| Event::BodyEnd { call, attempt, broken }),
-        1 => call.prop_map(|call| Event::Gone { call }),
+        1 => call.prop_map(|call| Event::Disconnect { call }),
         1 => Just(Event::Stop),
-        4 => (0_u64..40).prop_map(|milliseconds| Event::Pass { milliseconds }),
+        4 => (0_u64..40).prop_map(|milliseconds| Event::Advance { milliseconds }),
     ];
     proptest::collection::vec(event, 1..200)
 }
@@ -195,14 +195,14 @@
     ]
 }
 
-/// What a caller and a gate see of a call over its whole life.
+/// The observed state of a call: what its caller received and whether an attempt can have run.
 #[derive(Default)]
-struct Seen {
+struct ObservedCall {
     finishes: usize,
     may_have_run: bool,
-    open: Option<u8>,
-    once: bool,
-    told: Option<Refusal>,
+    in_flight: Option<u8>,
+    non_repeatable: bool,
+    refusal: Option<Refusal>,
 }
 
 proptest! {
@@ -210,37 +210,39 @@
         cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(2), ..Config::default()
     })]
 
-    /// Whatever happens in whatever order: one answer per call, no second run of what may run only once, and `not-run`
-    /// only when no attempt can have run.
+    /// For random events in random order: one answer per call, no retry of a non-repeatable call that may have run, and
+    /// `not-run` only if no attempt can have run.
     #[test]
-    fn each_call_gets_one_true_answer(events in events()) {
+    fn each_call_gets_one_correct_answer(events in events()) {
         let mut harness = Harness::new(|_, _| {});
-        let mut seen: Vec<Seen> = Vec::new();
+        let mut calls: Vec<ObservedCall> = Vec::new();
         let mut now = Timestamp::ZERO;
         for event in events {
             let input = match event {
                 Event::Arrive { class, key, remaining, child: is_child } => {
-                    let call = seen.len() as u128;
+                    let call = calls.len() as u128;
                     let mut arrived = match key {
                         Some(key) => keyed(call, CLASSES[class], &format!("key-{key}")),
                         None => arrival(call, CLASSES[class]),
                     };
                     arrived.remaining = remaining.map(Duration::from_millis);
                     arrived.parent = if is_child { child(call, 2).parent } else { None };
-                    seen.push(Seen { once: class == 1, ..Seen::default() });
+                    calls.push(ObservedCall { non_repeatable: class == 1, ..ObservedCall::default() });
                     EdgeInput::Arrived(arrived)
                 }
                 Event::Answer { call, attempt, result } => {
                     let attempt = AttemptId { call: CallId(call), attempt };
                     let result = results()[result].clone();
-                    let harmless = match &result {
+                    let has_not_run = match &result {
                         AttemptResult::ConnectFailed => true,
                         AttemptResult::Refused(refusal) => refusal.outcome == Outcome::NotRun,
                         _ => false,
                     };
-                    if let Some(state) = seen.get_mut(call as usize).filter(|state| state.open == Some(attempt.attempt)) {
-                        state.open = None;
-                        state.may_have_run |= !harmless;
+                    if let Some(state) =
+                        calls.get_mut(call as usize).filter(|state| state.in_flight == Some(attempt.attempt))
+                    {
+                        state.in_flight = None;
+                        state.may_have_run |= !has_not_run;
                     }
                     EdgeInput::AttemptAnswered { attempt, result, feedback: Some(feedback()) }
                 }
@@ -248,47 +250,47 @@
                     attempt: AttemptId { call: CallId(call), attempt },
                     incomplete: broken.then_some(BodyState { received: 5, length: None, validator: None }),
                 },
-                Event::Gone { call } => EdgeInput::CallerDisconnected { call: CallId(call) },
+                Event::Disconnect { call } => EdgeInput::CallerDisconnected { call: CallId(call) },
                 Event::Stop => EdgeInput::Stop,
-                Event::Pass { milliseconds } => {
+                Event::Advance { milliseconds } => {
                     now = now + Duration::from_millis(milliseconds);
                     EdgeInput::Tick
                 }
             };
             harness.step(now, input);
             for (_, context) in harness.sent() {
-                let state = &mut seen[context.call.0 as usize];
-                prop_assert!(!(state.once && state.may_have_run), "a call that may have run was sent again");
-                prop_assert!(state.open.is_none(), "two attempts at once");
-                state.open = Some(context.attempt);
+                let state = &mut calls[context.call.0 as usize];
+                prop_assert!(!(state.non_repeatable && state.may_have_run), "a call that may have run was sent again");
+                prop_assert!(state.in_flight.is_none(), "two attempts at once");
+                state.in_flight = Some(context.attempt);
             }
             for output in harness.outputs.clone() {
                 if let EdgeOutput::Finish { call, answer } = output {
-                    let state = &mut seen[call.0 as usize];
+                    let state = &mut calls[call.0 as usize];
                     state.finishes += 1;
                     if let Answer::Refuse(refusal) = answer {
-                        state.may_have_run |= state.open.is_some();
-                        state.told = Some(refusal);
+                        state.may_have_run |= state.in_flight.is_some();
+                        state.refusal = Some(refusal);
                     }
                 }
             }
         }
-        // Everything that is still open runs out of time.
+        // The deadlines of all unanswered calls pass.
         harness.run_until(10_000_000);
         for output in harness.outputs.clone() {
             if let EdgeOutput::Finish { call, answer: Answer::Refuse(refusal) } = output {
-                let state = &mut seen[call.0 as usize];
+                let state = &mut calls[call.0 as usize];
                 state.finishes += 1;
-                state.told = Some(refusal);
-                state.may_have_run |= state.open.is_some();
+                state.refusal = Some(refusal);
+                state.may_have_run |= state.in_flight.is_some();
             }
         }
-        for (call, state) in seen.iter().enumerate() {
+        for (call, state) in calls.iter().enumerate() {
             prop_assert_eq!(state.finishes, 1, "call {}", call);
-            let told_not_run = state.told.is_some_and(|refusal| refusal.outcome == Outcome::NotRun);
-            prop_assert!(!(told_not_run && state.may_have_run), "call {} was told `not-run`", call);
+            let refused_not_run = state.refusal.is_some_and(|refusal| refusal.outcome == Outcome::NotRun);
+            prop_assert!(!(refused_not_run && state.may_have_run), "call {} was refused as `not-run`", call);
         }
-        // Only relayed answers are left, each with one attempt in flight.
+        // Only calls with relayed answers remain, each with one attempt in flight.
         let in_flight: u32 = harness.edge.targets(now).iter().map(|target| target.in_flight).sum();
         prop_assert_eq!(in_flight as usize, harness.edge.calls_in_progress());
     }
--- a/crates/calls/src/edge/tests/tree.rs
+++ b/crates/calls/src/edge/tests/tree.rs
@@ -1,7 +1,7 @@
-//! Attempts over a whole tree of calls are at most its first tries plus the root's budget.
+//! The attempts of a whole call tree are at most its first attempts plus the root's budget.
 //!
-//! Every call of the tree goes through the real edge. A stand-in gate moves tokens between a call and its children, loses
-//! answers and fails as the seed says, and counts every attempt that reaches it or is sent to it.
+//! Every call of the tree is made through the real edge. A fake gate passes tokens between a call and its children,
+//! loses answers and fails at random from the seed, and counts every attempt sent to it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -20,8 +20,8 @@
 
 const STEP: Duration = Duration::from_millis(1);
 const ROOT: CallId = CallId(1);
-/// Keeps the run with the bound off finite.
-const MAXIMUM_ATTEMPTS: usize = 3_000;
+/// Ends the run without the bound, which would otherwise not terminate in reasonable time.
+const MAX_ATTEMPTS: usize = 3_000;
 
 #[derive(Clone, Debug)]
 struct Shape {
@@ -33,7 +33,7 @@
     seed: u64,
 }
 
-/// An attempt that runs at the stand-in gate.
+/// An attempt that runs at the fake gate.
 struct Running {
     tokens: u16,
     open_children: u16,
@@ -91,7 +91,7 @@
     }
 
     fn drive(&mut self) {
-        while self.attempts < MAXIMUM_ATTEMPTS {
+        while self.attempts < MAX_ATTEMPTS {
             let event = self.events.peek().map(|Reverse((at, _, _))| *at);
             let wake = self.harness.edge.next_wake();
             let Some(now) = event.into_iter().chain(wake).min() else {
@@ -121,7 +121,7 @@
                 }
                 self.child_finished(now, call);
             }
-            EdgeOutput::ReturnTokens { parent, tokens } => self.take_back(parent, tokens),
+            EdgeOutput::ReturnTokens { parent, tokens } => self.return_tokens(parent, tokens),
             _ => {}
         }
     }
@@ -130,7 +130,7 @@
         self.attempts += 1;
         let attempt = context.attempt_id();
         if self.random.gen_bool(self.shape.failure) {
-            let early = match self.random.gen_range(0..3) {
+            let failure = match self.random.gen_range(0..3) {
                 0 => (AttemptResult::ConnectFailed, None),
                 1 => {
                     let refusal = Refusal::not_run(RefusalReason::Overloaded);
@@ -138,9 +138,9 @@
                 }
                 _ => (AttemptResult::Lost, None),
             };
-            let may_run = early.0 == AttemptResult::Lost && self.random.gen();
-            self.answer(now, attempt, early.0, early.1);
-            // Of lost attempts some run all the same, and their calls go on beside those of the retry.
+            let may_run = failure.0 == AttemptResult::Lost && self.random.gen();
+            self.answer(now, attempt, failure.0, failure.1);
+            // Some of the lost attempts still run, and their child calls run concurrently with those of the retry.
             if !may_run {
                 return;
             }
@@ -179,7 +179,7 @@
         self.schedule(now + STEP, EdgeInput::Arrived(arrived));
     }
 
-    /// The body of a relayed answer ends at once, and the end is reported twice.
+    /// Ends the body of a relayed answer at once and reports the end twice.
     fn end_body(&mut self, now: Timestamp, attempt: AttemptId) {
         for _ in 0..2 {
             let outputs = self.harness.step(now, EdgeInput::BodyEnded { attempt, incomplete: None }).to_vec();
@@ -202,29 +202,29 @@
         }
     }
 
-    fn take_back(&mut self, parent: CallId, tokens: u16) {
-        // The gate knows the attempt by the call that runs; what comes after its answer is lost.
+    fn return_tokens(&mut self, parent: CallId, tokens: u16) {
+        // The gate finds the attempt by its running call; tokens returned after the attempt's answer are lost.
         let running = self.running.iter_mut().filter(|(attempt, _)| attempt.call == parent).last();
         if let Some((_, running)) = running {
             running.tokens += tokens;
         }
     }
 
-    /// The back end answers, and the answer may be lost on the way or break the gate's connection.
+    /// Completes an attempt; its answer may be lost in transit or interrupted between back end and gate.
     fn complete(&mut self, now: Timestamp, attempt: AttemptId) {
         let running = self.running.remove(&attempt).expect("the attempt runs");
-        let back = Some(tokens_left(running.tokens));
+        let feedback = Some(tokens_left(running.tokens));
         if !self.random.gen_bool(self.shape.failure) {
-            return self.answer(now, attempt, ANSWERED, back);
+            return self.answer(now, attempt, ANSWERED, feedback);
         }
         if self.random.gen() {
             return self.answer(now, attempt, AttemptResult::Lost, None);
         }
         let refusal = Refusal::failed(RefusalReason::AnswerBroken);
-        self.answer(now, attempt, AttemptResult::Refused(refusal), back);
+        self.answer(now, attempt, AttemptResult::Refused(refusal), feedback);
     }
 
-    /// Hands the answer to the edge, sometimes twice.
+    /// Delivers the answer to the edge, sometimes twice.
     fn answer(&mut self, now: Timestamp, attempt: AttemptId, result: AttemptResult, feedback: Option<Feedback>) {
         let copies = 1 + u64::from(self.random.gen_bool(0.1));
         for copy in 0..copies {
@@ -261,13 +261,14 @@
     })]
 
     #[test]
-    fn attempts_stay_within_first_tries_and_budget(shape in shapes()) {
+    fn attempts_are_bounded_by_first_attempts_and_budget(shape in shapes()) {
         let budget = usize::from(shape.budget);
         let leaves = usize::from(shape.fan_out).pow(u32::from(shape.depth));
         let tree = Tree::run(shape);
         prop_assert!(tree.attempts <= tree.first_attempts() + budget,
-            "{} attempts, {} first tries, budget {budget}", tree.attempts, tree.first_attempts());
-        // The stricter reading: each token repeats one subtree at most, so no leaf work multiplies with the depth.
+            "{} attempts, {} first attempts, budget {budget}", tree.attempts, tree.first_attempts());
+        // A stricter bound: each token retries at most one subtree, so work at the leaves does not multiply with the
+        // depth.
         prop_assert!(tree.leaf_runs <= leaves * (1 + budget), "{} runs of {leaves} leaves", tree.leaf_runs);
         prop_assert_eq!(tree.finished.len(), tree.calls);
         prop_assert!(tree.finished.values().all(|count| *count == 1));
