--- a/crates/quillhatch/src/call_header.rs
+++ b/crates/quillhatch/src/call_header.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// Creates the header value for an attempt with `context`.
-pub fn seal(keys: &FleetKeys, request: SignedRequest<'_>, context: &CallContext) -> Option<HeaderValue> {
+/// Creates the signed header value for an attempt with `context`; `None` if it is not a valid header value.
+pub fn sign_context(keys: &FleetKeys, request: SignedRequest<'_>, context: &CallContext) -> Option<HeaderValue> {
     let context = wire::encode_context(context);
     let tag = keys.sign(&request.signed_bytes(&context));
     let text = format!(
@@ -92,12 +92,12 @@
     HeaderValue::from_str(&text).ok()
 }
 
-/// Checks the header value of an attempt that reached `request.receiver` and returns its context.
+/// Verifies the header value of an attempt received by `request.receiver` and returns its context.
 ///
 /// # Errors
 ///
 /// Returns why the header is not accepted.
-pub fn open(
+pub fn verify_context(
     keys: &FleetKeys,
     request: SignedRequest<'_>,
     value: Option<&HeaderValue>,
@@ -144,12 +144,12 @@
 }
 
 /// Creates the value of the header with which a gate sends `feedback`.
-pub fn seal_feedback(feedback: &Feedback) -> Option<HeaderValue> {
+pub fn encode_feedback(feedback: &Feedback) -> Option<HeaderValue> {
     HeaderValue::from_str(&URL_SAFE_NO_PAD.encode(wire::encode_feedback(feedback))).ok()
 }
 
 /// Reads the feedback from a header value; `None` if it is invalid.
-pub fn open_feedback(value: &HeaderValue) -> Option<Feedback> {
+pub fn decode_feedback(value: &HeaderValue) -> Option<Feedback> {
     if value.len() > MAX_HEADER_BYTES {
         return None;
     }
--- a/crates/quillhatch/src/call_header/tests.rs
+++ b/crates/quillhatch/src/call_header/tests.rs
@@ -41,25 +41,25 @@
 
 #[test_case(7, 7; "this incarnation")]
 #[test_case(0, 7; "any incarnation")]
-fn a_sealed_header_opens_to_its_context(addressed: u64, receiver: u64) {
-    let value = seal(&keys(1, 1), request(addressed), &context());
-    assert_eq!(open(&keys(1, 1), request(receiver), value.as_ref()), Ok(context()));
+fn a_signed_header_yields_its_context(addressed: u64, receiver: u64) {
+    let value = sign_context(&keys(1, 1), request(addressed), &context());
+    assert_eq!(verify_context(&keys(1, 1), request(receiver), value.as_ref()), Ok(context()));
 }
 
 #[test]
 fn a_header_is_rejected_for_another_key_gate_or_request() {
-    let value = seal(&keys(1, 1), request(7), &context());
-    let open = |keys: &FleetKeys, request| open(keys, request, value.as_ref());
+    let value = sign_context(&keys(1, 1), request(7), &context());
+    let verify_context = |keys: &FleetKeys, request| verify_context(keys, request, value.as_ref());
     let other_address = NodeId { address: NodeAddress("127.0.0.1:7002".parse().expect("address")), ..gate(7) };
-    assert_eq!(open(&keys(1, 2), request(7)), Err(CallHeaderError::WrongTag));
-    assert_eq!(open(&keys(2, 1), request(7)), Err(CallHeaderError::UnknownKey));
-    assert_eq!(open(&keys(1, 1), request(8)), Err(CallHeaderError::WrongRun));
+    assert_eq!(verify_context(&keys(1, 2), request(7)), Err(CallHeaderError::WrongTag));
+    assert_eq!(verify_context(&keys(2, 1), request(7)), Err(CallHeaderError::UnknownKey));
+    assert_eq!(verify_context(&keys(1, 1), request(8)), Err(CallHeaderError::WrongRun));
     let elsewhere = SignedRequest { receiver: other_address, ..request(7) };
-    assert_eq!(open(&keys(1, 1), elsewhere), Err(CallHeaderError::WrongTag));
+    assert_eq!(verify_context(&keys(1, 1), elsewhere), Err(CallHeaderError::WrongTag));
     let other_path = SignedRequest { path: "/pledge?a=2", ..request(7) };
-    assert_eq!(open(&keys(1, 1), other_path), Err(CallHeaderError::WrongTag));
+    assert_eq!(verify_context(&keys(1, 1), other_path), Err(CallHeaderError::WrongTag));
     let other_method = SignedRequest { method: "GET", ..request(7) };
-    assert_eq!(open(&keys(1, 1), other_method), Err(CallHeaderError::WrongTag));
+    assert_eq!(verify_context(&keys(1, 1), other_method), Err(CallHeaderError::WrongTag));
 }
 
 #[test_case(""; "empty")]
@@ -70,13 +70,13 @@
 #[test_case("1.1.7.%%.AAAA"; "no base64url")]
 fn malformed_headers_are_rejected(text: &str) {
     let value = HeaderValue::from_str(text).expect("value");
-    assert_eq!(open(&keys(1, 1), request(7), Some(&value)), Err(CallHeaderError::Malformed));
+    assert_eq!(verify_context(&keys(1, 1), request(7), Some(&value)), Err(CallHeaderError::Malformed));
 }
 
 #[test]
 fn feedback_round_trips_through_its_header() {
     let feedback = Feedback { limit: 12, epoch: Epoch(3), revision: Revision(4), ..Feedback::default() };
-    let value = seal_feedback(&feedback).expect("value");
-    assert_eq!(open_feedback(&value), Some(feedback));
-    assert_eq!(open_feedback(&HeaderValue::from_static("%")), None);
+    let value = encode_feedback(&feedback).expect("value");
+    assert_eq!(decode_feedback(&value), Some(feedback));
+    assert_eq!(decode_feedback(&HeaderValue::from_static("%")), None);
 }
--- a/crates/quillhatch/src/driver/channels.rs
+++ b/crates/quillhatch/src/driver/channels.rs
@@ -113,17 +113,17 @@
 }
 
 impl TaskChannels {
-    pub(super) fn open_call(&mut self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
+    pub(super) fn register_call(&mut self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.calls.insert(call, ChannelEntry { sender, service });
         receiver
     }
 
-    pub(super) fn close_call(&mut self, call: CallId) {
+    pub(super) fn unregister_call(&mut self, call: CallId) {
         self.calls.remove(&call);
     }
 
-    pub(super) fn open_attempt(
+    pub(super) fn register_attempt(
         &mut self,
         attempt: AttemptId,
         service: ServiceName,
@@ -136,11 +136,11 @@
         Some(receiver)
     }
 
-    pub(super) fn close_attempt(&mut self, attempt: AttemptId) {
+    pub(super) fn unregister_attempt(&mut self, attempt: AttemptId) {
         self.attempts.remove(&attempt);
     }
 
-    pub(super) fn open_request(&mut self) -> (RequestNumber, oneshot::Receiver<OperatorReply>) {
+    pub(super) fn register_request(&mut self) -> (RequestNumber, oneshot::Receiver<OperatorReply>) {
         let request = self.next_request;
         self.next_request = RequestNumber(request.0 + 1);
         let (sender, receiver) = oneshot::channel();
--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -93,34 +93,34 @@
     }
 
     /// Registers a call at the edge and returns the receiver of its commands.
-    pub fn open_call(&self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
-        self.lock().channels.open_call(call, service)
+    pub fn register_call(&self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
+        self.lock().channels.register_call(call, service)
     }
 
-    /// Removes a call at the edge.
-    pub fn close_call(&self, call: CallId) {
-        self.lock().channels.close_call(call);
+    /// Removes a call at the edge from the registered ones.
+    pub fn unregister_call(&self, call: CallId) {
+        self.lock().channels.unregister_call(call);
     }
 
     /// Registers an attempt at the gate and returns the receiver of its commands; `None` if the same attempt is already
     /// registered.
-    pub fn open_attempt(
+    pub fn register_attempt(
         &self,
         attempt: AttemptId,
         service: ServiceName,
     ) -> Option<mpsc::UnboundedReceiver<AttemptCommand>> {
-        self.lock().channels.open_attempt(attempt, service)
+        self.lock().channels.register_attempt(attempt, service)
     }
 
-    /// Removes an attempt at the gate.
-    pub fn close_attempt(&self, attempt: AttemptId) {
-        self.lock().channels.close_attempt(attempt);
+    /// Removes an attempt at the gate from the registered ones.
+    pub fn unregister_attempt(&self, attempt: AttemptId) {
+        self.lock().channels.unregister_attempt(attempt);
     }
 
     /// Passes an operator's request to the decision code and returns the receiver of the reply.
     pub fn operator_request(&self, body: OperatorRequest) -> oneshot::Receiver<OperatorReply> {
         let mut state = self.lock();
-        let (request, receiver) = state.channels.open_request();
+        let (request, receiver) = state.channels.register_request();
         self.step(&mut state, NodeInput::Operator { request, body: Box::new(body) });
         receiver
     }
--- a/crates/quillhatch/src/edge/attempt.rs
+++ b/crates/quillhatch/src/edge/attempt.rs
@@ -109,7 +109,7 @@
         let path = self.path.as_str();
         let signed = SignedRequest { receiver: target, method: self.head.method.as_str(), path };
         let mut headers = self.head.headers.clone();
-        headers.insert(headers::CALL, call_header::seal(&self.edge.keys, signed, context)?);
+        headers.insert(headers::CALL, call_header::sign_context(&self.edge.keys, signed, context)?);
         if let Some(range) = range {
             headers.insert(RANGE, HeaderValue::from_str(&format!("bytes={}-", range.offset)).ok()?);
             headers.insert(IF_RANGE, HeaderValue::from_str(&range.validator.0).ok()?);
@@ -125,7 +125,7 @@
 }
 
 fn classify_response(response: reqwest::Response, range: Option<&RangeRequest>) -> AttemptOutcome {
-    let feedback = response.headers().get(headers::FEEDBACK).and_then(call_header::open_feedback);
+    let feedback = response.headers().get(headers::FEEDBACK).and_then(call_header::decode_feedback);
     if let Some(refusal) = read_refusal(response.headers()) {
         return AttemptOutcome::Refused { refusal, feedback };
     }
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -44,7 +44,7 @@
         if !self.ended {
             self.driver.edge_input(EdgeInput::CallerGone { call: self.call });
         }
-        self.driver.close_call(self.call);
+        self.driver.unregister_call(self.call);
     }
 }
 
@@ -62,7 +62,7 @@
     let arrival = arrival(&edge, &request, head.method.as_str(), &body);
     let driver = Arc::clone(&edge.driver);
     let call = arrival.call;
-    let commands = driver.open_call(call, request.service.clone());
+    let commands = driver.register_call(call, request.service.clone());
     let guard = CallGuard { driver: Arc::clone(&driver), call, ended: false };
     let outgoing = Arc::new(OutgoingRequest::new(edge, head, request.path, body));
     driver.edge_input(EdgeInput::Arrived(arrival));
--- a/crates/quillhatch/src/edge/relay.rs
+++ b/crates/quillhatch/src/edge/relay.rs
@@ -42,7 +42,7 @@
     let mut headers = response.headers().clone();
     remove_hop_by_hop(&mut headers);
     remove_internal(&mut headers);
-    // Only nodes may set `Outcome`; a value that the back end sets is removed.
+    // Only nodes may set `Outcome`, so a value in the relayed answer is removed.
     headers.remove(OUTCOME);
     let validator = strong_validator(outgoing.method(), status, &headers);
     let length = expected_length(outgoing.method(), status, &headers);
@@ -63,10 +63,10 @@
 /// The strong validator that allows another target to send the rest of the answer; `None` if the answer can't be
 /// resumed.
 fn strong_validator(method: &Method, status: StatusCode, headers: &HeaderMap) -> Option<StrongValidator> {
-    let whole = method == Method::GET && status == StatusCode::OK;
-    let ranges = headers.get(ACCEPT_RANGES).is_some_and(|unit| unit == "bytes");
+    let is_full_answer = method == Method::GET && status == StatusCode::OK;
+    let accepts_ranges = headers.get(ACCEPT_RANGES).is_some_and(|unit| unit == "bytes");
     let tag = headers.get(ETAG)?.to_str().ok()?;
-    (whole && ranges && tag.starts_with('"')).then(|| StrongValidator(tag.to_owned()))
+    (is_full_answer && accepts_ranges && tag.starts_with('"')).then(|| StrongValidator(tag.to_owned()))
 }
 
 struct BodyRelay {
--- a/crates/quillhatch/src/edge/request.rs
+++ b/crates/quillhatch/src/edge/request.rs
@@ -112,15 +112,15 @@
     head: &Parts,
     configuration: &'a Configuration,
 ) -> Result<(&'a ServiceConfiguration, PathAndQuery), Rejection> {
-    let whole = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/"));
+    let full_path = head.uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/"));
     if let Some(host) = host(head) {
-        let serves =
+        let has_host =
             |service: &&ServiceConfiguration| service.hosts.iter().any(|name| name.eq_ignore_ascii_case(&host));
-        if let Some(service) = configuration.services.values().find(serves) {
-            return Ok((service, whole));
+        if let Some(service) = configuration.services.values().find(has_host) {
+            return Ok((service, full_path));
         }
     }
-    let (first, rest) = split_first_segment(whole.as_str());
+    let (first, rest) = split_first_segment(full_path.as_str());
     let service = configuration.services.values().find(|service| service.name.as_str() == first);
     let service = service.ok_or_else(|| no_route("no service matches the host or the first path segment"))?;
     let rest = PathAndQuery::try_from(rest).map_err(|_| Rejection::bad_request("the request path is malformed"))?;
--- a/crates/quillhatch/src/edge/unaccepted.rs
+++ b/crates/quillhatch/src/edge/unaccepted.rs
@@ -1,5 +1,5 @@
-//! Counts and logs attempts that gates reject because they can't authenticate them, usually because of different fleet
-//! keys.
+//! Counts and logs attempts whose call header a gate does not accept, usually because the fleet keys of the nodes
+//! differ.
 //!
 //! A call treats such a gate like any other unusable target, so nothing else would show the problem to an operator.
 
--- a/crates/quillhatch/src/gate/attempt.rs
+++ b/crates/quillhatch/src/gate/attempt.rs
@@ -46,7 +46,7 @@
     /// Passes a new attempt to the decision code; `None` if the same attempt is already in progress.
     pub fn arrived(driver: &Arc<Driver>, context: &CallContext) -> Option<Self> {
         let attempt = context.attempt_id();
-        let commands = driver.open_attempt(attempt, context.service.clone())?;
+        let commands = driver.register_attempt(attempt, context.service.clone())?;
         let driver = Arc::clone(driver);
         driver.gate_input(GateInput::Arrived(Box::new(context.clone())));
         Some(AttemptGuard { driver, attempt, commands, phase: Phase::Waiting, disconnect_reported: false })
@@ -104,7 +104,7 @@
             Phase::Dispatched => self.end(AnswerEnd::Cancelled),
             Phase::Ended => {}
         }
-        self.driver.close_attempt(self.attempt);
+        self.driver.unregister_attempt(self.attempt);
     }
 }
 
@@ -238,7 +238,7 @@
 
 /// Adds the feedback header to `answer`.
 pub fn write_feedback(answer: &mut Answer, feedback: &Feedback) {
-    if let Some(value) = call_header::seal_feedback(feedback) {
+    if let Some(value) = call_header::encode_feedback(feedback) {
         answer.headers_mut().insert(FEEDBACK, value);
     }
 }
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -56,7 +56,7 @@
         if is_frames {
             return self.frames.receive(request.into_body()).await;
         }
-        match self.open_header(&request) {
+        match self.verify_header(&request) {
             Ok(context) => match self.run_attempt(context, request).await {
                 Ok(answer) => answer,
                 Err(rejection) => refusal_answer(&rejection),
@@ -67,10 +67,10 @@
 }
 
 impl Gate {
-    fn open_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
+    fn verify_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
         let signed = SignedRequest { receiver: self.node, method: request.method().as_str(), path };
-        call_header::open(&self.keys, signed, request.headers().get(CALL))
+        call_header::verify_context(&self.keys, signed, request.headers().get(CALL))
     }
 
     async fn run_attempt(
--- a/crates/quillhatch/src/peers/tests.rs
+++ b/crates/quillhatch/src/peers/tests.rs
@@ -18,8 +18,8 @@
     append_frame(&mut batch, b"first");
     append_frame(&mut batch, b"second");
     for end in 1..batch.len() {
-        let whole = end == LENGTH_BYTES + b"first".len();
-        assert_eq!(split_frames(&batch[..end]).is_some(), whole, "cut at {end}");
+        let ends_with_frame = end == LENGTH_BYTES + b"first".len();
+        assert_eq!(split_frames(&batch[..end]).is_some(), ends_with_frame, "truncated to {end} bytes");
     }
     assert_eq!(split_frames(&[0xff; 16]), None);
 }
