--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -38,7 +38,7 @@
 struct State {
     decisions: Box<dyn Decisions>,
     channels: TaskChannels,
-    /// A buffer that is empty between steps and reused by each.
+    /// The outputs of the current step; empty between steps, so that the allocation is reused.
     outputs: Vec<NodeOutput>,
 }
 
--- a/crates/quillhatch/src/gate/attempt.rs
+++ b/crates/quillhatch/src/gate/attempt.rs
@@ -93,8 +93,8 @@
         self.report_disconnect();
         match self.phase {
             Phase::Waiting => {
-                // The attempt was dispatched, but its task was dropped before it received the command. Without this
-                // report the decision code would count the attempt as running forever.
+                // If the attempt was dispatched but its task is dropped before it receives the command, the decision
+                // code would count the attempt as running forever without this report.
                 let is_dispatch = |command| matches!(command, AttemptCommand::Dispatch { .. });
                 if self.commands.try_recv().is_ok_and(is_dispatch) {
                     self.end(AnswerEnd::ConnectFailed);
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -36,7 +36,7 @@
     pub node: NodeId,
     /// The driver of the decision code.
     pub driver: Arc<Driver>,
-    /// The back end beside the node, if there is one.
+    /// The node's back end, if it has one.
     pub backend: Option<backend::Backend>,
     /// The keys that authenticate attempts.
     pub keys: Arc<FleetKeys>,
--- a/crates/quillhatch/src/peers/receiver.rs
+++ b/crates/quillhatch/src/peers/receiver.rs
@@ -34,7 +34,7 @@
         FrameReceiver { opener: Mutex::new(opener), versions, driver, counters }
     }
 
-    /// Receives the body of a request. Responds with 204 if it could be split_frames into frames, even if frames were
+    /// Receives the body of a request. Responds with 204 if it could be split into frames, even if frames were
     /// rejected.
     pub async fn receive(&self, request: Incoming) -> Answer {
         let status = match buffer_body(incoming(request), MAX_BATCH_BYTES as u64).await {
