--- a/crates/calls/src/gate/settings.rs
+++ b/crates/calls/src/gate/settings.rs
@@ -12,7 +12,7 @@
 /// The simulation disables them by name, to measure the effect of each. Do not disable any in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateMechanisms {
-    /// Order and evict waiting attempts by rank; off: first in, first out, and a full queue refuses the newcomer.
+    /// Order and evict waiting attempts by rank; off: first in, first out, and a full queue refuses new attempts.
     pub priority_queue: bool,
     /// Refuse waiting attempts after the service's queue timeout; off: they may wait until their deadline.
     pub queue_timeout: bool,
