--- a/crates/quillhatch/src/command_line/tests.rs
+++ b/crates/quillhatch/src/command_line/tests.rs
@@ -34,7 +34,7 @@
 #[test_case(&["check", "--settings", "a", "--config", "b"]; "check of both")]
 #[test_case(&["plan", "--node", "127.0.0.1:1"]; "plan without a kind")]
 #[test_case(&["plan", "teleport", "--node", "127.0.0.1:1"]; "unknown plan")]
-#[test_case(&["plan", "move", "--service", "a", "--from", "b", "--to", "c", "--percent", "101"]; "share above the whole")]
+#[test_case(&["plan", "move", "--service", "a", "--from", "b", "--to", "c", "--percent", "101"]; "percentage above 100")]
 #[test_case(&["plan", "retire", "--target", "here"]; "target without an address")]
 #[test_case(&["confirm", "--node", "127.0.0.1:1"]; "confirm without a plan")]
 #[test_case(&["confirm", "a b", "--node", "127.0.0.1:1"]; "plan with a space")]
--- a/crates/quillhatch/src/running/mod.rs
+++ b/crates/quillhatch/src/running/mod.rs
@@ -31,11 +31,11 @@
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
     /// A listening address could not be bound.
-    #[display("cannot listen for {clients} at {address}: {source}")]
+    #[display("cannot listen for {client_kind} at {address}: {source}")]
     #[from(ignore)]
     Listen {
-        /// The clients of the listener, for the error message.
-        clients: &'static str,
+        /// Which kind of client the listener is for.
+        client_kind: &'static str,
         /// The address to bind.
         address: SocketAddr,
         /// The error of the operating system.
@@ -78,7 +78,7 @@
     sender: Arc<PeerSender>,
     operators: OperatorServer,
     stop_listeners: watch::Sender<bool>,
-    /// The servers for callers and peers. Once told to stop, each ends when its last connection closes.
+    /// The servers for callers and peers. After `stop_listeners` is set, each ends when its last connection closes.
     servers: JoinSet<()>,
     /// Periodic tasks, which run until they are aborted.
     background: JoinSet<()>,
--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -42,8 +42,8 @@
     address: SocketAddr,
 }
 
-async fn bind(clients: &'static str, address: SocketAddr) -> Result<BoundListener, StartError> {
-    let failed = |source| StartError::Listen { clients, address, source };
+async fn bind(client_kind: &'static str, address: SocketAddr) -> Result<BoundListener, StartError> {
+    let failed = |source| StartError::Listen { client_kind, address, source };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     Ok(BoundListener { listener, address })
--- a/crates/quillhatch/tests/calls.rs
+++ b/crates/quillhatch/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls through real nodes: the whole path, idempotency keys, replayed answers, and callers that disconnect.
+//! Calls through real nodes: the path through edge and gate, idempotency keys, replayed answers, and callers that disconnect.
 
 mod support;
 
@@ -41,10 +41,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_download_arrives_whole() {
+async fn a_download_arrives_complete() {
     let fleet = Fleet::start(1).await;
     let answer = fleet.get(&format!("/files/7/{DOWNLOAD_BYTES}")).await;
-    let received = answer.bytes().await.expect("the whole body");
+    let received = answer.bytes().await.expect("the complete body");
     let file = GeneratedFile { seed: 7, length: DOWNLOAD_BYTES };
     let mut sent = Sha256::new();
     let mut blocks = (0..).map(|index| file.block(index)).take_while(|block| !block.is_empty());
--- a/crates/quillhatch/tests/node.rs
+++ b/crates/quillhatch/tests/node.rs
@@ -65,7 +65,7 @@
     for log in [&edge_log, &gate_log] {
         log.wait_for("the stop", |input| matches!(input, NodeInput::Stop { .. })).await;
     }
-    assert_eq!(answer.bytes().await.expect("the whole body").len(), support::backend::DOWNLOAD_BYTES);
+    assert_eq!(answer.bytes().await.expect("the complete body").len(), support::backend::DOWNLOAD_BYTES);
     for node in [edge, gate] {
         let report = tokio::time::timeout(TEST_TIMEOUT, node).await.expect("the node stops").expect("no panic");
         assert!(report.aborted.is_empty(), "{report:?}");
--- a/crates/quillhatch/tests/operations.rs
+++ b/crates/quillhatch/tests/operations.rs
@@ -38,7 +38,7 @@
     let refused = refused.await;
     assert_eq!((refused.status().as_u16(), &refused.headers()["outcome"]), (503, &"not-run".parse().expect("value")));
     assert!(refused.text().await.expect("body").contains("\"reason\":\"stopping\""));
-    assert_eq!(download.bytes().await.expect("the whole body").len() as u64, DOWNLOAD_BYTES);
+    assert_eq!(download.bytes().await.expect("the complete body").len() as u64, DOWNLOAD_BYTES);
     // No other gate can take its slots, so it waits until the grace period expires. Then it must end.
     let single_gate = tokio::spawn(gate.node.stop_within(SINGLE_GATE_GRACE));
     for (name, stopping) in [("the edge", stopping), ("the group's only gate", single_gate)] {
--- a/crates/quillhatch/tests/streaming.rs
+++ b/crates/quillhatch/tests/streaming.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_download_arrives_whole() {
+async fn a_large_download_arrives_complete() {
     let gate = start_gate(start_rocket().await).await;
     let edge = start_edge(vec![gate.node]).await;
     let answer = client().get(edge.url("/download")).send().await.expect("answer");
@@ -20,12 +20,14 @@
     let body = answer.bytes().await.expect("body");
     assert_eq!(hex_digest(&body), hex_digest(&pattern(0, DOWNLOAD_BYTES)));
     let ended = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::BodyEnded { broken: None, .. }));
-    edge.log.wait_for("whole body at the edge", ended).await;
-    gate.log.wait_for("whole body at the gate", |input| matches!(end_of(input), Some(AnswerEnd::Whole { .. }))).await;
+    edge.log.wait_for("complete body at the edge", ended).await;
+    gate.log
+        .wait_for("complete body at the gate", |input| matches!(answer_end(input), Some(AnswerEnd::Whole { .. })))
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_upload_arrives_whole() {
+async fn a_large_upload_arrives_complete() {
     let gate = start_gate(start_rocket().await).await;
     let edge = start_edge(vec![gate.node]).await;
     let body = pattern(0, DOWNLOAD_BYTES);
@@ -65,7 +67,7 @@
             matches!(input, NodeInput::Edge(EdgeInput::BodyEnded { broken: Some(_), .. }))
         })
         .await;
-    gate.log.wait_for("a broken answer", |input| end_of(input) == Some(&AnswerEnd::Broken)).await;
+    gate.log.wait_for("a broken answer", |input| answer_end(input) == Some(&AnswerEnd::Broken)).await;
 }
 
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", "GET", 200)]
@@ -73,14 +75,16 @@
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 500\r\n\r\n", "HEAD", 200)]
 #[test_case("HTTP/1.1 304 Not Modified\r\ncontent-length: 500\r\n\r\n", "GET", 304)]
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_without_a_body_are_whole(answer: &str, method: &str, status: u16) {
+async fn answers_without_a_body_are_complete(answer: &str, method: &str, status: u16) {
     let (backend, _) = start_raw(answer.as_bytes().to_vec(), true).await;
     let gate = start_gate(backend).await;
     let edge = start_edge(vec![gate.node]).await;
     let method = method.parse().expect("method");
     let response = client().request(method, edge.url("/x")).send().await.expect("answer");
     assert_eq!(response.status(), status);
-    gate.log.wait_for("whole", |input| matches!(end_of(input), Some(AnswerEnd::Whole { bytes: 0, .. }))).await;
+    gate.log
+        .wait_for("complete answer", |input| matches!(answer_end(input), Some(AnswerEnd::Whole { bytes: 0, .. })))
+        .await;
     let caller_gone = |input: &NodeInput| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }));
     assert!(!edge.log.inputs().iter().any(caller_gone));
 }
@@ -103,7 +107,7 @@
     drop(caller);
     tokio::time::timeout(TEST_TIMEOUT, record.disconnected.notified()).await.expect("the back end's connection closes");
     edge.log.wait_for("caller gone", |input| matches!(input, NodeInput::Edge(EdgeInput::CallerGone { .. }))).await;
-    gate.log.wait_for("cancelled", |input| end_of(input) == Some(&AnswerEnd::Cancelled)).await;
+    gate.log.wait_for("cancelled", |input| answer_end(input) == Some(&AnswerEnd::Cancelled)).await;
 }
 
 #[test_case("\"v1\"", true; "the same strong validator")]
@@ -124,7 +128,7 @@
     assert!(request.contains("range: bytes=4-") && request.contains("if-range: \"v1\""), "{request}");
 }
 
-fn end_of(input: &NodeInput) -> Option<&AnswerEnd> {
+fn answer_end(input: &NodeInput) -> Option<&AnswerEnd> {
     match input {
         NodeInput::Gate(GateInput::AnswerEnded { end, .. }) => Some(end),
         _ => None,
--- a/crates/quillhatch/tests/support/scripted_decisions.rs
+++ b/crates/quillhatch/tests/support/fake_decisions.rs
@@ -15,7 +15,7 @@
 
 use super::TEST_TIMEOUT;
 
-/// The inputs of a [`ScriptedDecisions`], in order.
+/// The inputs that a [`FakeDecisions`] received, in order.
 #[derive(Clone, Default)]
 pub struct InputLog(Arc<Mutex<Vec<NodeInput>>>);
 
@@ -41,23 +41,25 @@
     }
 }
 
-pub struct ScriptedDecisions {
+/// Decisions for tests; see the module's documentation.
+pub struct FakeDecisions {
     targets: Vec<NodeId>,
+    /// The calls, each with the number of its next attempt, which is also the index of the next target.
     calls: BTreeMap<CallId, (CallArrival, u8)>,
-    unrepeatable: BTreeSet<AttemptId>,
+    non_repeatable: BTreeSet<AttemptId>,
     log: InputLog,
     configuration: Arc<Configuration>,
 }
 
-impl ScriptedDecisions {
+impl FakeDecisions {
     pub fn new(targets: Vec<NodeId>) -> (Self, InputLog) {
         let log = InputLog::default();
         let configuration = Arc::new(super::configuration());
         (
-            ScriptedDecisions {
+            FakeDecisions {
                 targets,
                 calls: BTreeMap::new(),
-                unrepeatable: BTreeSet::new(),
+                non_repeatable: BTreeSet::new(),
                 log: log.clone(),
                 configuration,
             },
@@ -85,24 +87,24 @@
     }
 
     fn next_attempt(&mut self, call: CallId) -> Option<(NodeId, Box<CallContext>)> {
-        let (arrival, next) = self.calls.get_mut(&call)?;
-        let target = *self.targets.get(usize::from(*next))?;
-        let context = Self::context(arrival, *next);
-        *next += 1;
+        let (arrival, next_attempt) = self.calls.get_mut(&call)?;
+        let target = *self.targets.get(usize::from(*next_attempt))?;
+        let context = Self::context(arrival, *next_attempt);
+        *next_attempt += 1;
         Some((target, context))
     }
 
-    fn edge(&mut self, input: EdgeInput, outputs: &mut Vec<NodeOutput>) {
+    fn handle_edge_input(&mut self, input: EdgeInput, outputs: &mut Vec<NodeOutput>) {
         let output = match input {
             EdgeInput::Arrived(arrival) => {
                 let call = arrival.call;
                 self.calls.insert(call, (arrival, 0));
                 match self.next_attempt(call) {
                     Some((target, context)) => EdgeOutput::Send { target, context },
-                    None => finish(call, Refusal::not_run(RefusalReason::NoTarget)),
+                    None => refuse_call(call, Refusal::not_run(RefusalReason::NoTarget)),
                 }
             }
-            EdgeInput::AttemptAnswered { attempt, result, .. } => match self.answered(attempt, result) {
+            EdgeInput::AttemptAnswered { attempt, result, .. } => match self.handle_attempt_result(attempt, result) {
                 Some(output) => output,
                 None => return,
             },
@@ -120,37 +122,37 @@
         outputs.push(NodeOutput::Edge(output));
     }
 
-    fn answered(&self, attempt: AttemptId, result: AttemptResult) -> Option<EdgeOutput> {
+    fn handle_attempt_result(&self, attempt: AttemptId, result: AttemptResult) -> Option<EdgeOutput> {
         let resumed = attempt.attempt > 0;
         let call = attempt.call;
         Some(match result {
             AttemptResult::Answered { .. } if resumed => return None,
             AttemptResult::Answered { .. } => EdgeOutput::Finish { call, answer: Answer::Relay(attempt) },
             AttemptResult::ResumeRefused => EdgeOutput::BreakOff { call },
-            AttemptResult::Refused(refusal) => finish(call, refusal),
-            AttemptResult::ConnectFailed => finish(call, Refusal::not_run(RefusalReason::ConnectFailed)),
-            AttemptResult::Lost => finish(call, Refusal::unknown(RefusalReason::ConnectionLost)),
+            AttemptResult::Refused(refusal) => refuse_call(call, refusal),
+            AttemptResult::ConnectFailed => refuse_call(call, Refusal::not_run(RefusalReason::ConnectFailed)),
+            AttemptResult::Lost => refuse_call(call, Refusal::unknown(RefusalReason::ConnectionLost)),
         })
     }
 }
 
-fn finish(call: CallId, refusal: Refusal) -> EdgeOutput {
+fn refuse_call(call: CallId, refusal: Refusal) -> EdgeOutput {
     EdgeOutput::Finish { call, answer: Answer::Refuse(refusal) }
 }
 
-impl Decisions for ScriptedDecisions {
+impl Decisions for FakeDecisions {
     fn step(&mut self, _now: Timestamp, input: NodeInput, outputs: &mut Vec<NodeOutput>) {
         self.log.0.lock().expect("log").push(input.clone());
         match input {
-            NodeInput::Edge(input) => self.edge(input, outputs),
+            NodeInput::Edge(input) => self.handle_edge_input(input, outputs),
             NodeInput::Gate(GateInput::Arrived(context)) => {
                 if !context.repeatable {
-                    self.unrepeatable.insert(context.attempt_id());
+                    self.non_repeatable.insert(context.attempt_id());
                 }
                 let output = GateOutput::Dispatch { attempt: context.attempt_id(), remaining: context.remaining };
                 outputs.push(NodeOutput::Gate(output));
             }
-            NodeInput::Gate(GateInput::Cancelled { attempt }) if !self.unrepeatable.contains(&attempt) => {
+            NodeInput::Gate(GateInput::Cancelled { attempt }) if !self.non_repeatable.contains(&attempt) => {
                 outputs.push(NodeOutput::Gate(GateOutput::CancelDispatched { attempt }));
             }
             NodeInput::Stop { .. } => outputs.push(NodeOutput::ReadyToExit),
--- a/crates/quillhatch/tests/support/fleet.rs
+++ b/crates/quillhatch/tests/support/fleet.rs
@@ -84,7 +84,7 @@
         let listed = nodes.iter().copied().chain([&self.edge]);
         let machines = listed.map(|node| Machine { address: node.addresses.peers, status: MachineStatus::Live });
         self.platform.state.set_machines(machines.collect());
-        self.platform.state.set_configuration(document(formation, &nodes));
+        self.platform.state.set_configuration(configuration_document(formation, &nodes));
         self.platform.state.set_faults(PlatformFaults::default());
     }
 
@@ -152,7 +152,7 @@
     GateMachine { node, backend }
 }
 
-fn document(formation: &str, gates: &[&RunningNode]) -> String {
+fn configuration_document(formation: &str, gates: &[&RunningNode]) -> String {
     let class = |name: &str, prefix: &str, method: &str, priority: &str, repeatable: bool| {
         json!({
             "name": name, "methods": [method], "path_prefix": prefix, "priority": priority, "repeatable": repeatable,
--- a/crates/quillhatch/tests/support/mod.rs
+++ b/crates/quillhatch/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! An edge and a gate in one process, with scripted decisions instead of the decision code.
+//! An edge and a gate in one process, with fake decisions instead of the decision code.
 #![allow(dead_code)]
 
 pub mod backend;
+pub mod fake_decisions;
 pub mod fleet;
 pub mod node;
-pub mod scripted_decisions;
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -26,7 +26,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use scripted_decisions::{InputLog, ScriptedDecisions};
+use fake_decisions::{FakeDecisions, InputLog};
 
 pub const SERVICE: &str = "giving";
 pub const HEADER_LIMIT: u64 = 4 * 1024;
@@ -96,7 +96,7 @@
 pub async fn start_gate(backend: SocketAddr) -> GateNode {
     let (listener, address) = bind_loopback().await;
     let node = NodeId { address: NodeAddress(address), incarnation: Incarnation(7) };
-    let (decisions, log) = ScriptedDecisions::new(Vec::new());
+    let (decisions, log) = FakeDecisions::new(Vec::new());
     let driver = Driver::new(Box::new(decisions), Box::new(NullMessageSink));
     let counters = Arc::new(Counters::default());
     let opener = FrameOpener::new(node, DeploymentName::new("test").expect("name"), (*keys(1)).clone());
@@ -140,7 +140,7 @@
 
 pub async fn start_edge_with(targets: Vec<NodeId>, keys: Arc<FleetKeys>, body_bytes: Option<u64>) -> EdgeNode {
     let (listener, address) = bind_loopback().await;
-    let (decisions, log) = ScriptedDecisions::new(targets);
+    let (decisions, log) = FakeDecisions::new(targets);
     let driver = Driver::new(Box::new(decisions), Box::new(NullMessageSink));
     let counters = Arc::new(Counters::default());
     let edge = Edge {
--- a/crates/quillhatch/tests/support/node.rs
+++ b/crates/quillhatch/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A complete node with scripted decisions instead of the decision code.
+//! A complete node with fake decisions instead of the decision code.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use quillhatch_settings::{parse_node_settings, FlagOverrides, NodeSettings};
 use quillhatch_types::{NodeAddress, NodeId};
 
-use super::scripted_decisions::{InputLog, ScriptedDecisions};
+use super::fake_decisions::{FakeDecisions, InputLog};
 
 pub const TOKEN: &str = "an-operators-token";
 
@@ -32,7 +32,7 @@
 }
 
 pub async fn start(settings: NodeSettings, targets: Vec<NodeId>) -> (RunningNode, InputLog) {
-    let (decisions, log) = ScriptedDecisions::new(targets);
+    let (decisions, log) = FakeDecisions::new(targets);
     let build =
         move |_: NodeId, _: &NodeSettings| -> Result<Box<dyn Decisions>, StartError> { Ok(Box::new(decisions)) };
     (start_with(settings, build).await.expect("the node starts"), log)
