--- a/crates/calls/src/edge/arrival.rs
+++ b/crates/calls/src/edge/arrival.rs
@@ -1,17 +1,17 @@
-//! Checks a call that arrives and starts it.
+//! Checks a call on arrival and starts it.
 
 use quillhatch_types::call::MAXIMUM_DEPTH;
 use quillhatch_types::{ClassConfiguration, Refusal, RefusalReason, Timestamp};
 
 use super::budget::RetryBudget;
 use super::call::Call;
-use super::caller::{EarlierUse, KeyHash};
+use super::caller::{KeyHash, KeyHistory};
 use super::deadline::Deadline;
 use super::io::{CallArrival, EdgeOutput};
 use super::state::Edge;
 
 impl Edge {
-    /// Refuses a call that cannot run, or sends its first attempt.
+    /// Refuses a call that cannot run, or starts it and dispatches its first attempt.
     pub(super) fn arrived(&mut self, now: Timestamp, arrival: CallArrival, outputs: &mut Vec<EdgeOutput>) {
         if self.calls.contains_key(&arrival.call) {
             self.statistics.stale_inputs += 1;
@@ -21,7 +21,7 @@
         if arrival.outgoing && arrival.parent.is_none() {
             self.statistics.without_context += 1;
         }
-        let key = self.note_key(now, &arrival);
+        let key = self.record_key(now, &arrival);
         let repeated = key.is_some_and(|(_, earlier)| earlier.repeated);
         match self.check(now, &arrival, repeated) {
             Ok(class) => {
@@ -34,23 +34,24 @@
         }
     }
 
-    /// Remembers the key of a root call. Child calls are bounded by the budget of their tree.
-    fn note_key(&mut self, now: Timestamp, arrival: &CallArrival) -> Option<(KeyHash, EarlierUse)> {
+    /// Records the key of a root call. Child calls are exempt, since the retry budget of their tree bounds them.
+    fn record_key(&mut self, now: Timestamp, arrival: &CallArrival) -> Option<(KeyHash, KeyHistory)> {
         if arrival.parent.is_some() {
             return None;
         }
         let key = arrival.key.as_ref()?;
         let hash = KeyHash::new(&arrival.caller, &arrival.service, key);
-        let earlier = self.callers.note_key(hash, now);
+        let earlier = self.callers.record_key(hash, now);
         if earlier.repeated {
-            self.statistics.repeated_keys += 1;
+            self.statistics.reused_keys += 1;
         }
         Some((hash, earlier))
     }
 
     fn check(&mut self, now: Timestamp, arrival: &CallArrival, repeated: bool) -> Result<ClassConfiguration, Refusal> {
         let retry_after = self.settings.level.retry_after;
-        // Calls of a call in progress go on, since a planned stop cuts nothing in flight.
+        // Calls made on behalf of calls in progress are still accepted: a planned shutdown interrupts nothing in
+        // flight.
         if self.stopping && arrival.parent.is_none() && !arrival.outgoing {
             return Err(Refusal::not_run(RefusalReason::Stopping).with_retry_after(retry_after));
         }
@@ -60,7 +61,7 @@
         let service = self.services.get(&arrival.service);
         let class = service.and_then(|service| service.class(&arrival.class)).cloned();
         let class = class.ok_or(Refusal::not_run(RefusalReason::NoRoute))?;
-        // Without a digest the claim could not tell a repeat from another request under the same key.
+        // Without a digest the claim could not distinguish a retry from another request with the same key.
         if !class.repeatable && arrival.key.is_some() && arrival.digest.is_none() {
             return Err(Refusal::not_run(RefusalReason::BadRequest));
         }
@@ -88,7 +89,7 @@
             None => class.retry_budget,
         };
         let bounded = self.settings.mechanisms.retry_budget;
-        let budget = RetryBudget::new(tokens, self.settings.retry.kept_tokens_percent, bounded);
+        let budget = RetryBudget::new(tokens, self.settings.retry.retained_tokens_percent, bounded);
         Call::new(arrival, class, deadline, budget)
     }
 }
--- a/crates/calls/src/gate/arrival.rs
+++ b/crates/calls/src/gate/arrival.rs
@@ -7,20 +7,21 @@
 use super::attempt::{is_protected, Attempt, Lane, Phase};
 use super::io::GateOutput;
 use super::machine::Gate;
-use super::queue::{Ticket, Waiting};
-use super::tokens::TokenPurse;
+use super::queue::{QueueTicket, WaitingAttempt};
+use super::tokens::TokenAccount;
 
-/// A waiting attempt that gives way to a more important one.
+/// A waiting attempt that can be evicted for a more important one.
 #[derive(Clone, Copy, Debug)]
-struct Victim {
+struct EvictionCandidate {
     lane: Lane,
-    ticket: Ticket,
+    ticket: QueueTicket,
     attempt: AttemptId,
     rank: AdmissionRank,
 }
 
-/// A longer remaining time is taken as this; it keeps a forged value from holding memory.
-const LONGEST_REMAINING: Duration = Duration::from_secs(3600);
+/// Longer remaining times are reduced to this, so that a forged value cannot hold memory for long. It also serves as
+/// the queue timeout while that mechanism is off.
+const MAX_REMAINING_TIME: Duration = Duration::from_secs(3600);
 
 impl Gate {
     pub(super) fn arrive(&mut self, now: Timestamp, context: Box<CallContext>, outputs: &mut Vec<GateOutput>) {
@@ -37,12 +38,12 @@
             self.admission.arrived(context.rank);
         }
         if is_protected(context.rank) {
-            self.protected_seen = Some(now);
+            self.last_protected_arrival = Some(now);
         }
-        let starts_at_once =
-            self.would_start_next(lane, &context) && self.has_room(now, lane, is_protected(context.rank));
-        if !starts_at_once {
-            if let Some(refusal) = self.make_room_to_wait(now, lane, &context, outputs) {
+        let starts_immediately =
+            self.would_start_next(lane, &context) && self.has_free_slot(now, lane, is_protected(context.rank));
+        if !starts_immediately {
+            if let Some(refusal) = self.admit_to_queue(now, lane, &context, outputs) {
                 self.refuse_arrival(now, &context, refusal, outputs);
                 return;
             }
@@ -50,7 +51,8 @@
         self.enqueue(now, lane, context);
     }
 
-    /// Whether nothing that waits comes before a newcomer: a reserved slot may be free while less important work waits.
+    /// Whether a new attempt would start before all waiting ones. A protected one may: a reserved slot can be free
+    /// while less important attempts wait.
     fn would_start_next(&self, lane: Lane, context: &CallContext) -> bool {
         let short = self.short_queue.peek(false);
         if lane == Lane::Large && short.is_some_and(|(_, head)| head.rank < context.rank) {
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Refusals that do not depend on load.
+    /// Refuses an arrival for a reason other than load: a closed or unconfigured gate, a wrong service, too little
+    /// time.
     fn refusal_on_arrival(&self, now: Timestamp, context: &CallContext) -> Option<Refusal> {
         if let Some(closed) = self.closed {
             return Some(Refusal::not_run(closed.reason));
@@ -86,7 +89,7 @@
         too_short.then(|| Refusal::not_run(RefusalReason::DeadlineTooShort))
     }
 
-    /// The time below which a call of the class cannot finish.
+    /// The minimum time that a call of this class needs: with less remaining time it is expected to miss its deadline.
     pub(super) fn needed_time(&self, now: Timestamp, context: &CallContext) -> Duration {
         let Some(target) = &self.target else { return Duration::ZERO };
         let deadline = target.deadline(&context.class);
@@ -94,8 +97,11 @@
         target.minimum_time.max(typical.unwrap_or_default())
     }
 
-    /// Decides whether a newcomer that finds no free slot may wait; evicts less important work if the queue is full.
-    fn make_room_to_wait(
+    /// Decides whether a new attempt without a free slot may wait, and evicts a less important one if the queue is
+    /// full.
+    ///
+    /// Returns the refusal if it may not wait.
+    fn admit_to_queue(
         &mut self,
         now: Timestamp,
         lane: Lane,
@@ -105,110 +111,119 @@
         if lane == Lane::Short {
             self.limit.blocked();
         }
-        let gives_way = self.less_important(lane, context);
-        let protected_work_first = is_protected(context.rank) && gives_way.is_some();
+        let candidate = self.eviction_candidate(lane, context);
+        let protected_can_evict = is_protected(context.rank) && candidate.is_some();
         let above_level = lane == Lane::Short && !self.level().admits(context.rank);
-        let too_late = self.expected_wait(now, lane, context) > self.longest_useful_wait(now, context);
-        if !protected_work_first && (above_level || too_late) {
-            // A refusal that the level itself caused must not count as pressure: the level would hold itself down.
+        let too_late = self.expected_wait(now, lane, context) > self.max_useful_wait(now, context);
+        if !protected_can_evict && (above_level || too_late) {
+            // A refusal caused by the level itself must not count as pressure, or the level would keep itself low.
             if !above_level {
-                self.note_pressure(now, lane);
+                self.record_queue_pressure(now, lane);
             }
             return Some(self.overload_refusal(RefusalReason::Overloaded));
         }
-        if self.queue(lane).len() < self.queue_bound(now, lane) {
+        if self.queue(lane).len() < self.max_queue_len(now, lane) {
             return None;
         }
-        self.note_pressure(now, lane);
-        let Some(victim) = gives_way else {
+        self.record_queue_pressure(now, lane);
+        let Some(victim) = candidate else {
             return Some(self.overload_refusal(RefusalReason::Overloaded));
         };
         self.evict(now, victim, outputs);
         None
     }
 
-    /// The waiting attempt that would give way to `context`: no protected one while a less important one waits in any lane.
-    fn less_important(&self, lane: Lane, context: &CallContext) -> Option<Victim> {
-        let of_lane = |lane: Lane| {
+    /// The waiting attempt to evict for `context`, if any. No protected one is chosen while an unprotected one waits in
+    /// either lane.
+    fn eviction_candidate(&self, lane: Lane, context: &CallContext) -> Option<EvictionCandidate> {
+        let candidate_in = |lane: Lane| {
             let least = self.queue(lane).least_important().filter(|(_, waiting)| waiting.rank > context.rank);
-            least.map(|(ticket, waiting)| Victim { lane, ticket, attempt: waiting.attempt, rank: waiting.rank })
+            least.map(|(ticket, waiting)| EvictionCandidate {
+                lane,
+                ticket,
+                attempt: waiting.attempt,
+                rank: waiting.rank,
+            })
         };
-        let own = of_lane(lane);
+        let own = candidate_in(lane);
         if !is_protected(context.rank) || own.is_some_and(|victim| !is_protected(victim.rank)) {
             return own;
         }
-        of_lane(lane.other()).filter(|victim| !is_protected(victim.rank)).or(own)
+        candidate_in(lane.other()).filter(|victim| !is_protected(victim.rank)).or(own)
     }
 
-    /// The number of attempts that may wait: no more than get a slot within the queue timeout.
+    /// The maximum number of waiting attempts: at most as many as get a slot within the queue timeout.
     ///
-    /// Otherwise the least important would wait in vain, overtaken until their time is over.
-    fn queue_bound(&mut self, now: Timestamp, lane: Lane) -> usize {
+    /// In a longer queue the least important attempts would be overtaken until they time out.
+    fn max_queue_len(&mut self, now: Timestamp, lane: Lane) -> usize {
         let bound = self.settings.maximum_waiting;
         if lane == Lane::Large {
-            // Protected short calls may have taken the places of waiting large answers, beyond their own bound.
-            let beyond = self.short_queue.len().saturating_sub(bound);
-            return self.settings.maximum_waiting_large.saturating_sub(beyond);
+            // Protected short calls beyond their own bound have evicted waiting large answers and take up their places.
+            let excess = self.short_queue.len().saturating_sub(bound);
+            return self.settings.maximum_waiting_large.saturating_sub(excess);
         }
-        if !self.settings.mechanisms.early_refusal || self.hold_seconds <= 0.0 {
+        if !self.settings.mechanisms.early_refusal || self.mean_slot_seconds <= 0.0 {
             return bound;
         }
         let served = self.queue_timeout().as_secs_f64() * self.slot_rate(now);
         bound.min((served as usize).max(1))
     }
 
-    /// The rate at which slots become free, by Little's law, per second.
+    /// The number of slots that become free per second, by Little's law.
     fn slot_rate(&mut self, now: Timestamp) -> f64 {
-        f64::from(self.short_limit(now).max(1)) / self.hold_seconds
+        f64::from(self.short_call_limit(now).max(1)) / self.mean_slot_seconds
     }
 
-    /// The expected wait: those ahead, over the rate at which slots become free.
+    /// The expected wait of a new attempt: the number of attempts ahead of it, divided by the rate at which slots
+    /// become free.
     fn expected_wait(&mut self, now: Timestamp, lane: Lane, context: &CallContext) -> Duration {
-        if lane == Lane::Large || !self.settings.mechanisms.early_refusal || self.hold_seconds <= 0.0 {
+        if lane == Lane::Large || !self.settings.mechanisms.early_refusal || self.mean_slot_seconds <= 0.0 {
             return Duration::ZERO;
         }
         let ahead = self.short_queue.ahead_of(context.rank, self.overloaded(now)) as f64;
         Duration::from_secs_f64(ahead / self.slot_rate(now))
     }
 
-    fn longest_useful_wait(&self, now: Timestamp, context: &CallContext) -> Duration {
+    fn max_useful_wait(&self, now: Timestamp, context: &CallContext) -> Duration {
         let spare = context.remaining.saturating_sub(self.needed_time(now, context));
         spare.min(self.queue_timeout())
     }
 
     fn queue_timeout(&self) -> Duration {
         if !self.settings.mechanisms.queue_timeout {
-            return LONGEST_REMAINING;
+            return MAX_REMAINING_TIME;
         }
         self.target.as_ref().map_or(Duration::ZERO, |target| target.queue_timeout)
     }
 
-    pub(super) fn note_pressure(&mut self, now: Timestamp, lane: Lane) {
-        // Downloads have slots of their own: their queue says nothing about the slots of short calls.
+    pub(super) fn record_queue_pressure(&mut self, now: Timestamp, lane: Lane) {
+        // Large answers have a limit of their own: their queue says nothing about the slots of short calls.
         if lane == Lane::Short {
-            self.admission.pressure(now);
+            self.admission.record_pressure(now);
         }
     }
 
     fn enqueue(&mut self, now: Timestamp, lane: Lane, context: Box<CallContext>) {
         let attempt = context.attempt_id();
-        let deadline = now + context.remaining.min(LONGEST_REMAINING);
+        let deadline = now + context.remaining.min(MAX_REMAINING_TIME);
         let queue_expires = now + self.queue_timeout();
         let expires = queue_expires.min(self.latest_start(now, deadline, &context));
-        let waiting = Waiting { attempt, rank: context.rank, since: now, expires };
+        let waiting = WaitingAttempt { attempt, rank: context.rank, since: now, expires };
         let ticket = self.queue_mut(lane).push(waiting);
         let entry = Attempt {
             lane,
             deadline,
             phase: Phase::Waiting { ticket, queue_expires },
-            tokens: TokenPurse::new(context.tokens),
+            tokens: TokenAccount::new(context.tokens),
             slot_since: now,
-            counted_bytes: 0,
+            reserved_bytes: 0,
             context,
         };
         self.attempts.insert(attempt, entry);
     }
 
+    /// The latest time at which an attempt may start: early enough to meet its deadline, or the deadline itself while
+    /// the deadline check is off.
     pub(super) fn latest_start(&self, now: Timestamp, deadline: Timestamp, context: &CallContext) -> Timestamp {
         if self.settings.mechanisms.deadline_check {
             deadline - self.needed_time(now, context)
@@ -217,22 +232,22 @@
         }
     }
 
-    /// Refuses waiting attempts whose time is over.
+    /// Refuses waiting attempts that have expired.
     pub(super) fn expire_waiting(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) {
-        self.end_drain_grace(now, lane, outputs);
+        self.refuse_after_drain(now, lane, outputs);
         while let Some((at, ticket)) = self.queue(lane).first_expiry() {
             if at > now {
                 break;
             }
-            if !self.stays_in_place_of_another(now, lane, ticket, outputs) {
+            if !self.extend_by_eviction(now, lane, ticket, outputs) {
                 self.refuse_expired(now, lane, ticket, outputs);
             }
         }
     }
 
-    /// A draining back end gets no new work after the grace, not even work that waited.
-    fn end_drain_grace(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) {
-        if !self.drain_is_over(now) {
+    /// Refuses all waiting attempts once the drain's grace period is over: the back end gets no new work after it.
+    fn refuse_after_drain(&mut self, now: Timestamp, lane: Lane, outputs: &mut Vec<GateOutput>) {
+        if !self.drain_grace_is_over(now) {
             return;
         }
         while let Some((_, waiting)) = self.queue(lane).peek(false) {
@@ -240,56 +255,57 @@
         }
     }
 
-    pub(super) fn drain_is_over(&self, now: Timestamp) -> bool {
-        let drained = self.closed.filter(|closed| closed.reason == RefusalReason::Draining);
-        drained.is_some_and(|closed| now >= closed.since + self.settings.drain_grace)
+    pub(super) fn drain_grace_is_over(&self, now: Timestamp) -> bool {
+        let draining = self.closed.filter(|closed| closed.reason == RefusalReason::Draining);
+        draining.is_some_and(|closed| now >= closed.since + self.settings.drain_grace)
     }
 
-    /// A protected attempt at the end of its queue time stays while less important work waits, which is refused for it.
-    fn stays_in_place_of_another(
+    /// Extends the wait of an expired protected attempt by evicting a less important one, if its deadline allows;
+    /// returns whether it did.
+    fn extend_by_eviction(
         &mut self,
         now: Timestamp,
         lane: Lane,
-        ticket: Ticket,
+        ticket: QueueTicket,
         outputs: &mut Vec<GateOutput>,
     ) -> bool {
         let Some(waiting) = self.queue(lane).get(ticket) else { return false };
         let Some(entry) = self.attempts.get(&waiting.attempt) else { return false };
         let latest = self.latest_start(now, entry.deadline, &entry.context);
-        let less_important = self.less_important(lane, &entry.context);
-        let Some(victim) = less_important.filter(|_| entry.is_protected() && latest > now) else {
+        let eviction_candidate = self.eviction_candidate(lane, &entry.context);
+        let Some(victim) = eviction_candidate.filter(|_| entry.is_protected() && latest > now) else {
             return false;
         };
-        self.note_pressure(now, lane);
+        self.record_queue_pressure(now, lane);
         self.evict(now, victim, outputs);
-        self.wait_on(now, lane, ticket, latest);
+        self.extend_wait(now, lane, ticket, latest);
         true
     }
 
-    fn wait_on(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, latest: Timestamp) {
+    fn extend_wait(&mut self, now: Timestamp, lane: Lane, ticket: QueueTicket, latest: Timestamp) {
         let queue_expires = now + self.queue_timeout();
         let Some(waiting) = self.queue_mut(lane).remove(ticket) else { return };
-        let ticket = self.queue_mut(lane).push(Waiting { expires: queue_expires.min(latest), ..waiting });
+        let ticket = self.queue_mut(lane).push(WaitingAttempt { expires: queue_expires.min(latest), ..waiting });
         if let Some(entry) = self.attempts.get_mut(&waiting.attempt) {
             entry.phase = Phase::Waiting { ticket, queue_expires };
         }
     }
 
-    fn refuse_expired(&mut self, now: Timestamp, lane: Lane, ticket: Ticket, outputs: &mut Vec<GateOutput>) {
+    fn refuse_expired(&mut self, now: Timestamp, lane: Lane, ticket: QueueTicket, outputs: &mut Vec<GateOutput>) {
         let Some(waiting) = self.queue_mut(lane).remove(ticket) else { return };
         let Some(entry) = self.attempts.get(&waiting.attempt) else { return };
-        let queue_time_over = matches!(entry.phase, Phase::Waiting { queue_expires, .. } if queue_expires <= now);
+        let queue_timed_out = matches!(entry.phase, Phase::Waiting { queue_expires, .. } if queue_expires <= now);
         let too_late = self.latest_start(now, entry.deadline, &entry.context) <= now;
-        let refusal = if queue_time_over && !too_late {
+        let refusal = if queue_timed_out && !too_late {
             self.overload_refusal(RefusalReason::QueueTimeout)
         } else {
             Refusal::not_run(RefusalReason::DeadlineTooShort)
         };
-        self.note_pressure(now, lane);
+        self.record_queue_pressure(now, lane);
         self.end_refused(now, waiting.attempt, refusal, outputs);
     }
 
-    fn evict(&mut self, now: Timestamp, victim: Victim, outputs: &mut Vec<GateOutput>) {
+    fn evict(&mut self, now: Timestamp, victim: EvictionCandidate, outputs: &mut Vec<GateOutput>) {
         self.queue_mut(victim.lane).remove(victim.ticket);
         let refusal = self.overload_refusal(RefusalReason::Overloaded);
         self.end_refused(now, victim.attempt, refusal, outputs);
@@ -304,7 +320,7 @@
     ) {
         let attempt = context.attempt_id();
         self.recent.insert(attempt);
-        // Nothing ran below this attempt, so it gives all its tokens back.
+        // The attempt made no child calls, so all its tokens go back.
         let feedback = self.feedback_with(now, context.tokens);
         outputs.push(GateOutput::Refuse { attempt, refusal, feedback });
     }
--- a/crates/calls/src/gate/classes.rs
+++ b/crates/calls/src/gate/classes.rs
@@ -1,4 +1,4 @@
-//! What a gate takes from the configuration: its target's limits and the classes of its service.
+//! What a gate reads from the configuration: its target's limits and the classes of its service.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// The deadline assumed for a class that the configuration does not list.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// One class of calls and what is measured of it.
+/// One class of calls with its measured service time.
 #[derive(Clone, Debug)]
 pub(super) struct ClassState {
     pub(super) name: ClassName,
@@ -19,9 +19,9 @@
     pub(super) service_time: ServiceTime,
 }
 
-/// The part of the configuration that concerns one gate.
+/// The part of the configuration that applies to one gate.
 #[derive(Clone, Debug)]
-pub(super) struct Target {
+pub(super) struct GateTarget {
     pub(super) slots: u32,
     pub(super) connections: u32,
     pub(super) minimum_time: Duration,
@@ -29,15 +29,15 @@
     pub(super) classes: Vec<ClassState>,
 }
 
-impl Target {
-    /// Reads the gate's part of `configuration`, keeping what `previous` measured.
+impl GateTarget {
+    /// Reads the gate's part of `configuration`, and takes over the service times measured in `previous`.
     ///
-    /// Returns `None` if the service or the target is not listed: the gate then keeps what it has, and whoever took the
-    /// target away drains it.
+    /// Returns `None` if the service or the target is not listed: the gate then retains its old values, and the code
+    /// that removed the target drains it.
     pub(super) fn read(
         configuration: &Configuration,
         settings: &GateSettings,
-        previous: Option<&Target>,
+        previous: Option<&GateTarget>,
     ) -> Option<Self> {
         let service = configuration.services.get(&settings.service)?;
         let target = service.targets.iter().find(|target| target.node == settings.node)?;
@@ -48,7 +48,7 @@
         service: &ServiceConfiguration,
         target: &TargetConfiguration,
         settings: &GateSettings,
-        previous: Option<&Target>,
+        previous: Option<&GateTarget>,
     ) -> Self {
         let connections = target.connections.clamp(1, settings.maximum_running.max(1));
         let class_state = |class: &quillhatch_types::ClassConfiguration| ClassState {
@@ -60,7 +60,7 @@
                 .map(|old| old.service_time)
                 .unwrap_or_default(),
         };
-        Target {
+        GateTarget {
             slots: target.slots.clamp(1, connections),
             connections,
             minimum_time: service.minimum_time,
--- a/crates/quillhatch/src/edge/call.rs
+++ b/crates/quillhatch/src/edge/call.rs
@@ -32,8 +32,8 @@
         self.call
     }
 
-    /// Marks the call as ended: its answer was delivered completely, refused or aborted. Returns false if it had already
-    /// ended.
+    /// Marks the call as ended: its answer was delivered completely, refused or aborted. Returns false if it had
+    /// already ended.
     pub fn end(&mut self) -> bool {
         !std::mem::replace(&mut self.ended, true)
     }
@@ -44,7 +44,7 @@
         if !self.ended {
             self.driver.edge_input(EdgeInput::CallerGone { call: self.call });
         }
-        self.driver.close_call(self.call);
+        self.driver.unregister_call(self.call);
     }
 }
 
@@ -62,7 +62,7 @@
     let arrival = arrival(&edge, &request, head.method.as_str(), &body);
     let driver = Arc::clone(&edge.driver);
     let call = arrival.call;
-    let commands = driver.open_call(call, request.service.clone());
+    let commands = driver.register_call(call, request.service.clone());
     let guard = CallGuard { driver: Arc::clone(&driver), call, ended: false };
     let outgoing = Arc::new(OutgoingRequest::new(edge, head, request.path, body));
     driver.edge_input(EdgeInput::Arrived(arrival));
@@ -88,7 +88,7 @@
         service: request.service.clone(),
         class: request.class.clone(),
         key: request.key.clone(),
-        drawn_key: random_key(),
+        generated_key: random_key(),
         digest,
         remaining: request.remaining,
         outgoing: edge.outgoing_only || request.context != ContextHeader::Absent,
@@ -222,8 +222,8 @@
     }
 }
 
-/// The refusal for inconsistent outputs of the decision code, such as relaying an attempt without a response. It is unknown
-/// whether the call ran.
+/// The refusal for inconsistent outputs of the decision code, such as relaying an attempt without a response. It is
+/// unknown whether the call ran.
 fn outcome_unknown() -> Refusal {
     Refusal::unknown(quillhatch_types::RefusalReason::ConnectionLost)
 }
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -1,8 +1,9 @@
 //! Handles the listener for peers: authenticates and runs attempts of calls, and receives control frames.
 //!
-//! An attempt's header is verified, the decision code decides when to dispatch it ([`attempt`]), the request is sent to the
-//! back end ([`backend`]), the head of the answer is awaited ([`head_wait`]), and the answer streams back with the gate's
-//! feedback ([`relay`]). A request that must be completed after its edge has disconnected continues in the [`background`].
+//! An attempt's header is verified, the decision code decides when to dispatch it ([`attempt`]), the request is sent to
+//! the back end ([`backend`]), the head of the answer is awaited ([`head_wait`]), and the answer streams back with the
+//! gate's feedback ([`relay`]). A request that must be completed after its edge has disconnected continues in the
+//! [`background`].
 
 pub mod attempt;
 pub mod backend;
@@ -55,7 +56,7 @@
         if is_frames {
             return self.frames.receive(request.into_body()).await;
         }
-        match self.open_header(&request) {
+        match self.verify_header(&request) {
             Ok(context) => match self.run_attempt(context, request).await {
                 Ok(answer) => answer,
                 Err(rejection) => refusal_answer(&rejection),
@@ -66,10 +67,10 @@
 }
 
 impl Gate {
-    fn open_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
+    fn verify_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
         let signed = SignedRequest { receiver: self.node, method: request.method().as_str(), path };
-        call_header::open(&self.keys, signed, request.headers().get(CALL))
+        call_header::verify_context(&self.keys, signed, request.headers().get(CALL))
     }
 
     async fn run_attempt(
