--- a/crates/calls/src/edge/arrival.rs
+++ b/crates/calls/src/edge/arrival.rs
@@ -22,12 +22,12 @@
             self.statistics.without_context += 1;
         }
         let key = self.record_key(now, &arrival);
-        let repeated = key.is_some_and(|(_, earlier)| earlier.repeated);
-        match self.check(now, &arrival, repeated) {
+        let reuses_key = key.is_some_and(|(_, earlier)| earlier.used_recently);
+        match self.check(now, &arrival, reuses_key) {
             Ok(class) => {
                 let mut call = self.start(now, arrival, &class);
                 call.key = key;
-                call.ranks_as_retry |= repeated;
+                call.ranks_as_retry |= reuses_key;
                 self.dispatch(now, Box::new(call), outputs);
             }
             Err(refusal) => self.refuse_arrival(&arrival, key, refusal, outputs),
@@ -42,13 +42,18 @@
         let key = arrival.key.as_ref()?;
         let hash = KeyHash::new(&arrival.caller, &arrival.service, key);
         let earlier = self.callers.record_key(hash, now);
-        if earlier.repeated {
+        if earlier.used_recently {
             self.statistics.reused_keys += 1;
         }
         Some((hash, earlier))
     }
 
-    fn check(&mut self, now: Timestamp, arrival: &CallArrival, repeated: bool) -> Result<ClassConfiguration, Refusal> {
+    fn check(
+        &mut self,
+        now: Timestamp,
+        arrival: &CallArrival,
+        reuses_key: bool,
+    ) -> Result<ClassConfiguration, Refusal> {
         let retry_after = self.settings.level.retry_after;
         // Calls made on behalf of calls in progress are still accepted: a planned shutdown interrupts nothing in
         // flight.
@@ -69,7 +74,7 @@
             return Err(Refusal::not_run(RefusalReason::Overloaded).with_retry_after(retry_after));
         }
         if self.settings.mechanisms.caller_limit && arrival.parent.is_none() {
-            let admitted = self.callers.admit(&arrival.caller, repeated, now);
+            let admitted = self.callers.admit(&arrival.caller, reuses_key, now);
             admitted.map_err(|wait| Refusal::not_run(RefusalReason::CallerRate).with_retry_after(wait))?;
         }
         Ok(class)
--- a/crates/calls/src/edge/balance.rs
+++ b/crates/calls/src/edge/balance.rs
@@ -152,7 +152,7 @@
                 let first = random.gen_range(0..free.len());
                 let step = random.gen_range(1..free.len());
                 let second = (first + step) % free.len();
-                let cost = |place: usize| targets[free[place]].cost(self.now, self.balance);
+                let cost = |choice: usize| targets[free[choice]].cost(self.now, self.balance);
                 Some(if cost(second) < cost(first) { free[second] } else { free[first] })
             }
         }
@@ -168,5 +168,8 @@
     if members.len() <= MAX_CANDIDATES {
         return members.to_vec();
     }
-    rand::seq::index::sample(random, members.len(), MAX_CANDIDATES).into_iter().map(|place| members[place]).collect()
+    rand::seq::index::sample(random, members.len(), MAX_CANDIDATES)
+        .into_iter()
+        .map(|sampled| members[sampled])
+        .collect()
 }
--- a/crates/calls/src/edge/call.rs
+++ b/crates/calls/src/edge/call.rs
@@ -53,14 +53,14 @@
     pub(crate) arrival: CallArrival,
     /// The number of calls above it in the call tree.
     pub(crate) depth: u8,
-    /// Its priority: the more urgent of its class's and its parent's.
+    /// Its priority: the more important of its class's and its parent's.
     pub(crate) priority: Priority,
     /// Whether it may run more than once, as its class says.
     pub(crate) repeatable: bool,
     /// The deadline of its class: the time limit of a resumed download, and the base of the threshold from which an
     /// unanswered attempt counts as a failure of its target.
     pub(crate) class_deadline: Duration,
-    /// The deadline until which it must be answered.
+    /// The deadline for the head of the answer, or of the resumed one.
     pub(crate) deadline: Deadline,
     /// Its retry tokens.
     pub(crate) budget: RetryBudget,
@@ -147,7 +147,7 @@
 
     /// Records the refusal of an attempt, unless an earlier one is stronger evidence that the call ran.
     pub(crate) fn record_refusal(&mut self, refusal: Refusal) {
-        let known = self.worst_refusal.map(|worst_refusal| severity(worst_refusal.outcome));
+        let known = self.worst_refusal.map(|worst| severity(worst.outcome));
         if known.is_none_or(|known| severity(refusal.outcome) >= known) {
             self.worst_refusal = Some(refusal);
         }
@@ -156,7 +156,7 @@
     /// The refusal for the caller: `refusal`, unless an earlier attempt is stronger evidence that the call ran.
     pub(crate) fn final_refusal(&self, refusal: Refusal) -> Refusal {
         match self.worst_refusal {
-            Some(worst_refusal) if severity(worst_refusal.outcome) > severity(refusal.outcome) => worst_refusal,
+            Some(worst) if severity(worst.outcome) > severity(refusal.outcome) => worst,
             _ => refusal,
         }
     }
--- a/crates/calls/src/edge/caller.rs
+++ b/crates/calls/src/edge/caller.rs
@@ -131,7 +131,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct KeyHistory {
     /// The caller used the key recently, so the call is the caller's own retry.
-    pub(crate) repeated: bool,
+    pub(crate) used_recently: bool,
     /// An earlier call with the key through this edge is running or may have run.
     pub(crate) may_have_run: bool,
 }
@@ -172,7 +172,7 @@
     /// Records the use of a key and returns its earlier uses.
     pub(crate) fn record_key(&mut self, key: KeyHash, now: Timestamp) -> KeyHistory {
         if let Some(calls) = self.keys.refresh(key, now) {
-            let earlier = KeyHistory { repeated: true, may_have_run: *calls > 0 };
+            let earlier = KeyHistory { used_recently: true, may_have_run: *calls > 0 };
             *calls = calls.saturating_add(1);
             return earlier;
         }
@@ -181,18 +181,18 @@
     }
 
     /// Records that one call with the key ended and is known not to have run.
-    pub(crate) fn proven_not_run(&mut self, key: KeyHash) {
+    pub(crate) fn record_not_run(&mut self, key: KeyHash) {
         if let Some(calls) = self.keys.find(&key) {
             *calls = calls.saturating_sub(1);
         }
     }
 
-    /// Admits a call of `caller` if its rate limits allow; `repeated` says that the call reuses a key.
+    /// Admits a call of `caller` if its rate limits allow; `reuses_key` says that the call reuses a key.
     ///
     /// # Errors
     ///
     /// Returns the delay after which the caller may retry.
-    pub(crate) fn admit(&mut self, caller: &CallerName, repeated: bool, now: Timestamp) -> Result<(), Duration> {
+    pub(crate) fn admit(&mut self, caller: &CallerName, reuses_key: bool, now: Timestamp) -> Result<(), Duration> {
         let settings = self.settings;
         if self.callers.refresh(caller.clone(), now).is_none() {
             let buckets = CallerBuckets {
@@ -204,7 +204,7 @@
         let Some(buckets) = self.callers.find(caller) else {
             return Ok(());
         };
-        if repeated {
+        if reuses_key {
             buckets.retries.take(settings.retries_per_second, settings.retry_burst, now)?;
         }
         buckets.calls.take(settings.calls_per_second, settings.call_burst, now)
--- a/crates/calls/src/edge/ejection.rs
+++ b/crates/calls/src/edge/ejection.rs
@@ -20,7 +20,7 @@
     /// The maximum duration of an ejection.
     pub maximum: Duration,
     /// The time without an ejection after which the next one lasts only the base duration again.
-    pub forget_after: Duration,
+    pub reset_after: Duration,
     /// The maximum share of a service's targets at one site that are ejected at the same time, in percent, rounded
     /// down.
     pub maximum_percent: u8,
@@ -32,7 +32,7 @@
             failures: 5,
             base: Duration::from_millis(500),
             maximum: Duration::from_secs(4),
-            forget_after: Duration::from_secs(10),
+            reset_after: Duration::from_secs(10),
             maximum_percent: 34,
         }
     }
@@ -71,7 +71,7 @@
 
     /// Ejects the target. After the ejection a single failure ejects it again.
     pub(crate) fn eject(&mut self, now: Timestamp, settings: &EjectionSettings) {
-        let quiet = self.ejected_until.is_none_or(|until| now.since(until) >= settings.forget_after);
+        let quiet = self.ejected_until.is_none_or(|until| now.since(until) >= settings.reset_after);
         if quiet {
             self.ejections = 0;
         }
--- a/crates/calls/src/edge/finish.rs
+++ b/crates/calls/src/edge/finish.rs
@@ -56,7 +56,7 @@
         if refusal.outcome != Outcome::NotRun {
             return refusal;
         }
-        self.callers.proven_not_run(hash);
+        self.callers.record_not_run(hash);
         if earlier.may_have_run {
             return Refusal { outcome: Outcome::Unknown, ..refusal };
         }
--- a/crates/calls/src/edge/io.rs
+++ b/crates/calls/src/edge/io.rs
@@ -108,7 +108,7 @@
         /// Whether it is now suspected.
         suspected: bool,
     },
-    /// The node starts to shut down: only calls of its own back end are still accepted.
+    /// The node starts to shut down: only child calls and calls of its own back end are still accepted.
     Stop,
     /// Time passed; due timers fire.
     Tick,
--- a/crates/calls/src/edge/result.rs
+++ b/crates/calls/src/edge/result.rs
@@ -31,7 +31,7 @@
         if let Some(feedback) = feedback {
             self.record_feedback(now, &call, attempt, &feedback, outputs);
         }
-        let Some(verdict) = classify_result(result, call.repeatable) else {
+        let Some(classification) = classify_result(result, call.repeatable) else {
             return self.relay(now, call, attempt, outputs);
         };
         self.release_target(&call, attempt);
@@ -41,7 +41,7 @@
         if call.interrupted.is_some() {
             self.resume(now, call, outputs);
         } else {
-            self.retry_or_refuse(now, call, attempt, verdict, outputs);
+            self.retry_or_refuse(now, call, attempt, classification, outputs);
         }
     }
 
@@ -76,8 +76,8 @@
 
     fn relay(&mut self, now: Timestamp, mut call: Box<Call>, attempt: Attempt, outputs: &mut Vec<EdgeOutput>) {
         call.phase = Phase::Relaying(attempt);
-        let continues = call.interrupted.take().is_some();
-        if !continues {
+        let is_resumed = call.interrupted.take().is_some();
+        if !is_resumed {
             self.statistics.relayed += 1;
             let answer = Answer::Relay(call.attempt_id(attempt));
             outputs.push(EdgeOutput::Finish { call: call.id(), answer });
@@ -90,14 +90,14 @@
         now: Timestamp,
         mut call: Box<Call>,
         attempt: Attempt,
-        verdict: Classification,
+        classification: Classification,
         outputs: &mut Vec<EdgeOutput>,
     ) {
-        call.record_refusal(verdict.refusal);
+        call.record_refusal(classification.refusal);
         call.phase = Phase::Idle;
-        let useful = verdict.retry.filter(|_| call.arrival.replayable_body && call.deadline.leaves_time(now));
+        let useful = classification.retry.filter(|_| call.arrival.replayable_body && call.deadline.leaves_time(now));
         let Some(kind) = useful.filter(|_| self.charge_retry(&mut call)) else {
-            return self.finish_refused(call, verdict.refusal, outputs);
+            return self.finish_refused(call, classification.refusal, outputs);
         };
         if kind == RetryKind::OtherOwner && !call.repeatable {
             let service = self.services.get_mut(&call.arrival.service);
@@ -132,7 +132,7 @@
         };
         let percent = service.class(&call.arrival.class).map_or(0, |class| class.retry_ratio_percent);
         let limited = self.settings.mechanisms.retry_ratio;
-        let allowed = service.ratio(&call.arrival.class).is_some_and(|ratio| !limited || ratio.charge(percent));
+        let allowed = service.ratio_limit(&call.arrival.class).is_some_and(|ratio| !limited || ratio.charge(percent));
         if !allowed {
             self.statistics.ratio_denied += 1;
             return false;
@@ -149,7 +149,7 @@
         call.budget.refund();
         let limited = self.settings.mechanisms.retry_ratio;
         let service = self.services.get_mut(&call.arrival.service);
-        if let Some(ratio) = service.and_then(|service| service.ratio(&call.arrival.class)).filter(|_| limited) {
+        if let Some(ratio) = service.and_then(|service| service.ratio_limit(&call.arrival.class)).filter(|_| limited) {
             ratio.refund();
         }
     }
@@ -160,7 +160,7 @@
             return;
         };
         let percent = service.class(&call.arrival.class).map_or(0, |class| class.retry_ratio_percent);
-        if let Some(ratio) = service.ratio(&call.arrival.class) {
+        if let Some(ratio) = service.ratio_limit(&call.arrival.class) {
             ratio.earn(percent);
         }
     }
--- a/crates/calls/src/edge/service.rs
+++ b/crates/calls/src/edge/service.rs
@@ -69,7 +69,7 @@
         self.configuration.class(name)
     }
 
-    pub(crate) fn ratio(&mut self, class: &ClassName) -> Option<&mut RatioLimit> {
+    pub(crate) fn ratio_limit(&mut self, class: &ClassName) -> Option<&mut RatioLimit> {
         self.ratios.get_mut(class)
     }
 
--- a/crates/calls/src/edge/tests/tree.rs
+++ b/crates/calls/src/edge/tests/tree.rs
@@ -20,7 +20,7 @@
 
 const STEP: Duration = Duration::from_millis(1);
 const ROOT: CallId = CallId(1);
-/// Ends the run without the bound, which would otherwise not terminate in reasonable time.
+/// Stops a run with an unbounded budget, whose attempts multiply.
 const MAX_ATTEMPTS: usize = 3_000;
 
 #[derive(Clone, Debug)]
