--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -43,9 +43,9 @@
 }
 
 async fn bind(client_kind: &'static str, address: SocketAddr) -> Result<BoundListener, StartError> {
-    let failed = |source| StartError::Listen { client_kind, address, source };
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+    let listen_error = |source| StartError::Listen { client_kind, address, source };
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
     Ok(BoundListener { listener, address })
 }
 
