--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -75,10 +75,10 @@
 #[test_case(TargetBehaviour::Unsigned; "response without a server stamp")]
 #[test_case(TargetBehaviour::Garbage; "bytes that are no HTTP response")]
 #[test_case(TargetBehaviour::NoResponse; "no response")]
-fn an_invalid_response_is_a_502_and_is_not_retried(habit: TargetBehaviour) {
+fn an_invalid_response_is_a_502_and_is_not_retried(behaviour: TargetBehaviour) {
     run(async move {
         let (_store, alpha, beta) = two_machines().await;
-        alpha.target.set_behaviour(habit);
+        alpha.target.set_behaviour(behaviour);
         let response = call(beta.outbound(), &pay("one")).await.expect("a response");
         assert_eq!(response.status, 502);
         assert_eq!(response.header("quillhatch-server-stamp"), "", "an error of the node itself has no server stamp");
@@ -176,10 +176,10 @@
     run(async {
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(5)));
-        let begun = Instant::now();
+        let started = Instant::now();
         let response = call(beta.outbound(), &read("one")).await.expect("a response");
         assert_eq!(response.status, 504);
-        assert!((950..1200).contains(&begun.elapsed().as_millis()), "{:?}", begun.elapsed());
+        assert!((950..1200).contains(&started.elapsed().as_millis()), "{:?}", started.elapsed());
     });
 }
 
@@ -244,10 +244,10 @@
         alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(20)));
         let mut slowest = Duration::ZERO;
         for number in 0..60 {
-            let begun = Instant::now();
+            let started = Instant::now();
             let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
             assert_eq!(response.status, 200);
-            slowest = slowest.max(begun.elapsed());
+            slowest = slowest.max(started.elapsed());
         }
         assert!(slowest > Duration::from_millis(100), "no call was sent to the unresponsive node");
         assert!(slowest < Duration::from_millis(800), "{slowest:?}");
@@ -310,21 +310,21 @@
             assert_eq!(response.status, 200);
         }
         let counted = || {
-            let repeats =
+            let retries =
                 |node: &Node| node.retry_budgets.borrow().get("beta").map_or(0, |budget| budget.retries_in_window());
-            alphas.iter().map(|alpha| repeats(alpha.node())).sum::<u32>()
+            alphas.iter().map(|alpha| retries(alpha.node())).sum::<u32>()
         };
         assert_eq!(counted(), 0);
         alphas.iter().for_each(|alpha| alpha.target.set_behaviour(TargetBehaviour::NoResponse));
         assert_eq!(call(beta.outbound(), &chain("twice")).await.expect("a response").status, 502);
         assert_eq!(counted(), 1, "the call nested in the second attempt");
-        let below = beta
+        let nested_calls = beta
             .target
             .started_requests()
             .iter()
             .filter(|seen| seen.header("quillhatch-request-id") == "twice-chained")
             .count();
-        assert_eq!(below, 2);
+        assert_eq!(nested_calls, 2);
     });
 }
 
@@ -370,10 +370,10 @@
         assert_eq!(call(betas[0].outbound(), &chain("last")).await.expect("a response").status, 200);
         let slow = betas.iter().find(|beta| !beta.target.started_requests().is_empty()).expect("one has run it");
         slow.target.set_behaviour(TargetBehaviour::Slow(Duration::from_secs(4)));
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0..20 {
             let response = call(betas[0].outbound(), &chain(&format!("slow-{number}"))).await.expect("a response");
-            assert_eq!(response.status, 200, "call {number} after {:?}", begun.elapsed());
+            assert_eq!(response.status, 200, "call {number} after {:?}", started.elapsed());
         }
         assert!(slow.target.abandoned() > 0, "the slow target was tried");
         assert!(slow.target.abandoned() <= 8, "the slow target is avoided afterwards: {}", slow.target.abandoned());
--- a/crates/sidecar/tests/changes.rs
+++ b/crates/sidecar/tests/changes.rs
@@ -110,33 +110,33 @@
 
 #[test]
 fn a_target_that_is_listed_again_before_its_gate_detects_the_restart_stays_listed() {
-    // Found by a soak test (seed 930021).
+    // Found by a soak test (seed 930021): nodes that learned of the new target before its own gate did lost it again.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
-        let former = alpha.target.id();
+        let previous = alpha.target.id();
         alpha.target.restart();
         store.register(&alpha.target, "ready");
-        let present = alpha.target.id();
-        eventually("beta lists the new identity", || beta.node().targets.borrow().get(&present).is_some()).await;
+        let current = alpha.target.id();
+        eventually("beta lists the new identity", || beta.node().targets.borrow().get(&current).is_some()).await;
         let mut served = 0;
         for number in 0..20 {
             let response = call(beta.outbound(), &read(&format!("call-{number}"))).await.expect("a response");
             served += usize::from(response.status == 200);
         }
         assert!(served >= 19, "{served}");
-        store.deregister(&former);
-        eventually("beta has removed the former identity", || beta.node().targets.borrow().get(&former).is_none())
+        store.deregister(&previous);
+        eventually("beta has removed the previous identity", || beta.node().targets.borrow().get(&previous).is_none())
             .await;
-        assert!(beta.node().targets.borrow().get(&present).is_some());
+        assert!(beta.node().targets.borrow().get(&current).is_some());
         assert_eq!(call(beta.outbound(), &read("last")).await.expect("a response").status, 200);
     });
 }
 
 #[test]
 fn a_target_is_queried_once_when_another_one_is_listed_at_its_address() {
-    // Guards against this failure: after all machines had lost power, former and current targets were listed together,
-    // and each call queried the target's identity.
+    // Guards against this failure: after all machines had lost power, previous and current targets were listed
+    // together, and each call queried the target's identity.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         let other = format!(
@@ -184,18 +184,18 @@
 #[test]
 fn a_target_that_replaces_another_in_one_update_of_the_list_is_detected() {
     // Found by a soak test (seed 920007): the gate refused the new target's calls for 23 s, because it compared the new
-    // target only with a former one that was still listed.
+    // target only with a previous one that was still listed.
     run(async {
         let (store, alpha, beta) = two_machines().await;
         assert_eq!(call(beta.outbound(), &read("one")).await.expect("a response").status, 200);
-        let former = alpha.target.id();
+        let previous = alpha.target.id();
         alpha.target.restart();
         // No task runs in between, so one response of the store contains both changes.
         store.register(&alpha.target, "ready");
-        store.deregister(&former);
-        let present = alpha.target.id();
+        store.deregister(&previous);
+        let current = alpha.target.id();
         for machine in [&alpha, &beta] {
-            let is_known = || machine.node().targets.borrow().get(&present).is_some();
+            let is_known = || machine.node().targets.borrow().get(&current).is_some();
             eventually("the new one is listed", is_known).await;
         }
         sleep(BOUNDS.batch_window()).await;
@@ -212,7 +212,7 @@
         let store = StandInStore::start().await;
         store.write_configuration(&document(5, "alpha"));
         let alpha = Machine::start(&store, "alpha", 8).await;
-        // Only the list still contains the former identity.
+        // Only the list still contains the previous identity.
         alpha.target.restart();
         let beta = Machine::start(&store, "beta", 8).await;
         let response = call(beta.outbound(), &read("one")).await.expect("a response");
@@ -226,8 +226,8 @@
     run(async {
         let (store, alpha, beta) = two_machines().await;
         store.set_mode(StoreMode::Unresponsive);
-        // A target and a node of another service start at alpha's address; beta still lists the former target.
-        let (address, former) = (alpha.address, alpha.target.id());
+        // A target and a node of another service start at alpha's address; beta still lists the previous target.
+        let (address, previous) = (alpha.address, alpha.target.id());
         alpha.sidecar.stop().await;
         let local = alpha.target.address;
         alpha.target.restart();
@@ -235,7 +235,7 @@
         let response = call(beta.outbound(), &read("one")).await.expect("a response");
         assert_eq!(response.status, 503);
         assert!(alpha.target.started_requests().is_empty());
-        assert!(beta.node().targets.borrow().get(&former).is_some(), "no target of another service replaces it");
+        assert!(beta.node().targets.borrow().get(&previous).is_some(), "no target of another service replaces it");
         drop(gamma);
     });
 }
--- a/crates/sidecar/tests/connections.rs
+++ b/crates/sidecar/tests/connections.rs
@@ -35,7 +35,7 @@
         let (_store, alpha, beta) = two_machines().await;
         alpha.target.set_behaviour(TargetBehaviour::Slow(Duration::from_millis(300)));
         let mut caller = Caller::connect(beta.outbound()).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         caller.send(&read("one")).await;
         sleep(Duration::from_millis(20)).await;
         caller.send(&(read("two") + &read("three"))).await;
@@ -44,9 +44,9 @@
             assert_eq!(response.body, format!("the answer to {id}").as_bytes());
         }
         assert!(
-            begun.elapsed() < Duration::from_millis(600),
+            started.elapsed() < Duration::from_millis(600),
             "sequential calls would take 900 ms: {:?}",
-            begun.elapsed()
+            started.elapsed()
         );
         assert_eq!(alpha.target.started_requests().len(), 3);
     });
@@ -125,8 +125,8 @@
         }
         alpha.target.set_behaviour(TargetBehaviour::Normal);
         assert!(alpha.sidecar.open_connections() > before + 3);
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_secs(6) {
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_secs(6) {
             assert_eq!(call(beta.outbound(), &read("steady")).await.expect("a response").status, 200);
             sleep(Duration::from_millis(100)).await;
         }
--- a/crates/sidecar/tests/crashing_requests.rs
+++ b/crates/sidecar/tests/crashing_requests.rs
@@ -93,11 +93,11 @@
 
     /// Sends copies of one request through all machines in turn for some time.
     async fn send_copies(&self, path: &str, name: &str, time: Duration) -> Vec<Response> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut responses = Vec::new();
         let machines: Vec<&Machine> = self.all().collect();
         for number in 0.. {
-            if begun.elapsed() >= time {
+            if started.elapsed() >= time {
                 break;
             }
             self.heartbeat();
@@ -113,21 +113,21 @@
 /// Calls `path` through all machines until each has served it once. Panics if one does not within 3 s.
 async fn assert_served_everywhere(fleet: &Fleet, path: &str) {
     for machine in fleet.all() {
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0.. {
             fleet.heartbeat();
             let text = request("GET", HOST, path, &format!("served-{number}-{}", machine.address), 3000, "");
             if call(machine.outbound(), &text).await.is_some_and(|response| response.status == 200) {
                 break;
             }
-            assert!(begun.elapsed() < Duration::from_secs(3), "{path} is not served at {}", machine.address);
+            assert!(started.elapsed() < Duration::from_secs(3), "{path} is not served at {}", machine.address);
             sleep(Duration::from_millis(50)).await;
         }
     }
 }
 
 #[test]
-fn a_crashing_request_ends_a_bounded_number_of_targets() {
+fn a_crashing_request_crashes_a_bounded_number_of_targets() {
     run(async {
         let fleet = Fleet::start().await;
         fleet.send_copies(CRASHING_PATH, "crashing", Duration::from_secs(4)).await;
@@ -155,13 +155,13 @@
         sleep(DOWN_FOR * 2).await;
         fleet.heartbeat();
         for machine in fleet.all() {
-            let begun = Instant::now();
+            let started = Instant::now();
             let text = request("GET", HOST, CRASHING_PATH, &format!("late-{}", machine.address), 3000, "");
             let response = call(machine.outbound(), &text).await.expect("a response");
             assert_eq!(response.status, 503);
             let seconds: f64 = response.header("retry-after").parse().expect("a time");
             assert!((60.0..=200.0).contains(&seconds), "{seconds} s");
-            assert!(begun.elapsed() < Duration::from_millis(300), "{:?}", begun.elapsed());
+            assert!(started.elapsed() < Duration::from_millis(300), "{:?}", started.elapsed());
         }
     });
 }
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn targets_that_end_for_another_cause_quarantine_no_request() {
+fn targets_that_crash_for_another_cause_quarantine_no_request() {
     run(async {
         let fleet = Fleet::start().await;
         for alpha in &fleet.alphas {
@@ -245,9 +245,9 @@
             host: HOST.to_owned(),
             path: CRASHING_PATH.to_owned(),
         });
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0.. {
-            if begun.elapsed() > Duration::from_secs(4) {
+            if started.elapsed() > Duration::from_secs(4) {
                 break;
             }
             fleet.heartbeat();
--- a/crates/sidecar/tests/draining_targets.rs
+++ b/crates/sidecar/tests/draining_targets.rs
@@ -68,15 +68,15 @@
     }
 
     /// Sends calls through all machines in turn for some time.
-    async fn keep_calling(&self, name: &str, longest: Duration) {
-        let begun = Instant::now();
+    async fn keep_calling(&self, name: &str, duration: Duration) {
+        let started = Instant::now();
         for round in 0.. {
-            if begun.elapsed() >= longest {
+            if started.elapsed() >= duration {
                 return;
             }
             for (number, machine) in self.machines.iter().enumerate() {
                 let response = call(machine.outbound(), &read(&format!("{name}-{round}-{number}"))).await;
-                assert_eq!(response.expect("a response").status, 200, "{name}, after {:?}", begun.elapsed());
+                assert_eq!(response.expect("a response").status, 200, "{name}, after {:?}", started.elapsed());
             }
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/sidecar/tests/feed.rs
+++ b/crates/sidecar/tests/feed.rs
@@ -57,14 +57,14 @@
         let store = StandInStore::start().await;
         store.write_configuration(&document(5, "alpha"));
         let mut machines = start_machines(&store, 2).await;
-        let silent_store = store.add_listener().await;
-        silent_store.set_mode(StoreMode::Unresponsive);
+        let unresponsive_store = store.add_listener().await;
+        unresponsive_store.set_mode(StoreMode::Unresponsive);
         store.set_mode(StoreMode::Unresponsive);
         let lost = Instant::now();
         sleep(Duration::from_millis(1500)).await;
         let Machine { target, sidecar, address } = machines.remove(0);
         sidecar.stop().await;
-        let restarted = start_sidecar(address, "alpha", target.address, silent_store.address);
+        let restarted = start_sidecar(address, "alpha", target.address, unresponsive_store.address);
         sleep(Duration::from_millis(100)).await;
         call(machines[0].outbound(), &read("reveals-a-source")).await;
         eventually("it has the other node's data", || restarted.node.position().is_known()).await;
--- a/crates/sidecar/tests/log_lines.rs
+++ b/crates/sidecar/tests/log_lines.rs
@@ -118,7 +118,7 @@
             assert!(!refused[field].is_null(), "{field} of {refused}");
         }
 
-        // A call without a route, and one that the target answers with an error.
+        // A call without a route, and one to which the target responds with an error.
         call(beta.outbound(), &request("GET", HOST, "/none/", "astray", 5000, "")).await;
         assert_eq!(first_line("no-route", "astray")["version"], 5);
         alpha.target.set_behaviour(TargetBehaviour::ServerError);
--- a/crates/sidecar/tests/store.rs
+++ b/crates/sidecar/tests/store.rs
@@ -61,7 +61,7 @@
 fn a_node_queries_a_peer_that_reports_a_later_position() {
     run(async {
         let (store, alpha, beta) = two_machines().await;
-        // Beta's watch hangs on a connection without responses; alpha's is answered.
+        // Beta's watch hangs on a connection without responses; alpha's gets a response.
         store.set_mode(StoreMode::Unresponsive);
         sleep(Duration::from_millis(100)).await;
         store.set_mode(StoreMode::Normal);
