--- a/crates/quillhatch/src/call_header.rs
+++ b/crates/quillhatch/src/call_header.rs
@@ -37,7 +37,7 @@
     #[display("the authentication tag does not match")]
     WrongTag,
     /// The header is for another incarnation of this node.
-    #[display("the header is for another incarnation of this node")]
+    #[display("the header is for another run of this node")]
     WrongRun,
 }
 
--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -188,7 +188,7 @@
             NodeOutput::Send { to, incarnation, payload } => self.messages.send(to, incarnation, payload),
             NodeOutput::Operator { request, reply } => channels.reply(request, *reply),
             NodeOutput::Event(event) => self.handle_event(&event),
-            NodeOutput::Ready => log::info!("the node is ready and accepts calls"),
+            NodeOutput::Ready => log::info!("the node takes calls"),
             NodeOutput::ReadyToExit => {
                 self.ready_to_exit.send_replace(true);
             }
--- a/crates/quillhatch/src/edge/request.rs
+++ b/crates/quillhatch/src/edge/request.rs
@@ -62,7 +62,7 @@
     let size = header_size(&head.headers) + head.uri.path_and_query().map_or(0, |path| path.as_str().len() as u64);
     if size > limits.header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        let detail = format!("the request header has {size} bytes; at most {} are allowed", limits.header_bytes);
+        let detail = format!("the header has {size} bytes; {} are allowed", limits.header_bytes);
         return Err(Rejection::not_run(status, RefusalReason::BadRequest, detail));
     }
     let announced = content_length(&head.headers).unwrap_or(0);
@@ -74,7 +74,7 @@
 
 /// The rejection of a request whose body is larger than `limit` bytes and was not forwarded.
 pub fn body_too_large(limit: u64) -> Rejection {
-    let detail = format!("the request body is larger than the allowed {limit} bytes");
+    let detail = format!("the body has more than the {limit} bytes allowed");
     Rejection::not_run(StatusCode::PAYLOAD_TOO_LARGE, RefusalReason::BadRequest, detail)
 }
 
@@ -122,8 +122,8 @@
     }
     let (first, rest) = split_first_segment(full_path.as_str());
     let service = configuration.services.values().find(|service| service.name.as_str() == first);
-    let service = service.ok_or_else(|| no_route("no service matches the host or the first path segment"))?;
-    let rest = PathAndQuery::try_from(rest).map_err(|_| Rejection::bad_request("the request path is malformed"))?;
+    let service = service.ok_or_else(|| no_route("no service has this Host or this first path segment"))?;
+    let rest = PathAndQuery::try_from(rest).map_err(|_| Rejection::bad_request("the path is malformed"))?;
     Ok((service, rest))
 }
 
@@ -170,7 +170,7 @@
     let mut values = head.headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        return Err(Rejection::bad_request(format!("the field {name} occurs more than once")));
+        return Err(Rejection::bad_request(format!("the field {name} is there more than once")));
     }
     let text = first.map(|value| value.to_str()).transpose();
     text.map_err(|_| Rejection::bad_request(format!("the field {name} must consist of printable ASCII characters")))
@@ -191,9 +191,9 @@
     let milliseconds = text.parse().ok().filter(|_| only_digits);
     let requested = milliseconds.map(Duration::from_millis).filter(|requested| *requested <= MAX_DEADLINE);
     let maximum = MAX_DEADLINE.as_millis();
-    requested.map(Some).ok_or_else(|| {
-        Rejection::bad_request(format!("{DEADLINE} must be a number of milliseconds from 0 to {maximum}"))
-    })
+    requested
+        .map(Some)
+        .ok_or_else(|| Rejection::bad_request(format!("{DEADLINE} must be milliseconds from 0 to {maximum}")))
 }
 
 fn read_context(head: &Parts) -> ContextHeader {
--- a/crates/quillhatch/src/edge/request_body.rs
+++ b/crates/quillhatch/src/edge/request_body.rs
@@ -99,11 +99,11 @@
         Ok(BufferedBody::OverLimit(_)) if request.key.is_some() => Err(keyed_too_large(limits.retry_buffer_bytes)),
         Ok(BufferedBody::OverLimit(stream)) => Ok(Source::Streamed(Mutex::new(Some(stream)))),
         Err(BodyError::TooLarge) => Err(body_too_large(limits.body_bytes.unwrap_or_default())),
-        Err(BodyError::Upstream) => Err(Rejection::bad_request("the request body is incomplete")),
+        Err(BodyError::Upstream) => Err(Rejection::bad_request("the body of the request broke off")),
     }
 }
 
 fn keyed_too_large(limit: u64) -> Rejection {
-    let detail = format!("the body of a request with an idempotency key may have at most {limit} bytes");
+    let detail = format!("the body of a request with a key may have at most {limit} bytes");
     Rejection::not_run(StatusCode::PAYLOAD_TOO_LARGE, RefusalReason::BadRequest, detail)
 }
--- a/crates/quillhatch/src/edge/unaccepted.rs
+++ b/crates/quillhatch/src/edge/unaccepted.rs
@@ -46,7 +46,7 @@
         self.any.store(true, Ordering::Release);
         if changed {
             let gate = gate.to_string();
-            log::warn!(gate = gate.as_str(), reason; "the gate rejects this node's attempts");
+            log::warn!(gate = gate.as_str(), reason; "a gate does not accept this node's attempts");
         }
     }
 
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -86,7 +86,7 @@
     /// caller needs; a separate header field tells the edge why.
     fn reject_header(&self, error: CallHeaderError) -> Answer {
         self.counters.rejected_call_headers.inc();
-        let detail = format!("the gate rejected the call header: {error}");
+        let detail = format!("the call's context is not accepted: {error}");
         let rejection = Rejection::not_run(StatusCode::UNAUTHORIZED, RefusalReason::NoTarget, detail);
         let mut answer = refusal_answer(&rejection);
         answer.headers_mut().insert(UNACCEPTED, HeaderValue::from_static(error.code()));
--- a/crates/quillhatch/src/operators/routes.rs
+++ b/crates/quillhatch/src/operators/routes.rs
@@ -91,7 +91,7 @@
 }
 
 fn no_reply() -> OperatorReply {
-    let problem = "the node did not reply in time; it may still carry out the request";
+    let problem = "the node did not reply in time; what was asked may still be done";
     OperatorReply::Undecided { problem: problem.to_owned() }
 }
 
--- a/crates/quillhatch/src/platform/mod.rs
+++ b/crates/quillhatch/src/platform/mod.rs
@@ -45,7 +45,7 @@
         problem: String,
     },
     /// The configuration document has errors; no part of it is applied.
-    #[display("the configuration document has errors and was rejected")]
+    #[display("the configuration document is refused")]
     RejectedConfiguration(#[error(not(source))] Findings),
 }
 
--- a/crates/quillhatch/src/running/stop.rs
+++ b/crates/quillhatch/src/running/stop.rs
@@ -69,7 +69,7 @@
     counters.cut_at_stop.inc_by(report.aborted.len() as u64);
     for request in &report.aborted {
         let running = request.to_string();
-        log::error!(running = running.as_str(); "request aborted because the grace period of the shutdown expired");
+        log::error!(running = running.as_str(); "cut because the grace of the stop had passed");
     }
     log::info!(cut = report.aborted.len(); "the node has stopped");
 }
