--- a/crates/calls/benches/edge.rs
+++ b/crates/calls/benches/edge.rs
@@ -116,7 +116,7 @@
         class: class.clone(),
         digest: key.as_ref().map(|_| Digest(1)),
         key,
-        drawn_key: RequestKey::new("drawn").expect("valid key"),
+        generated_key: RequestKey::new("drawn").expect("valid key"),
         remaining: None,
         parent: None,
         replayable_body: true,
@@ -155,7 +155,7 @@
     };
     let result = AttemptResult::Answered { status: 200 };
     edge.step(now, EdgeInput::AttemptAnswered { attempt, result, feedback: Some(feedback()) }, outputs);
-    edge.step(now, EdgeInput::BodyEnded { attempt, broken: None }, outputs);
+    edge.step(now, EdgeInput::BodyEnded { attempt, incomplete: None }, outputs);
     outputs.clear();
 }
 
--- a/crates/calls/src/edge/caller.rs
+++ b/crates/calls/src/edge/caller.rs
@@ -1,7 +1,7 @@
-//! Limits callers that repeat requests or call very often, and remembers which keys may have run.
+//! Limits the retries and the call rate of each caller, and tracks the keys whose calls may have run.
 //!
-//! Use one [`CallerLimits`] per edge, for root calls only: calls made below a call are bounded by its retry budget. All
-//! memory is bounded: entries live in two generations, and the older one is dropped whole.
+//! Use one [`CallerLimits`] per edge, for root calls only: the retry budget of a root call bounds the calls below it.
+//! Memory is bounded: entries are in two generations, and the older generation is dropped as a whole.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -10,33 +10,34 @@
 use quillhatch_types::{CallerName, RequestKey, ServiceName, Timestamp};
 use xxhash_rust::xxh3::Xxh3;
 
+/// Buckets count in millionths of a token, since they refill per microsecond at a rate per second.
 const PARTS_PER_TOKEN: u64 = 1_000_000;
 
 /// Settings of the limits per caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// How long a key is remembered at least, unless too many keys are in use.
-    pub repeat_window: Duration,
-    /// Repeats of keys that one caller may send per second.
-    pub repeats_per_second: u32,
-    /// Repeats that one caller may send at once.
-    pub repeat_burst: u32,
+    /// The minimum time for which a key is tracked, unless too many keys are in use.
+    pub retry_window: Duration,
+    /// Retries (calls that reuse a key) that one caller may send per second.
+    pub retries_per_second: u32,
+    /// Retries that one caller may send in a burst.
+    pub retry_burst: u32,
     /// Calls that one caller may send per second.
     pub calls_per_second: u32,
-    /// Calls that one caller may send at once.
+    /// Calls that one caller may send in a burst.
     pub call_burst: u32,
-    /// Callers remembered at once.
+    /// The maximum number of callers tracked.
     pub maximum_callers: usize,
-    /// Keys remembered at once.
+    /// The maximum number of keys tracked.
     pub maximum_keys: usize,
 }
 
 impl Default for CallerSettings {
     fn default() -> Self {
         CallerSettings {
-            repeat_window: Duration::from_secs(10),
-            repeats_per_second: 1,
-            repeat_burst: 5,
+            retry_window: Duration::from_secs(10),
+            retries_per_second: 1,
+            retry_burst: 5,
             calls_per_second: 5_000,
             call_burst: 5_000,
             maximum_callers: 16_384,
@@ -45,7 +46,7 @@
     }
 }
 
-/// A map that forgets what was not used for one to two spans, or earlier if it is full.
+/// A map that drops entries not used for one to two spans, or earlier if it is full.
 #[derive(Debug)]
 struct GenerationMap<Key, Value> {
     current: HashMap<Key, Value>,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The value of `key`, moved into the current generation.
+    /// Returns the value of `key` and moves it into the current generation.
     fn refresh(&mut self, key: Key, now: Timestamp) -> Option<&mut Value>
     where
         Key: Clone,
@@ -93,7 +94,7 @@
     }
 }
 
-/// A token bucket whose rate and burst are given with each use.
+/// A token bucket whose rate and burst are passed with each use.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     parts: u64,
@@ -105,7 +106,7 @@
         TokenBucket { parts: u64::from(burst) * PARTS_PER_TOKEN, filled_at: now }
     }
 
-    /// Takes a token, or returns the time until there is one.
+    /// Takes a token, or returns the time until one is available.
     fn take(&mut self, rate: u32, burst: u32, now: Timestamp) -> Result<(), Duration> {
         let elapsed = u64::try_from(now.since(self.filled_at).as_micros()).unwrap_or(u64::MAX);
         let earned = elapsed.saturating_mul(u64::from(rate));
@@ -123,19 +124,19 @@
 #[derive(Clone, Copy, Debug)]
 struct CallerBuckets {
     calls: TokenBucket,
-    repeats: TokenBucket,
+    retries: TokenBucket,
 }
 
-/// What was known of a key when a call with it arrived.
+/// The earlier uses of a key, as known when a call with it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct EarlierUse {
-    /// The caller used the key a short time ago.
-    pub(crate) repeated: bool,
-    /// An earlier call with the key is running or may have run, as far as this edge knows.
+pub(crate) struct KeyHistory {
+    /// The caller used the key recently, so the call is the caller's own retry.
+    pub(crate) used_recently: bool,
+    /// An earlier call with the key through this edge is running or may have run.
     pub(crate) may_have_run: bool,
 }
 
-/// A key of one caller and service, hashed.
+/// The hash of a key, its caller and its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KeyHash(u128);
 
@@ -155,62 +156,62 @@
 pub(crate) struct CallerLimits {
     settings: CallerSettings,
     callers: GenerationMap<CallerName, CallerBuckets>,
-    /// How many calls with the key are running or may have run.
+    /// Per key, the number of calls that are running or may have run.
     keys: GenerationMap<KeyHash, u32>,
 }
 
 impl CallerLimits {
     pub(crate) fn new(settings: CallerSettings) -> Self {
         CallerLimits {
-            callers: GenerationMap::new(settings.repeat_window, settings.maximum_callers),
-            keys: GenerationMap::new(settings.repeat_window, settings.maximum_keys),
+            callers: GenerationMap::new(settings.retry_window, settings.maximum_callers),
+            keys: GenerationMap::new(settings.retry_window, settings.maximum_keys),
             settings,
         }
     }
 
-    /// Notes the use of a key and tells what is known of earlier uses.
-    pub(crate) fn note_key(&mut self, key: KeyHash, now: Timestamp) -> EarlierUse {
+    /// Records the use of a key and returns its earlier uses.
+    pub(crate) fn record_key(&mut self, key: KeyHash, now: Timestamp) -> KeyHistory {
         if let Some(calls) = self.keys.refresh(key, now) {
-            let earlier = EarlierUse { repeated: true, may_have_run: *calls > 0 };
+            let earlier = KeyHistory { used_recently: true, may_have_run: *calls > 0 };
             *calls = calls.saturating_add(1);
             return earlier;
         }
         self.keys.current.insert(key, 1);
-        EarlierUse::default()
+        KeyHistory::default()
     }
 
-    /// One call with the key ended and is proven not to have run.
-    pub(crate) fn proven_not_run(&mut self, key: KeyHash) {
+    /// Records that one call with the key ended and is known not to have run.
+    pub(crate) fn record_not_run(&mut self, key: KeyHash) {
         if let Some(calls) = self.keys.find(&key) {
             *calls = calls.saturating_sub(1);
         }
     }
 
-    /// Admits a call of `caller`.
+    /// Admits a call of `caller` if its rate limits allow; `reuses_key` says that the call reuses a key.
     ///
     /// # Errors
     ///
-    /// Returns the time after which the caller may come back.
-    pub(crate) fn admit(&mut self, caller: &CallerName, repeated: bool, now: Timestamp) -> Result<(), Duration> {
+    /// Returns the delay after which the caller may retry.
+    pub(crate) fn admit(&mut self, caller: &CallerName, reuses_key: bool, now: Timestamp) -> Result<(), Duration> {
         let settings = self.settings;
         if self.callers.refresh(caller.clone(), now).is_none() {
             let buckets = CallerBuckets {
                 calls: TokenBucket::full(settings.call_burst, now),
-                repeats: TokenBucket::full(settings.repeat_burst, now),
+                retries: TokenBucket::full(settings.retry_burst, now),
             };
             self.callers.current.insert(caller.clone(), buckets);
         }
         let Some(buckets) = self.callers.find(caller) else {
             return Ok(());
         };
-        if repeated {
-            buckets.repeats.take(settings.repeats_per_second, settings.repeat_burst, now)?;
+        if reuses_key {
+            buckets.retries.take(settings.retries_per_second, settings.retry_burst, now)?;
         }
         buckets.calls.take(settings.calls_per_second, settings.call_burst, now)
     }
 
-    /// The number of callers and keys remembered.
-    pub(crate) fn remembered(&self) -> (usize, usize) {
+    /// The numbers of callers and keys tracked.
+    pub(crate) fn tracked(&self) -> (usize, usize) {
         let callers = self.callers.current.len() + self.callers.previous.len();
         let keys = self.keys.current.len() + self.keys.previous.len();
         (callers, keys)
--- a/crates/quillhatch/src/driver/mod.rs
+++ b/crates/quillhatch/src/driver/mod.rs
@@ -38,7 +38,7 @@
 struct State {
     decisions: Box<dyn Decisions>,
     channels: TaskChannels,
-    /// A buffer that is empty between steps and reused by each.
+    /// The outputs of the current step; empty between steps, so that the allocation is reused.
     outputs: Vec<NodeOutput>,
 }
 
@@ -93,34 +93,34 @@
     }
 
     /// Registers a call at the edge and returns the receiver of its commands.
-    pub fn open_call(&self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
-        self.lock().channels.open_call(call, service)
+    pub fn register_call(&self, call: CallId, service: ServiceName) -> mpsc::UnboundedReceiver<CallCommand> {
+        self.lock().channels.register_call(call, service)
     }
 
-    /// Removes a call at the edge.
-    pub fn close_call(&self, call: CallId) {
-        self.lock().channels.close_call(call);
+    /// Removes a call at the edge from the registered ones.
+    pub fn unregister_call(&self, call: CallId) {
+        self.lock().channels.unregister_call(call);
     }
 
     /// Registers an attempt at the gate and returns the receiver of its commands; `None` if the same attempt is already
     /// registered.
-    pub fn open_attempt(
+    pub fn register_attempt(
         &self,
         attempt: AttemptId,
         service: ServiceName,
     ) -> Option<mpsc::UnboundedReceiver<AttemptCommand>> {
-        self.lock().channels.open_attempt(attempt, service)
+        self.lock().channels.register_attempt(attempt, service)
     }
 
-    /// Removes an attempt at the gate.
-    pub fn close_attempt(&self, attempt: AttemptId) {
-        self.lock().channels.close_attempt(attempt);
+    /// Removes an attempt at the gate from the registered ones.
+    pub fn unregister_attempt(&self, attempt: AttemptId) {
+        self.lock().channels.unregister_attempt(attempt);
     }
 
     /// Passes an operator's request to the decision code and returns the receiver of the reply.
     pub fn operator_request(&self, body: OperatorRequest) -> oneshot::Receiver<OperatorReply> {
         let mut state = self.lock();
-        let (request, receiver) = state.channels.open_request();
+        let (request, receiver) = state.channels.register_request();
         self.step(&mut state, NodeInput::Operator { request, body: Box::new(body) });
         receiver
     }
@@ -188,7 +188,7 @@
             NodeOutput::Send { to, incarnation, payload } => self.messages.send(to, incarnation, payload),
             NodeOutput::Operator { request, reply } => channels.reply(request, *reply),
             NodeOutput::Event(event) => self.handle_event(&event),
-            NodeOutput::Ready => log::info!("the node is ready and accepts calls"),
+            NodeOutput::Ready => log::info!("the node takes calls"),
             NodeOutput::ReadyToExit => {
                 self.ready_to_exit.send_replace(true);
             }
@@ -216,7 +216,7 @@
         }
         EdgeOutput::CancelAttempt { attempt } => channels.send_to_call(attempt.call, CallCommand::Cancel(attempt)),
         EdgeOutput::Finish { call, answer } => channels.send_to_call(call, CallCommand::Finish(answer)),
-        EdgeOutput::BreakOff { call } => channels.send_to_call(call, CallCommand::BreakOff),
+        EdgeOutput::AbortStream { call } => channels.send_to_call(call, CallCommand::BreakOff),
         // The decision code handles these outputs itself.
         EdgeOutput::ReturnTokens { .. } | EdgeOutput::FetchTable { .. } => {}
     }
--- a/crates/quillhatch/src/gate/mod.rs
+++ b/crates/quillhatch/src/gate/mod.rs
@@ -36,7 +36,7 @@
     pub node: NodeId,
     /// The driver of the decision code.
     pub driver: Arc<Driver>,
-    /// The back end beside the node, if there is one.
+    /// The node's back end, if it has one.
     pub backend: Option<backend::Backend>,
     /// The keys that authenticate attempts.
     pub keys: Arc<FleetKeys>,
@@ -56,7 +56,7 @@
         if is_frames {
             return self.frames.receive(request.into_body()).await;
         }
-        match self.open_header(&request) {
+        match self.verify_header(&request) {
             Ok(context) => match self.run_attempt(context, request).await {
                 Ok(answer) => answer,
                 Err(rejection) => refusal_answer(&rejection),
@@ -67,10 +67,10 @@
 }
 
 impl Gate {
-    fn open_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
+    fn verify_header(&self, request: &Request<Incoming>) -> Result<CallContext, CallHeaderError> {
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
         let signed = SignedRequest { receiver: self.node, method: request.method().as_str(), path };
-        call_header::open(&self.keys, signed, request.headers().get(CALL))
+        call_header::verify_context(&self.keys, signed, request.headers().get(CALL))
     }
 
     async fn run_attempt(
@@ -86,7 +86,7 @@
     /// caller needs; a separate header field tells the edge why.
     fn reject_header(&self, error: CallHeaderError) -> Answer {
         self.counters.rejected_call_headers.inc();
-        let detail = format!("the gate rejected the call header: {error}");
+        let detail = format!("the call's context is not accepted: {error}");
         let rejection = Rejection::not_run(StatusCode::UNAUTHORIZED, RefusalReason::NoTarget, detail);
         let mut answer = refusal_answer(&rejection);
         answer.headers_mut().insert(UNACCEPTED, HeaderValue::from_static(error.code()));
--- a/crates/quillhatch/src/running/setup.rs
+++ b/crates/quillhatch/src/running/setup.rs
@@ -42,10 +42,10 @@
     address: SocketAddr,
 }
 
-async fn bind(clients: &'static str, address: SocketAddr) -> Result<BoundListener, StartError> {
-    let failed = |source| StartError::Listen { clients, address, source };
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+async fn bind(client_kind: &'static str, address: SocketAddr) -> Result<BoundListener, StartError> {
+    let listen_error = |source| StartError::Listen { client_kind, address, source };
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
     Ok(BoundListener { listener, address })
 }
 
--- a/crates/quillhatch/tests/support/double.rs
+++ b/crates/quillhatch/tests/support/fake_decisions.rs
@@ -1,5 +1,5 @@
-//! A double of the decision code: admits everything, tries targets in order, lets keyed attempts run on, and notes what it
-//! was told.
+//! A stand-in for the decision code. It admits every call, tries the targets in order, lets attempts with a key continue after
+//! cancellation, and records its inputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -13,48 +13,56 @@
     RefusalReason, Timestamp,
 };
 
-use super::BOUND;
+use super::TEST_TIMEOUT;
 
-/// What a double was told, in order.
+/// The inputs that a [`FakeDecisions`] received, in order.
 #[derive(Clone, Default)]
-pub struct Log(Arc<Mutex<Vec<NodeInput>>>);
+pub struct InputLog(Arc<Mutex<Vec<NodeInput>>>);
 
-impl Log {
+impl InputLog {
     pub fn inputs(&self) -> Vec<NodeInput> {
         self.0.lock().expect("log").clone()
     }
 
-    /// Waits until an input satisfies `wanted`.
-    pub async fn wait_for(&self, what: &str, wanted: impl Fn(&NodeInput) -> bool) -> NodeInput {
-        let waiting = async {
+    /// Waits for an input that satisfies `predicate` and returns it.
+    pub async fn wait_for(&self, what: &str, predicate: impl Fn(&NodeInput) -> bool) -> NodeInput {
+        let search = async {
             loop {
-                if let Some(input) = self.inputs().into_iter().find(|input| wanted(input)) {
+                if let Some(input) = self.inputs().into_iter().find(|input| predicate(input)) {
                     return input;
                 }
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        match tokio::time::timeout(BOUND, waiting).await {
+        match tokio::time::timeout(TEST_TIMEOUT, search).await {
             Ok(input) => input,
-            Err(_) => panic!("never told: {what}; told {:#?}", self.inputs()),
+            Err(_) => panic!("no such input: {what}; inputs: {:#?}", self.inputs()),
         }
     }
 }
 
-pub struct Double {
+/// Decisions for tests; see the module's documentation.
+pub struct FakeDecisions {
     targets: Vec<NodeId>,
+    /// The calls, each with the number of its next attempt, which is also the index of the next target.
     calls: BTreeMap<CallId, (CallArrival, u8)>,
-    unrepeatable: BTreeSet<AttemptId>,
-    log: Log,
+    non_repeatable: BTreeSet<AttemptId>,
+    log: InputLog,
     configuration: Arc<Configuration>,
 }
 
-impl Double {
-    pub fn new(targets: Vec<NodeId>) -> (Self, Log) {
-        let log = Log::default();
+impl FakeDecisions {
+    pub fn new(targets: Vec<NodeId>) -> (Self, InputLog) {
+        let log = InputLog::default();
         let configuration = Arc::new(super::configuration());
         (
-            Double { targets, calls: BTreeMap::new(), unrepeatable: BTreeSet::new(), log: log.clone(), configuration },
+            FakeDecisions {
+                targets,
+                calls: BTreeMap::new(),
+                non_repeatable: BTreeSet::new(),
+                log: log.clone(),
+                configuration,
+            },
             log,
         )
     }
@@ -79,34 +87,34 @@
     }
 
     fn next_attempt(&mut self, call: CallId) -> Option<(NodeId, Box<CallContext>)> {
-        let (arrival, next) = self.calls.get_mut(&call)?;
-        let target = *self.targets.get(usize::from(*next))?;
-        let context = Self::context(arrival, *next);
-        *next += 1;
+        let (arrival, next_attempt) = self.calls.get_mut(&call)?;
+        let target = *self.targets.get(usize::from(*next_attempt))?;
+        let context = Self::context(arrival, *next_attempt);
+        *next_attempt += 1;
         Some((target, context))
     }
 
-    fn edge(&mut self, input: EdgeInput, outputs: &mut Vec<NodeOutput>) {
+    fn handle_edge_input(&mut self, input: EdgeInput, outputs: &mut Vec<NodeOutput>) {
         let output = match input {
             EdgeInput::Arrived(arrival) => {
                 let call = arrival.call;
                 self.calls.insert(call, (arrival, 0));
                 match self.next_attempt(call) {
                     Some((target, context)) => EdgeOutput::Send { target, context },
-                    None => finish(call, Refusal::not_run(RefusalReason::NoTarget)),
+                    None => refuse_call(call, Refusal::not_run(RefusalReason::NoTarget)),
                 }
             }
-            EdgeInput::AttemptAnswered { attempt, result, .. } => match self.answered(attempt, result) {
+            EdgeInput::AttemptAnswered { attempt, result, .. } => match self.handle_attempt_result(attempt, result) {
                 Some(output) => output,
                 None => return,
             },
-            EdgeInput::BodyEnded { attempt, broken: Some(broken) } => {
+            EdgeInput::BodyEnded { attempt, incomplete: Some(broken) } => {
                 let rest = broken.validator.and_then(|validator| Some((validator, self.next_attempt(attempt.call)?)));
                 match rest {
                     Some((validator, (target, context))) => {
                         EdgeOutput::Resume { target, context, offset: broken.received, validator }
                     }
-                    None => EdgeOutput::BreakOff { call: attempt.call },
+                    None => EdgeOutput::AbortStream { call: attempt.call },
                 }
             }
             _ => return,
@@ -114,37 +122,37 @@
         outputs.push(NodeOutput::Edge(output));
     }
 
-    fn answered(&self, attempt: AttemptId, result: AttemptResult) -> Option<EdgeOutput> {
+    fn handle_attempt_result(&self, attempt: AttemptId, result: AttemptResult) -> Option<EdgeOutput> {
         let resumed = attempt.attempt > 0;
         let call = attempt.call;
         Some(match result {
             AttemptResult::Answered { .. } if resumed => return None,
             AttemptResult::Answered { .. } => EdgeOutput::Finish { call, answer: Answer::Relay(attempt) },
-            AttemptResult::ResumeRefused => EdgeOutput::BreakOff { call },
-            AttemptResult::Refused(refusal) => finish(call, refusal),
-            AttemptResult::ConnectFailed => finish(call, Refusal::not_run(RefusalReason::ConnectFailed)),
-            AttemptResult::Lost => finish(call, Refusal::unknown(RefusalReason::ConnectionLost)),
+            AttemptResult::ResumeRefused => EdgeOutput::AbortStream { call },
+            AttemptResult::Refused(refusal) => refuse_call(call, refusal),
+            AttemptResult::ConnectFailed => refuse_call(call, Refusal::not_run(RefusalReason::ConnectFailed)),
+            AttemptResult::Lost => refuse_call(call, Refusal::unknown(RefusalReason::ConnectionLost)),
         })
     }
 }
 
-fn finish(call: CallId, refusal: Refusal) -> EdgeOutput {
+fn refuse_call(call: CallId, refusal: Refusal) -> EdgeOutput {
     EdgeOutput::Finish { call, answer: Answer::Refuse(refusal) }
 }
 
-impl Decisions for Double {
+impl Decisions for FakeDecisions {
     fn step(&mut self, _now: Timestamp, input: NodeInput, outputs: &mut Vec<NodeOutput>) {
         self.log.0.lock().expect("log").push(input.clone());
         match input {
-            NodeInput::Edge(input) => self.edge(input, outputs),
+            NodeInput::Edge(input) => self.handle_edge_input(input, outputs),
             NodeInput::Gate(GateInput::Arrived(context)) => {
                 if !context.repeatable {
-                    self.unrepeatable.insert(context.attempt_id());
+                    self.non_repeatable.insert(context.attempt_id());
                 }
                 let output = GateOutput::Dispatch { attempt: context.attempt_id(), remaining: context.remaining };
                 outputs.push(NodeOutput::Gate(output));
             }
-            NodeInput::Gate(GateInput::Cancelled { attempt }) if !self.unrepeatable.contains(&attempt) => {
+            NodeInput::Gate(GateInput::Cancelled { attempt }) if !self.non_repeatable.contains(&attempt) => {
                 outputs.push(NodeOutput::Gate(GateOutput::CancelDispatched { attempt }));
             }
             NodeInput::Stop { .. } => outputs.push(NodeOutput::ReadyToExit),
--- a/crates/simulation/src/policy/direct.rs
+++ b/crates/simulation/src/policy/direct.rs
@@ -105,7 +105,7 @@
             (false, true) => SHORT_TIMEOUT,
             (false, false) => CAREFUL_TIMEOUT,
         };
-        let key = arrival.key.clone().or_else(|| (!class.repeatable).then(|| arrival.drawn_key.clone()));
+        let key = arrival.key.clone().or_else(|| (!class.repeatable).then(|| arrival.generated_key.clone()));
         Some(CallContext {
             call: arrival.call,
             root: arrival.root,
@@ -168,8 +168,8 @@
                 self.send(call, outputs);
             }
             EdgeInput::AttemptAnswered { attempt, result, .. } => self.answered(attempt, result, outputs),
-            EdgeInput::BodyEnded { attempt, broken: Some(_) } => {
-                outputs.push(HostOutput::Edge(EdgeOutput::BreakOff { call: attempt.call }));
+            EdgeInput::BodyEnded { attempt, incomplete: Some(_) } => {
+                outputs.push(HostOutput::Edge(EdgeOutput::AbortStream { call: attempt.call }));
             }
             _ => {}
         }
