--- a/crates/claims/examples/claim_memory.rs
+++ b/crates/claims/examples/claim_memory.rs
@@ -134,7 +134,7 @@
         digest: Some(Digest(u128::from(number))),
         root: RootId(u128::from(number)),
         status,
-        kept_for: Duration::from_secs(3600),
+        remaining_retention: Duration::from_secs(3600),
     };
     let body = ClaimBody::Record { id: RecordId::Claim { kind, origin }, claims: vec![entry] };
     voter.handle(NOW, node(), ClaimMessage { service: service(), slot: SLOT, epoch: Epoch(1), body }, &mut Vec::new());
--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -46,7 +46,7 @@
     /// How far the call has come.
     pub status: ClaimStatus,
     /// How long the claim must still be kept, measured when the entry was made.
-    pub kept_for: Duration,
+    pub remaining_retention: Duration,
 }
 
 /// One claim as a node holds it in memory, under its key.
@@ -102,7 +102,7 @@
             digest: entry.digest,
             root: entry.root,
             status: entry.status.clone(),
-            expires: now + entry.kept_for,
+            expires: now + entry.remaining_retention,
         }
     }
 
@@ -114,7 +114,7 @@
             digest: self.digest,
             root: self.root,
             status: self.status.clone(),
-            kept_for: now.until(self.expires),
+            remaining_retention: now.until(self.expires),
         }
     }
 
--- a/crates/claims/src/codec.rs
+++ b/crates/claims/src/codec.rs
@@ -185,7 +185,7 @@
         root: entry.root.0.to_be_bytes().to_vec(),
         status,
         answer,
-        kept_for_us: u64::try_from(entry.kept_for.as_micros()).unwrap_or(u64::MAX),
+        kept_for_us: u64::try_from(entry.remaining_retention.as_micros()).unwrap_or(u64::MAX),
     }
 }
 
@@ -212,7 +212,7 @@
         digest,
         root: RootId(decode_u128(&claim.root, "root")?),
         status,
-        kept_for: Duration::from_micros(claim.kept_for_us),
+        remaining_retention: Duration::from_micros(claim.kept_for_us),
     })
 }
 
--- a/crates/claims/src/codec_tests.rs
+++ b/crates/claims/src/codec_tests.rs
@@ -35,13 +35,13 @@
 
 fn entry() -> impl Strategy<Value = ClaimEntry> {
     ("[!-~]{1,128}", origin(), any::<Option<u128>>(), any::<u128>(), status(), any::<u64>()).prop_map(
-        |(key, origin, digest, root, status, kept_for)| ClaimEntry {
+        |(key, origin, digest, root, status, remaining_retention)| ClaimEntry {
             key: RequestKey::new(&key).expect("valid"),
             origin,
             digest: digest.map(Digest),
             root: RootId(root),
             status,
-            kept_for: Duration::from_micros(kept_for),
+            remaining_retention: Duration::from_micros(remaining_retention),
         },
     )
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -27,4 +27,4 @@
 pub use owner::ClaimOwner;
 pub use settings::{OwnerSettings, VoterSettings};
 pub use voter::ClaimVoter;
-pub use voters_change::previous_voters_may_go;
+pub use voters_change::can_drop_previous_voters;
--- a/crates/claims/src/owner/io.rs
+++ b/crates/claims/src/owner/io.rs
@@ -151,7 +151,7 @@
     /// Every claim of this owner is recorded on a majority of the voters of the table with this epoch.
     ///
     /// Said once for each table that has previous voters; see
-    /// [`previous_voters_may_go`](crate::previous_voters_may_go).
+    /// [`can_drop_previous_voters`](crate::can_drop_previous_voters).
     VotersSettled {
         /// The epoch of the table.
         epoch: Epoch,
--- a/crates/claims/src/owner/settle.rs
+++ b/crates/claims/src/owner/settle.rs
@@ -51,11 +51,11 @@
         status: ClaimStatus,
         outputs: &mut Vec<OwnerOutput>,
     ) {
-        let kept_for = match status {
+        let retention = match status {
             ClaimStatus::Released => RELEASED_RETENTION,
             ClaimStatus::Claimed | ClaimStatus::Finished(_) => self.settings.retention,
         };
-        let claim = ticket.claim(status, now + kept_for);
+        let claim = ticket.claim(status, now + retention);
         self.store.merge(ticket.slot, &ticket.key, claim.clone(), now);
         self.deliver_settled(now, ticket.slot, &ticket.key, &claim, outputs);
         if let Some(owner) = self.other_owner(ticket.slot) {
--- a/crates/claims/src/voter/tests.rs
+++ b/crates/claims/src/voter/tests.rs
@@ -34,7 +34,7 @@
         digest: None,
         root: RootId(1),
         status,
-        kept_for: KEPT_FOR,
+        remaining_retention: KEPT_FOR,
     }
 }
 
--- a/crates/claims/src/voters_change.rs
+++ b/crates/claims/src/voters_change.rs
@@ -10,7 +10,7 @@
 /// [`OwnerOutput::VotersSettled`](crate::OwnerOutput::VotersSettled) by owner. Every slot must be owned by a node that
 /// settled after the change and after it got the slot, or be at another site. A vacant or sealed slot has claims that
 /// nobody records anew, so the previous voters must stay until it is owned or gone.
-pub fn previous_voters_may_go(table: &ServiceTable, changed_at: Epoch, settled: &BTreeMap<NodeId, Epoch>) -> bool {
+pub fn can_drop_previous_voters(table: &ServiceTable, changed_at: Epoch, settled: &BTreeMap<NodeId, Epoch>) -> bool {
     table.slots.iter().all(|assignment| match assignment.state {
         SlotState::Owned { owner } => {
             let needed = changed_at.max(assignment.epoch);
--- a/crates/claims/tests/simulation/support.rs
+++ b/crates/claims/tests/simulation/support.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use quillhatch_claims::{
-    previous_voters_may_go, ClaimDecision, ClaimEntry, ClaimMechanisms, ClaimMessage, ClaimOwner, ClaimRole,
+    can_drop_previous_voters, ClaimDecision, ClaimEntry, ClaimMechanisms, ClaimMessage, ClaimOwner, ClaimRole,
     ClaimVoter, OwnerInput, OwnerOutput, OwnerSettings, VoterSettings,
 };
 use quillhatch_types::{
@@ -452,7 +452,7 @@
         if state.table.previous_voters.is_empty() {
             return;
         }
-        if previous_voters_may_go(&state.table, state.changed_at, &state.settled) {
+        if can_drop_previous_voters(&state.table, state.changed_at, &state.settled) {
             self.report.voter_changes += 1;
             self.change(site, |table, _| table.previous_voters.clear());
         }
--- a/crates/control/src/state/apply.rs
+++ b/crates/control/src/state/apply.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use quillhatch_claims::previous_voters_may_go;
+use quillhatch_claims::can_drop_previous_voters;
 use quillhatch_types::{Epoch, GateEntry, Generation, NodeId, SlotState};
 
 use crate::state::{Command, Rejection, ServiceState, SlotHome, SlotRecord};
@@ -142,7 +142,7 @@
         if self.previous_voters.is_empty() {
             return;
         }
-        if previous_voters_may_go(&self.table(), self.voters_epoch, &self.settled) {
+        if can_drop_previous_voters(&self.table(), self.voters_epoch, &self.settled) {
             self.previous_voters.clear();
             self.raise();
         }
