--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -1,4 +1,4 @@
-//! What is kept of a claim, and how two accounts of the same key are merged.
+//! The stored form of a claim, and how two versions of the claim on one key are merged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,66 +6,66 @@
 use derive_more::Display;
 use quillhatch_types::{Digest, Epoch, Incarnation, RecordedAnswer, RequestKey, RootId, Timestamp};
 
-/// The grant that a claim stems from.
+/// Identifies the grant that created a claim.
 ///
-/// Within a slot a later grant for the same key has the greater origin, and a grant is only given when every smaller
-/// origin of the key is known to be void. So of two accounts of a key, the one with the greater origin holds.
+/// Within a slot, a later grant for the same key has the greater origin, and an owner grants a key only if it knows that
+/// every smaller origin of the key is void. So of two versions of a claim, the one with the greater origin is valid.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{epoch}.{sequence}@{incarnation}")]
 pub struct ClaimOrigin {
-    /// The epoch of the slot under which the owner asked for the claim.
+    /// The epoch of the slot under which the owner created the claim.
     pub epoch: Epoch,
-    /// The owner's own count of claims.
+    /// The owner's counter of claims.
     pub sequence: u64,
-    /// The run of the owner.
+    /// The incarnation of the owner.
     pub incarnation: Incarnation,
 }
 
-/// How far a claimed call has come; a later variant replaces an earlier one of the same origin.
+/// The progress of a claimed call; a later variant replaces an earlier one of the same origin.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimStatus {
-    /// The call runs, has run, or will run: nobody else may run it.
+    /// The call may be about to run, running, or done: no other attempt may run it.
     Claimed,
-    /// The granting owner states that the call was never dispatched by it and never will be.
+    /// The granting owner has not dispatched the call and never will.
     Released,
-    /// The call ran; its answer is kept if it was small enough.
+    /// The call ran; its answer is retained if it was small enough.
     Finished(Option<Arc<RecordedAnswer>>),
 }
 
-/// One claim as nodes tell it to each other.
+/// One claim as nodes send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimEntry {
     /// The key of the call.
     pub key: RequestKey,
-    /// The grant that the claim stems from.
+    /// The grant that created the claim.
     pub origin: ClaimOrigin,
     /// A hash of the request, if the key came from the caller.
     pub digest: Option<Digest>,
     /// The root of the call.
     pub root: RootId,
-    /// How far the call has come.
+    /// The progress of the call.
     pub status: ClaimStatus,
-    /// How long the claim must still be kept, measured when the entry was made.
+    /// How long the claim must still be retained, counted from when the entry was created.
     pub remaining_retention: Duration,
 }
 
-/// One claim as a node holds it in memory, under its key.
+/// One claim as a node holds it in memory, indexed by its key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldClaim {
-    /// The grant that the claim stems from.
+    /// The grant that created the claim.
     pub origin: ClaimOrigin,
     /// A hash of the request, if the key came from the caller.
     pub digest: Option<Digest>,
     /// The root of the call.
     pub root: RootId,
-    /// How far the call has come.
+    /// The progress of the call.
     pub status: ClaimStatus,
-    /// When the claim may be forgotten, on the holder's own clock.
+    /// When the claim may be dropped, on the clock of the node that holds it.
     pub expires: Timestamp,
 }
 
 impl ClaimStatus {
-    /// The size of the kept answer in bytes; zero without one.
+    /// The size of the retained answer in bytes; zero if there is none.
     pub fn answer_bytes(&self) -> usize {
         match self {
             ClaimStatus::Finished(Some(answer)) => recorded_size(answer),
@@ -83,19 +83,19 @@
     }
 }
 
-/// The bytes that a recorded answer takes in memory and on the wire, to within a few bytes per field.
+/// The size of a recorded answer in memory and on the wire, accurate to a few bytes per header field.
 pub fn recorded_size(answer: &RecordedAnswer) -> usize {
     let headers: usize = answer.headers.iter().map(|field| field.name.len() + field.value.len()).sum();
     answer.body.len() + headers
 }
 
 impl HeldClaim {
-    /// Whether the claim may be forgotten at `now`.
+    /// Whether the claim may be dropped at `now`.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         now >= self.expires
     }
 
-    /// Takes over what a peer said, at `now`.
+    /// Converts an entry received from a peer at `now`.
     pub fn from_entry(entry: &ClaimEntry, now: Timestamp) -> Self {
         HeldClaim {
             origin: entry.origin,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The claim as it is told to a peer at `now`.
+    /// Converts the claim into an entry to send to a peer at `now`.
     pub fn to_entry(&self, key: &RequestKey, now: Timestamp) -> ClaimEntry {
         ClaimEntry {
             key: key.clone(),
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Brings in another account of the same key; returns whether anything changed.
+    /// Merges another version of the claim on the same key; returns whether anything changed.
     ///
-    /// The greater origin holds. Of the same origin the later status holds, and with equal status the longer keeping.
+    /// The greater origin wins. With equal origins the later status wins, and with equal status the later expiry.
     pub fn merge(&mut self, other: HeldClaim) -> bool {
         if other.origin < self.origin {
             return false;
--- a/crates/claims/src/error.rs
+++ b/crates/claims/src/error.rs
@@ -1,38 +1,38 @@
-//! Why a message about claims is not understood.
+//! Errors of decoding messages about claims.
 
 use derive_more::{Display, Error, From};
 use quillhatch_messages::MalformedMessage;
 use quillhatch_types::call::KeyError;
 use quillhatch_types::names::NameError;
 
-/// Why bytes are no message about claims.
+/// The reason why bytes do not decode to a message about claims.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum ClaimMessageError {
-    /// The bytes are no encoding of the message.
+    /// The bytes are not a valid encoding of the message.
     #[display("{_0}")]
     Malformed(MalformedMessage),
-    /// The service's name is not valid.
-    #[display("the service's name is not valid: {_0}")]
+    /// The service name is invalid.
+    #[display("invalid service name: {_0}")]
     Service(NameError),
-    /// A key is not valid.
-    #[display("a claim's key is not valid: {_0}")]
+    /// A claim's key is invalid.
+    #[display("invalid claim key: {_0}")]
     Key(KeyError),
-    /// A field is missing.
+    /// A required field is missing.
     #[from(ignore)]
     #[display("the field {field} is missing")]
     Missing {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
     },
-    /// A field is outside its range.
+    /// The value of a field is out of range, or fields contradict each other.
     #[from(ignore)]
     #[display("the field {field} is out of range")]
     OutOfRange {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
     },
-    /// The message has more claims or bytes than one may carry.
-    #[display("the message carries more claims than allowed")]
+    /// The message, the number of its claims or a recorded answer exceeds its limit.
+    #[display("the message, its claims or an answer exceed the size limit")]
     #[from(ignore)]
     Oversized,
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,7 +1,7 @@
-//! At most one run of a call that may not be repeated, by claims recorded on a majority of a service's voters.
+//! At-most-once execution of calls that are not safe to retry, by claims recorded on a majority of a service's voters.
 //!
-//! Use [`ClaimOwner`] at the gates, which own the slots of a service, and [`ClaimVoter`] at the voters that the
-//! service's table names. Both are sans-I/O. The reasoning is in `docs/design/at-most-once.md`.
+//! Gates own the slots of a service and run a [`ClaimOwner`]; the voters that the service's table lists run a
+//! [`ClaimVoter`]. Both are sans-I/O. `docs/design/at-most-once.md` explains the protocol and why it is safe.
 
 pub mod claim;
 mod codec;
--- a/crates/claims/src/mechanisms.rs
+++ b/crates/claims/src/mechanisms.rs
@@ -1,12 +1,12 @@
-//! Switches that take one safety check out of the protocol, for the simulation and the model only.
+//! Switches that disable one safety check of the protocol each, for the simulation and the model only.
 
 use derive_more::{Display, Error};
 
 macro_rules! mechanisms {
     ($($(#[$documentation:meta])* $name:ident),+ $(,)?) => {
-        /// The checks that at-most-once execution rests on; all are on in production.
+        /// The checks that at-most-once execution depends on; all are enabled in production.
         ///
-        /// The simulation and the model switch one off by name to show that it is needed.
+        /// The simulation and the model disable one by name to show that it is needed.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub struct ClaimMechanisms {
             $($(#[$documentation])* pub $name: bool,)+
@@ -22,7 +22,7 @@
             /// The names of all mechanisms.
             pub const NAMES: &'static [&'static str] = &[$(stringify!($name)),+];
 
-            /// All mechanisms but the one called `name`.
+            /// Enables all mechanisms except the one called `name`.
             ///
             /// # Errors
             ///
@@ -45,26 +45,26 @@
 pub struct UnknownMechanism;
 
 mechanisms! {
-    /// A claim, a collection and a transfer need a majority of the voters, not any one of them.
+    /// Recording a claim, collecting a slot's claims and transferring a slot need a majority of the voters, not just one.
     majority,
-    /// A repeat of a key that is claimed is refused.
+    /// A retry with a key that is already claimed is refused.
     refuse_repeats,
-    /// A voter refuses records under an epoch below the one it promised for the slot.
+    /// A voter refuses records under an epoch lower than the one it promised for the slot.
     epoch_fence,
-    /// A new owner collects the slot's claims from a majority before it opens.
+    /// A new owner collects the slot's claims from a majority before it grants claims.
     takeover_collect,
-    /// A claim that a former owner left as claimed stays claimed at the new owner.
+    /// A new owner keeps a claim that a former owner left without an outcome as claimed.
     keep_claimed,
-    /// Only the run of a voter that is named in the table counts, not another run at the same address.
+    /// Only the incarnation of a voter that the table lists counts, not another process at the same address.
     incarnation_check,
-    /// While the voters change, a majority of the old and of the new set is needed.
+    /// While the voters change, a majority of the old set and a majority of the new set are needed.
     voter_overlap,
-    /// Owners record their live claims on a majority of the new voters before the old set is dropped.
+    /// Owners record their unexpired claims on a majority of the new voters before the old set is dropped.
     voter_settle,
-    /// A granted call is not dispatched after its deadline, before which no voter forgets the claim.
+    /// A granted call is not dispatched after its deadline; no voter drops the claim before that deadline.
     dispatch_deadline,
-    /// A slot is sealed on a majority before its claims are handed to another site.
+    /// A slot is sealed on a majority before its claims are transferred to another site.
     export_seal,
-    /// The claims of an imported slot are recorded on a majority before the slot is said to be imported.
+    /// The claims of an imported slot are recorded on a majority before the import is reported as complete.
     import_record,
 }
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -1,23 +1,23 @@
-//! What owners and voters of one service say to each other.
+//! Messages between the owners and voters of one service.
 
 use derive_more::Display;
 use quillhatch_types::{Epoch, RequestKey, ServiceName, SlotId};
 
 use crate::claim::{ClaimEntry, ClaimOrigin};
 
-/// The bytes of claims that one message carries, so that it fits well into a frame of 64 KiB.
+/// The maximum total size of the claims in one message, which leaves headroom in a frame of 64 KiB.
 pub const PAGE_BYTES: usize = 56 * 1024;
 
-/// The number of claims that one message carries.
+/// The maximum number of claims in one message.
 pub const PAGE_CLAIMS: usize = 512;
 
-/// The largest recorded answer, in bytes: one claim with its answer must fit into a page.
+/// The maximum size of a recorded answer, in bytes: one claim with its answer must fit into a page.
 pub const MAXIMUM_ANSWER_BYTES: usize = 48 * 1024;
 
-/// The bytes of an encoded claim beside its key and its answer, at most.
+/// The maximum size of an encoded claim without its key and its answer.
 const ENTRY_OVERHEAD_BYTES: usize = 96;
 
-/// The part of a node that a message is meant for.
+/// The component of a node that a message is addressed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRole {
     /// The slot's owner.
@@ -34,100 +34,100 @@
     pub service: ServiceName,
     /// The slot.
     pub slot: SlotId,
-    /// The epoch of the slot's assignment under which the owner acts; replies repeat it.
+    /// The epoch of the slot's assignment under which the owner acts; replies echo it.
     pub epoch: Epoch,
-    /// What is said.
+    /// The request, reply or notification.
     pub body: ClaimBody,
 }
 
 /// The kinds of messages.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimBody {
-    /// From an owner to a voter: keep these claims.
+    /// From an owner to a voter: store these claims.
     #[display("record {id}")]
     Record {
-        /// What is recorded; the reply repeats it.
+        /// Identifies the record; the reply echoes it.
         id: RecordId,
         /// The claims.
         claims: Vec<ClaimEntry>,
     },
-    /// A voter's answer to [`ClaimBody::Record`].
+    /// A voter's reply to [`ClaimBody::Record`].
     #[display("{verdict} {id}")]
     RecordReply {
-        /// The record that is answered.
+        /// The record that this replies to.
         id: RecordId,
-        /// Whether the voter keeps the claims.
+        /// Whether the voter stored the claims.
         verdict: Verdict,
     },
-    /// From a new owner to a voter: promise the epoch, and tell the slot's claims.
+    /// From a new owner or an exporter to a voter: promise the epoch, and return the slot's claims.
     #[display("collect")]
     Collect {
-        /// Seal the slot for every owner below the epoch without naming a new one: the slot leaves the site.
+        /// Whether to seal the slot because it moves to another site: no owner at or below the epoch can add claims then.
         export: bool,
-        /// Only claims with a greater key are wanted.
+        /// Return only claims with a greater key.
         after: Option<RequestKey>,
     },
-    /// A voter's answer to [`ClaimBody::Collect`].
+    /// A voter's reply to [`ClaimBody::Collect`].
     #[display("collected {verdict} {} claims", claims.len())]
     CollectReply {
         /// The cursor of the request.
         after: Option<RequestKey>,
         /// Whether the voter promised the epoch.
         verdict: Verdict,
-        /// The claims, in the order of their keys.
+        /// The claims in ascending order of their keys.
         claims: Vec<ClaimEntry>,
-        /// Whether claims remain after the last one here.
+        /// Whether the slot has claims after the last one in this page.
         more: bool,
     },
-    /// From the owner that granted a claim, and lost its slot since, to the present owner: how the call ended.
+    /// From the owner that granted a claim and has since lost the slot, to the current owner: how the call ended.
     #[display("settled {}", _0.origin)]
     Settled(ClaimEntry),
 }
 
-/// Names one record, so that a late or repeated reply counts for nothing else.
+/// Whether a record creates a claim or reports its outcome.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordKind {
-    /// A new claim.
+    /// Creates a claim.
     #[display("new")]
     New,
-    /// The end of a claim.
+    /// Reports that a claim was finished or released.
     #[display("settle")]
     Settle,
 }
 
-/// Which record a request or a reply speaks of.
+/// Identifies one record, so that a late or duplicate reply is not counted for another one.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordId {
-    /// One claim of the sender.
+    /// A single claim.
     #[display("{kind} {origin}")]
     Claim {
-        /// Whether it begins or ends.
+        /// Whether the claim is created or settled.
         kind: RecordKind,
-        /// Which claim.
+        /// The grant that identifies the claim.
         origin: ClaimOrigin,
     },
-    /// A page of a transfer of all claims of a slot.
+    /// A page of claims, when all claims of a slot are recorded.
     #[display("page {number} of round {round}")]
     Page {
-        /// The epoch of the table under which the transfer was started.
+        /// The epoch of the table under which the transfer started; zero for an import.
         round: Epoch,
-        /// The number of the page, counted from zero.
+        /// The zero-based number of the page.
         number: u32,
-        /// The last key of the page.
+        /// The last key of the page, if it has any claims.
         through: Option<RequestKey>,
     },
 }
 
-/// What a voter decided.
+/// A voter's decision on a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// Done.
+    /// The request was carried out.
     #[display("accepted")]
     Accepted,
-    /// Another owner holds the voter's promise for the slot, under the epoch given.
+    /// The voter promised the slot to another owner, or sealed it, under this epoch.
     #[display("fenced by {promised}")]
     Fenced {
-        /// The epoch promised.
+        /// The promised epoch.
         promised: Epoch,
     },
     /// The voter's store is full.
@@ -136,7 +136,7 @@
 }
 
 impl ClaimMessage {
-    /// Which part of the receiving node the message is for.
+    /// The component of the receiving node that handles the message.
     pub fn role(&self) -> ClaimRole {
         match self.body {
             ClaimBody::Record { .. } | ClaimBody::Collect { .. } => ClaimRole::Voter,
@@ -145,7 +145,7 @@
     }
 }
 
-/// An upper bound of a claim's encoded size in bytes.
+/// An upper bound on the encoded size of a claim, in bytes.
 pub fn entry_size(entry: &ClaimEntry) -> usize {
     let answer = match &entry.status {
         crate::ClaimStatus::Finished(Some(answer)) => {
@@ -156,10 +156,10 @@
     entry.key.as_str().len() + answer + ENTRY_OVERHEAD_BYTES
 }
 
-/// The bytes that the encoding adds to a header field, at most.
+/// The maximum size that the encoding adds to a header field, in bytes.
 const HEADER_OVERHEAD_BYTES: usize = 16;
 
-/// Splits claims into pages that each fit into a message, for handing them from site to site.
+/// Splits claims into pages that each fit into a message, to transfer them between sites.
 pub fn pages_of(claims: Vec<ClaimEntry>) -> Vec<Vec<ClaimEntry>> {
     let mut pages: Vec<Vec<ClaimEntry>> = Vec::new();
     let mut bytes = 0;
--- a/crates/claims/src/quorum.rs
+++ b/crates/claims/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Which sets of voters are enough.
+//! Quorum rules: which sets of voters suffice for a decision.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use crate::mechanisms::ClaimMechanisms;
 
-/// The voters of a service and, while they change, the ones before.
+/// The voters of a service and, while they change, the previous voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Roster {
     current: Vec<NodeId>,
@@ -14,12 +14,12 @@
 }
 
 impl Roster {
-    /// The voters of a table.
+    /// Takes the voters from a table.
     pub fn of_table(table: &ServiceTable) -> Self {
         Roster { current: table.voters.clone(), previous: table.previous_voters.clone() }
     }
 
-    /// The present voters.
+    /// The current voters.
     pub fn current(&self) -> &[NodeId] {
         &self.current
     }
@@ -29,14 +29,14 @@
         !self.previous.is_empty()
     }
 
-    /// All voters, present and previous, in ascending order.
+    /// All voters, current and previous, in ascending order.
     pub fn members(&self) -> BTreeSet<NodeId> {
         self.current.iter().chain(&self.previous).copied().collect()
     }
 
-    /// The member that a reply from `from` counts for.
+    /// The voter that a reply from `from` counts for, if any.
     ///
-    /// Another run at a voter's address has lost the voter's memory and its promises, so it must not count.
+    /// A restarted process at a voter's address has lost the voter's claims and promises, so its reply must not count.
     pub fn member(&self, from: NodeId, mechanisms: ClaimMechanisms) -> Option<NodeId> {
         let matches = |member: &&NodeId| {
             if mechanisms.incarnation_check {
@@ -48,19 +48,20 @@
         self.current.iter().chain(&self.previous).find(matches).copied()
     }
 
-    /// Whether `voters` are a majority of the present and, while they change, of the previous voters.
+    /// Whether `voters` contain a majority of the current voters and, while they change, of the previous voters.
     pub fn is_quorum(&self, voters: &BTreeSet<NodeId>, mechanisms: ClaimMechanisms) -> bool {
         let previous_needed = self.is_changing() && mechanisms.voter_overlap;
-        self.is_current_quorum(voters, mechanisms) && (!previous_needed || enough(&self.previous, voters, mechanisms))
+        self.is_current_quorum(voters, mechanisms)
+            && (!previous_needed || has_majority(&self.previous, voters, mechanisms))
     }
 
-    /// Whether `voters` are a majority of the present voters.
+    /// Whether `voters` contain a majority of the current voters.
     pub fn is_current_quorum(&self, voters: &BTreeSet<NodeId>, mechanisms: ClaimMechanisms) -> bool {
-        enough(&self.current, voters, mechanisms)
+        has_majority(&self.current, voters, mechanisms)
     }
 }
 
-fn enough(set: &[NodeId], voters: &BTreeSet<NodeId>, mechanisms: ClaimMechanisms) -> bool {
+fn has_majority(set: &[NodeId], voters: &BTreeSet<NodeId>, mechanisms: ClaimMechanisms) -> bool {
     let count = set.iter().filter(|voter| voters.contains(voter)).count();
     if mechanisms.majority {
         count * 2 > set.len()
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -6,44 +6,45 @@
 
 use crate::message::MAXIMUM_ANSWER_BYTES;
 
-/// How long a released claim is remembered, so that a late copy of its first record does not bring it back.
+/// How long a released claim is retained, so that a delayed duplicate of its first record does not restore it.
 pub const RELEASED_RETENTION: Duration = Duration::from_secs(10);
 
-/// The bytes of recorded answers that one owner or voter keeps per service, if nothing else is set.
+/// The default limit on the recorded answers that one owner or voter retains per service, in bytes.
 pub const ANSWER_CAPACITY_BYTES: usize = 32 * 1024 * 1024;
 
 /// Settings of a [`ClaimOwner`](crate::ClaimOwner).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OwnerSettings {
-    /// How long a claim is kept after its call ended or, if it never did, after its deadline.
+    /// How long a claim is retained after its call ended or, if no end was reported, after its deadline.
     pub retention: Duration,
-    /// The largest number of claims the owner holds; new ones are refused beyond it.
+    /// The maximum number of claims that the owner holds; further new claims are refused.
     pub capacity: usize,
-    /// The largest answer that is recorded, in bytes.
+    /// The maximum size of an answer that is recorded, in bytes.
     pub replay_limit_bytes: usize,
-    /// The largest sum of recorded answers, in bytes; beyond it claims finish without an answer.
+    /// The maximum total size of recorded answers, in bytes; further claims finish without an answer.
     pub answer_capacity_bytes: usize,
-    /// The time after which an unanswered message is sent again; doubled for each further try of a finished claim.
+    /// The time after which an unanswered message is sent again. It doubles with each try, up to a maximum, when the end
+    /// of a claim is sent.
     pub retry_interval: Duration,
-    /// How often the record of a new claim is sent before the claim is given up.
+    /// How many times the record of a new claim is sent before the claim is released and the call refused.
     pub record_tries: u8,
-    /// How often the end of a claim is sent to a voter that does not answer.
+    /// How many times the end of a claim is sent to a voter that does not answer.
     pub settle_tries: u8,
-    /// What callers are told to wait when a slot is being taken over or moved.
+    /// The retry-after time sent to callers while a slot is being taken over or moved.
     pub moving_retry_after: Duration,
 }
 
 /// Settings of a [`ClaimVoter`](crate::ClaimVoter).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterSettings {
-    /// The largest number of claims; new ones are refused beyond it.
+    /// The maximum number of claims that the voter holds; further new claims are refused.
     pub capacity: usize,
-    /// The largest sum of recorded answers, in bytes; beyond it claims finish without an answer.
+    /// The maximum total size of recorded answers, in bytes; further claims finish without an answer.
     pub answer_capacity_bytes: usize,
 }
 
 impl OwnerSettings {
-    /// The settings that a service's configuration asks for.
+    /// Derives the settings from a service's configuration.
     pub fn from_configuration(service: &ServiceConfiguration) -> Self {
         OwnerSettings {
             retention: service.claim_retention,
@@ -70,7 +71,7 @@
 }
 
 impl VoterSettings {
-    /// The settings that a service's configuration asks for.
+    /// Derives the settings from a service's configuration.
     pub fn from_configuration(service: &ServiceConfiguration) -> Self {
         VoterSettings { capacity: service.claim_capacity as usize, ..VoterSettings::default() }
     }
--- a/crates/claims/src/store.rs
+++ b/crates/claims/src/store.rs
@@ -9,10 +9,10 @@
 use crate::expiry::{ExpiryMark, ExpiryQueue};
 use crate::message::{entry_size, PAGE_BYTES, PAGE_CLAIMS};
 
-/// The largest number of marks looked at in one step, so that no step takes long.
-const MARKS_PER_STEP: usize = 256;
+/// The maximum number of expiry marks processed in one call, which bounds the time that the call takes.
+const MAX_MARKS_PER_CALL: usize = 256;
 
-/// Claims by slot and key, with their number, the size of their answers, and their expiry.
+/// Claims by slot and key, with their count, the total size of their answers, and their expiry times.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimStore {
     slots: BTreeMap<SlotId, BTreeMap<RequestKey, HeldClaim>>,
@@ -22,17 +22,17 @@
     answer_capacity_bytes: usize,
 }
 
-/// Some claims of one slot in the order of their keys.
+/// Part of one slot's claims, in ascending order of their keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredPage {
     /// The claims.
     pub entries: Vec<ClaimEntry>,
-    /// Whether claims remain after the last one.
+    /// Whether the slot has claims after the last one in this page.
     pub more: bool,
 }
 
 impl ClaimStore {
-    /// An empty store that keeps up to `answer_capacity_bytes` of recorded answers.
+    /// Creates an empty store that retains up to `answer_capacity_bytes` of recorded answers.
     pub fn new(answer_capacity_bytes: usize) -> Self {
         ClaimStore {
             slots: BTreeMap::new(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Changes the bound on recorded answers; answers already kept stay.
+    /// Changes the limit on recorded answers; answers already stored stay.
     pub fn set_answer_capacity(&mut self, bytes: usize) {
         self.answer_capacity_bytes = bytes;
     }
@@ -53,12 +53,12 @@
         self.count
     }
 
-    /// The bytes of recorded answers held.
+    /// The total size of the recorded answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// The claim of `key` that must still be kept at `now`.
+    /// The claim on `key`, unless it is expired at `now`.
     pub fn get(&self, slot: SlotId, key: &RequestKey, now: Timestamp) -> Option<&HeldClaim> {
         self.slots.get(&slot)?.get(key).filter(|claim| !claim.is_expired(now))
     }
@@ -68,12 +68,13 @@
         self.slots.get(&slot).into_iter().flatten()
     }
 
-    /// Brings in a claim by the rule of [`HeldClaim::merge`]; returns whether anything changed.
+    /// Adds a claim or merges it as in [`HeldClaim::merge`]; returns whether anything changed.
     pub fn merge(&mut self, slot: SlotId, key: &RequestKey, mut claim: HeldClaim, now: Timestamp) -> bool {
         let claims = self.slots.entry(slot).or_default();
         let old_bytes = claims.get(key).map_or(0, |held| held.status.answer_bytes());
-        bound_answer(&mut claim.status, self.answer_bytes - old_bytes, self.answer_capacity_bytes);
-        // A mark that comes due too early is set again, so only a claim without one, or one that ends early, needs it.
+        drop_oversized_answer(&mut claim.status, self.answer_bytes - old_bytes, self.answer_capacity_bytes);
+        // A mark that is due before its claim expires is queued again. So only a new claim and a released one, which may
+        // expire earlier than before, need a new mark.
         let needs_mark = !claims.contains_key(key) || claim.status == ClaimStatus::Released;
         let expires = claim.expires;
         let changed = match claims.get_mut(key) {
@@ -96,9 +97,9 @@
         changed
     }
 
-    /// A page of the slot's claims with keys greater than `after`, bounded in bytes and number.
+    /// A page of the slot's claims with keys greater than `after`, limited in size and number.
     ///
-    /// Claims for which `skip` holds, and expired ones, are left out.
+    /// Omits expired claims and those for which `skip` returns true.
     pub fn page(
         &self,
         slot: SlotId,
@@ -127,7 +128,7 @@
         page
     }
 
-    /// Forgets the slot's claims for which `keep` does not hold.
+    /// Drops the slot's claims for which `keep` returns false.
     pub fn retain_slot(&mut self, slot: SlotId, keep: impl Fn(&HeldClaim) -> bool) {
         let Some(claims) = self.slots.get_mut(&slot) else {
             return;
@@ -148,22 +149,22 @@
         self.answer_bytes -= bytes;
     }
 
-    /// Forgets claims whose time is over, a bounded number of them per call.
+    /// Drops expired claims, at most a fixed number of them per call.
     pub fn expire(&mut self, now: Timestamp) {
-        for _ in 0..MARKS_PER_STEP {
+        for _ in 0..MAX_MARKS_PER_CALL {
             let Some(mark) = self.expiry.pop_due(now) else {
                 return;
             };
-            self.look_at(mark, now);
+            self.expire_or_requeue(mark, now);
         }
     }
 
-    /// When [`ClaimStore::expire`] has something to do.
+    /// When [`ClaimStore::expire`] should be called next.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         self.expiry.next_due()
     }
 
-    fn look_at(&mut self, mark: ExpiryMark, now: Timestamp) {
+    fn expire_or_requeue(&mut self, mark: ExpiryMark, now: Timestamp) {
         let Some(claims) = self.slots.get_mut(&mark.slot) else {
             return;
         };
@@ -184,8 +185,8 @@
     }
 }
 
-/// Drops the answer if it does not fit; the claim itself is always kept.
-fn bound_answer(status: &mut ClaimStatus, held_bytes: usize, capacity: usize) {
+/// Drops the answer if it exceeds the capacity; the claim itself is always stored.
+fn drop_oversized_answer(status: &mut ClaimStatus, held_bytes: usize, capacity: usize) {
     if status.answer_bytes() > 0 && held_bytes + status.answer_bytes() > capacity {
         *status = ClaimStatus::Finished(None);
     }
