--- a/crates/claims/src/codec.rs
+++ b/crates/claims/src/codec.rs
@@ -13,11 +13,11 @@
 use crate::error::ClaimMessageError;
 use crate::message::{ClaimBody, ClaimMessage, RecordId, RecordKind, Verdict, MAXIMUM_ANSWER_BYTES, PAGE_CLAIMS};
 
-/// The largest encoded message that is looked at, in bytes.
+/// The maximum size of an encoded message that is decoded, in bytes.
 const MAXIMUM_MESSAGE_BYTES: usize = 64 * 1024;
 
 impl ClaimMessage {
-    /// The message as the payload of a frame.
+    /// Encodes the message as the payload of a frame.
     pub fn encode(&self) -> Vec<u8> {
         quillhatch_messages::encode(&wire::ClaimMessage {
             service: self.service.as_str().to_owned(),
@@ -27,11 +27,11 @@
         })
     }
 
-    /// Reads and checks a message.
+    /// Decodes and validates a message.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with `bytes`.
+    /// Returns an error if `bytes` are malformed, exceed a limit or have an invalid field.
     pub fn decode(bytes: &[u8]) -> Result<Self, ClaimMessageError> {
         if bytes.len() > MAXIMUM_MESSAGE_BYTES {
             return Err(ClaimMessageError::Oversized);
@@ -47,16 +47,16 @@
     }
 }
 
-/// Encodes one page of claims that go from site to site; see [`pages_of`](crate::pages_of).
+/// Encodes one page of claims for a transfer between sites; see [`pages_of`](crate::pages_of).
 pub fn encode_claims(claims: &[ClaimEntry]) -> Vec<u8> {
     quillhatch_messages::encode(&wire::ClaimPage { claims: claims.iter().map(encode_entry).collect() })
 }
 
-/// Reads and checks one page of claims.
+/// Decodes and validates one page of claims.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with `bytes`.
+/// Returns an error if `bytes` are malformed, exceed a limit or have an invalid field.
 pub fn decode_claims(bytes: &[u8]) -> Result<Vec<ClaimEntry>, ClaimMessageError> {
     if bytes.len() > MAXIMUM_MESSAGE_BYTES {
         return Err(ClaimMessageError::Oversized);
@@ -152,7 +152,7 @@
     }
 }
 
-/// No key is empty, so the empty text stands for none.
+/// Encodes `None` as an empty string, because no valid key is empty.
 fn encode_key(key: &Option<RequestKey>) -> String {
     key.as_ref().map_or_else(String::new, |key| key.as_str().to_owned())
 }
--- a/crates/claims/src/owner/delivery.rs
+++ b/crates/claims/src/owner/delivery.rs
@@ -1,4 +1,5 @@
-//! Single claims on their way to the voters: sent, counted, and sent again a bounded number of times.
+//! Records of single claims in flight to the voters: their replies are counted, and they are sent again a limited number
+//! of times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +8,21 @@
 use crate::claim::ClaimOrigin;
 use crate::message::RecordKind;
 
-/// Which delivery is meant.
+/// Identifies a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct DeliveryId {
     pub kind: RecordKind,
     pub origin: ClaimOrigin,
 }
 
-/// One claim on its way.
+/// The record of one claim in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Delivery {
     pub slot: SlotId,
     pub key: RequestKey,
-    /// The epoch under which it is sent.
+    /// The epoch under which the record is sent.
     pub epoch: Epoch,
-    /// The attempt that waits for it, for a new claim.
+    /// The attempt that waits for a new claim; none for the end of a claim.
     pub ticket: Option<AttemptId>,
     pub accepted: BTreeSet<NodeId>,
     pub refused: BTreeSet<NodeId>,
@@ -57,7 +58,7 @@
         self.by_id.get_mut(id)
     }
 
-    /// Whether the claim of `origin` is not yet recorded on a majority.
+    /// Whether the claim of `origin` still waits for a majority.
     pub fn is_pending(&self, origin: ClaimOrigin) -> bool {
         self.by_id.contains_key(&DeliveryId { kind: RecordKind::New, origin })
     }
@@ -72,12 +73,12 @@
         self.by_id.iter().filter(pending).map(|(id, _)| *id).collect()
     }
 
-    /// The deliveries whose answers are overdue.
+    /// The deliveries whose replies are overdue.
     pub fn due(&self, now: Timestamp) -> Vec<DeliveryId> {
         self.timers.iter().take_while(|(at, _)| *at <= now).map(|(_, id)| *id).collect()
     }
 
-    /// Notes another try, to be answered by `retry_at`.
+    /// Counts another try and schedules the next one at `retry_at`.
     pub fn reschedule(&mut self, id: DeliveryId, retry_at: Timestamp) {
         let Some(delivery) = self.by_id.get_mut(&id) else {
             return;
--- a/crates/claims/src/owner/io.rs
+++ b/crates/claims/src/owner/io.rs
@@ -11,25 +11,25 @@
 use crate::message::ClaimMessage;
 use crate::settings::OwnerSettings;
 
-/// What became of the request for a claim.
+/// The decision on a request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimDecision {
-    /// The claim is recorded on a majority; this attempt alone may run.
+    /// The claim is recorded on a majority; only this attempt may run.
     Granted,
-    /// The key's request has run; this is its recorded answer.
+    /// The request with this key has already run; this is its recorded answer.
     Replay(RecordedAnswer),
-    /// The claim was not granted; the refusal says what is known of earlier runs.
+    /// The claim was not granted; the refusal states whether the request may have run before.
     Refused(Refusal),
 }
 
-/// What can happen to an owner.
+/// An input of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerInput {
-    /// The gate asks for a claim; answered by [`OwnerOutput::Resolved`].
+    /// The gate requests a claim; answered by [`OwnerOutput::Resolved`].
     ///
     /// A granted ticket must end with `Finished`, `Released` or `Abandoned`.
     Claim {
-        /// The attempt; a ticket that is in use is ignored.
+        /// The attempt; the request is ignored if the ticket is already in use.
         ticket: AttemptId,
         /// The key of the call.
         key: RequestKey,
@@ -39,74 +39,74 @@
         digest: Option<Digest>,
         /// The root of the call.
         root: RootId,
-        /// Whether the caller chose the key and may repeat the request under it.
+        /// Whether the caller chose the key and may retry the request with it.
         key_from_caller: bool,
         /// The time left for the call.
         remaining: Duration,
     },
-    /// A message of role [`ClaimRole::Owner`](crate::ClaimRole) arrived from an authenticated node.
+    /// A message with role [`ClaimRole::Owner`](crate::ClaimRole) arrived from an authenticated node.
     Message {
         /// The sender.
         from: NodeId,
         /// The message.
         message: ClaimMessage,
     },
-    /// The granted call ran to its end.
+    /// The granted call completed.
     Finished {
         /// The attempt.
         ticket: AttemptId,
-        /// The answer, if it should be kept for replay.
+        /// The answer, if it should be retained for replay.
         record: Option<RecordedAnswer>,
     },
-    /// The attempt was not handed to the back end and never will be; also withdraws a claim not yet granted.
+    /// The attempt was not sent to the back end and never will be; also withdraws a claim not yet granted.
     Released {
         /// The attempt.
         ticket: AttemptId,
     },
-    /// The attempt was handed to the back end, and nobody knows whether it ran: its key stays claimed.
+    /// The attempt was sent to the back end, and it is unknown whether it ran: its key stays claimed.
     Abandoned {
         /// The attempt.
         ticket: AttemptId,
     },
-    /// A table that the service's group agreed on; an older one than the last is ignored.
+    /// A table that the service's group agreed on; ignored if it does not supersede the last one.
     Table(Arc<ServiceTable>),
-    /// The node's lease in its group holds until `until`; without a lease nothing is granted or dispatched.
+    /// The node's lease in its group is valid until `until`; without a lease nothing is granted or dispatched.
     Lease {
-        /// The end of the lease on this node's own clock.
+        /// The end of the lease on this node's clock.
         until: Timestamp,
     },
-    /// Collect the claims of a slot that the table says is sealed, to hand them to another site.
+    /// Collect the claims of a slot that is sealed in the table, to transfer them to another site.
     ///
-    /// Any node of the site may be asked, and asked again. Ignored while the table does not say that it is sealed.
+    /// May be sent to any node of the site, also repeatedly. Ignored unless the slot is sealed in the table.
     ExportSlot {
         /// The slot.
         slot: SlotId,
     },
-    /// Record the claims of a slot that another site has sealed, before the table names an owner here.
+    /// Record the claims of a slot that another site has sealed, before the table assigns the slot to an owner here.
     ///
-    /// Ignored if the slot was assigned under a newer epoch before, or to an owner under `epoch`. The table may name the
-    /// slot vacant under `epoch`, which says that the group agreed on the import.
+    /// Ignored if the table has the slot under a newer epoch, or under `epoch` in another state than vacant. Vacant under
+    /// `epoch` means that the group agreed on the import.
     ImportSlot {
         /// The slot.
         slot: SlotId,
-        /// An epoch above that of the seal and of every earlier import; the first owner must be named at this epoch
-        /// or, if it is another node, at a higher one.
+        /// An epoch above that of the seal and of every earlier import. The first owner must be assigned at this epoch if
+        /// it is this node, and at a higher one if it is another node.
         epoch: Epoch,
-        /// All claims exported.
+        /// All exported claims.
         claims: Vec<ClaimEntry>,
     },
-    /// Other settings are in force; a changed retention holds for claims made or finished from now on.
+    /// The settings changed; a new retention applies to claims created or finished from now on.
     SettingsChanged(OwnerSettings),
-    /// Time has passed.
+    /// Drops expired claims and sends overdue messages again.
     Tick,
 }
 
-/// What an owner wants done or has reached.
+/// An output of the owner: an action for the driver or a change of state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerOutput {
-    /// Send a message; `to` may be this node itself.
+    /// Send a message; `to` may be this node.
     Send {
-        /// The receiver.
+        /// The recipient.
         to: NodeId,
         /// The message.
         message: ClaimMessage,
@@ -118,21 +118,21 @@
         /// The decision.
         resolution: ClaimDecision,
     },
-    /// The slot's claims are known here and recorded under the epoch: claims are granted from now on.
+    /// The owner has the slot's claims and recorded them under the epoch; it grants claims from now on.
     SlotOpened {
         /// The slot.
         slot: SlotId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// A newer epoch was promised for the slot: this node no longer owns it, whatever its table says.
+    /// A voter promised the slot to another owner: this node no longer owns it, whatever its table says.
     SlotLost {
         /// The slot.
         slot: SlotId,
         /// The epoch under which it was owned.
         epoch: Epoch,
     },
-    /// The slot is sealed on a majority, and these are all its claims.
+    /// The slot is sealed on a majority; these are all its claims.
     SlotExported {
         /// The slot.
         slot: SlotId,
@@ -141,7 +141,7 @@
         /// The claims.
         claims: Vec<ClaimEntry>,
     },
-    /// The imported claims are recorded on a majority here: the group may name an owner.
+    /// The imported claims are recorded on a majority at this site: the group may assign an owner.
     SlotImported {
         /// The slot.
         slot: SlotId,
@@ -150,7 +150,7 @@
     },
     /// Every claim of this owner is recorded on a majority of the voters of the table with this epoch.
     ///
-    /// Said once for each table that has previous voters; see
+    /// Emitted once for each table that has previous voters; see
     /// [`can_drop_previous_voters`](crate::can_drop_previous_voters).
     VotersSettled {
         /// The epoch of the table.
--- a/crates/claims/src/owner/mod.rs
+++ b/crates/claims/src/owner/mod.rs
@@ -1,8 +1,8 @@
-//! Grants each key of the slots it owns to one attempt, after recording the claim on a majority of voters.
+//! The owner grants each key of its slots to one attempt, after recording the claim on a majority of voters.
 //!
-//! Every gate runs one owner per service. Its driver steps it with tables and leases from control, requests from the
-//! gate and messages from voters, steps it with a [`OwnerInput::Tick`] at [`ClaimOwner::next_wake`], and asks
-//! [`ClaimOwner::may_dispatch`] just before an attempt goes to the back end.
+//! Every gate runs one owner per service. Its driver calls [`ClaimOwner::step`] with tables and leases from control,
+//! requests from the gate, messages from voters and other owners, and an [`OwnerInput::Tick`] at
+//! [`ClaimOwner::next_wake`]. It checks [`ClaimOwner::may_dispatch`] just before it sends an attempt to the back end.
 
 mod delivery;
 mod grant;
@@ -36,7 +36,7 @@
 #[cfg(test)]
 mod tests;
 
-/// An attempt that asked for a claim and has not ended.
+/// An attempt that requested a claim and has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ticket {
     slot: SlotId,
@@ -44,7 +44,7 @@
     origin: ClaimOrigin,
     digest: Option<Digest>,
     root: RootId,
-    /// The time until which the call may be dispatched.
+    /// The time before which the call may be dispatched.
     deadline: Timestamp,
     granted: bool,
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// The owner part of one service at one gate.
+/// The owner of one service's claims at one gate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimOwner {
     node: NodeId,
@@ -64,7 +64,7 @@
     mechanisms: ClaimMechanisms,
     table: Option<Arc<ServiceTable>>,
     roster: Roster,
-    /// The epoch of the last table for which the voters were said to be settled.
+    /// The epoch of the last table for which [`OwnerOutput::VotersSettled`] was emitted.
     settled_epoch: Option<Epoch>,
     lease_until: Timestamp,
     sequence: u64,
@@ -75,12 +75,12 @@
 }
 
 impl ClaimOwner {
-    /// An owner without slots, for `service` at `node`.
+    /// Creates an owner without slots, for `service` at `node`.
     pub fn new(node: NodeId, service: ServiceName, settings: OwnerSettings) -> Self {
         Self::with_mechanisms(node, service, settings, ClaimMechanisms::default())
     }
 
-    /// An owner with some checks switched off, for the simulation and the model.
+    /// Creates an owner with some checks disabled, for the simulation and the model.
     pub fn with_mechanisms(
         node: NodeId,
         service: ServiceName,
@@ -105,23 +105,23 @@
         }
     }
 
-    /// Takes one input at `now` and adds to `outputs` what it leads to.
+    /// Processes one input at `now` and appends the resulting outputs to `outputs`.
     pub fn step(&mut self, now: Timestamp, input: OwnerInput, outputs: &mut Vec<OwnerOutput>) {
         match input {
             OwnerInput::Claim { ticket, key, slot, digest, root, key_from_caller, remaining } => {
                 let request = ClaimRequest { ticket, key, slot, digest, root, key_from_caller, remaining };
                 self.claim(now, request, outputs);
             }
-            OwnerInput::Message { from, message } => self.message(now, from, message, outputs),
+            OwnerInput::Message { from, message } => self.handle_message(now, from, message, outputs),
             OwnerInput::Finished { ticket, record } => self.finish(now, ticket, record, outputs),
             OwnerInput::Released { ticket } => self.release(now, ticket, outputs),
             OwnerInput::Abandoned { ticket } => {
                 self.tickets.remove(&ticket);
             }
-            OwnerInput::Table(table) => self.take_table(now, table, outputs),
+            OwnerInput::Table(table) => self.apply_table(now, table, outputs),
             OwnerInput::Lease { until } => self.lease_until = until,
-            OwnerInput::ExportSlot { slot } => self.export(now, slot, outputs),
-            OwnerInput::ImportSlot { slot, epoch, claims } => self.import(now, slot, epoch, claims, outputs),
+            OwnerInput::ExportSlot { slot } => self.export_slot(now, slot, outputs),
+            OwnerInput::ImportSlot { slot, epoch, claims } => self.import_slot(now, slot, epoch, claims, outputs),
             OwnerInput::SettingsChanged(settings) => {
                 self.store.set_answer_capacity(settings.answer_capacity_bytes);
                 self.settings = settings;
@@ -130,17 +130,18 @@
         }
     }
 
-    /// When the owner should be stepped with a [`OwnerInput::Tick`].
+    /// When [`ClaimOwner::step`] should next be called with [`OwnerInput::Tick`].
     pub fn next_wake(&self) -> Option<Timestamp> {
         let slots = self.slots.values().filter_map(Slot::next_due).min();
         [self.deliveries.next_due(), slots, self.store.next_expiry()].into_iter().flatten().min()
     }
 
-    /// Whether the granted attempt may go to the back end at `now`; to be asked just before it does.
+    /// Whether the granted attempt may be sent to the back end at `now`; must be called just before it is sent.
     ///
-    /// Says no after the deadline, before which no voter forgets the claim, so that a process that was paused does not
-    /// run a call whose key may have been claimed anew. Says no too without a lease or after the slot was lost, so that
-    /// it does not act on an old view. After a no, the gate refuses the attempt as not run and says `Released`.
+    /// Returns false after the deadline: no voter drops the claim before the deadline, but after a longer pause of the
+    /// process another attempt may have claimed the key. Also returns false without a lease or after the slot was lost,
+    /// so that the gate does not act on outdated state. On false, the gate refuses the attempt as not run and sends
+    /// [`OwnerInput::Released`].
     pub fn may_dispatch(&self, now: Timestamp, ticket: AttemptId) -> bool {
         let Some(ticket) = self.tickets.get(&ticket) else {
             return false;
@@ -149,19 +150,19 @@
         ticket.granted && in_time && now < self.lease_until && self.is_open_at(ticket.slot, ticket.origin.epoch)
     }
 
-    /// The number of claims held for replay and for refusing repeats.
+    /// The number of claims held to replay answers and to refuse retries.
     pub fn held_claims(&self) -> usize {
         self.store.len()
     }
 
-    /// The bytes of recorded answers held.
+    /// The total size of the recorded answers, in bytes.
     pub fn held_answer_bytes(&self) -> usize {
         self.store.answer_bytes()
     }
 
-    /// The number of attempts of a slot that asked for a claim and have not ended.
+    /// The number of attempts of a slot that requested a claim and have not ended.
     ///
-    /// A planned hand-over waits for zero, for a bounded time, so that repeats find an answer at the new owner.
+    /// A planned handover waits a limited time for this to reach zero, so that retries find an answer at the new owner.
     pub fn unfinished_calls(&self, slot: SlotId) -> usize {
         self.tickets.values().filter(|ticket| ticket.slot == slot).count()
     }
@@ -175,13 +176,13 @@
         self.slots.get(&slot).is_some_and(|slot| slot.is_open() && slot.epoch == epoch)
     }
 
-    fn message(&mut self, now: Timestamp, from: NodeId, message: ClaimMessage, outputs: &mut Vec<OwnerOutput>) {
+    fn handle_message(&mut self, now: Timestamp, from: NodeId, message: ClaimMessage, outputs: &mut Vec<OwnerOutput>) {
         if message.service != self.service {
             return;
         }
         let (slot, epoch) = (message.slot, message.epoch);
         if let ClaimBody::Settled(entry) = message.body {
-            self.take_settled(now, from, slot, entry, outputs);
+            self.handle_settled(now, from, slot, entry, outputs);
             return;
         }
         let Some(voter) = self.roster.member(from, self.mechanisms) else {
@@ -191,10 +192,12 @@
             ClaimBody::RecordReply { id, verdict } => {
                 self.check_fence(now, slot, epoch, verdict, outputs);
                 match id {
-                    RecordId::Claim { kind, origin } => self.claim_reply(now, voter, kind, origin, verdict, outputs),
+                    RecordId::Claim { kind, origin } => {
+                        self.handle_claim_reply(now, voter, kind, origin, verdict, outputs)
+                    }
                     RecordId::Page { round, number, through } => {
                         if verdict == Verdict::Accepted {
-                            self.page_recorded(now, voter, slot, epoch, round, number, through, outputs);
+                            self.handle_page_recorded(now, voter, slot, epoch, round, number, through, outputs);
                         }
                     }
                 }
@@ -202,14 +205,14 @@
             ClaimBody::CollectReply { after, verdict, claims, more } => {
                 self.check_fence(now, slot, epoch, verdict, outputs);
                 if verdict == Verdict::Accepted {
-                    self.page_collected(now, voter, slot, epoch, after, claims, more, outputs);
+                    self.handle_page_collected(now, voter, slot, epoch, after, claims, more, outputs);
                 }
             }
             ClaimBody::Record { .. } | ClaimBody::Collect { .. } | ClaimBody::Settled(_) => {}
         }
     }
 
-    /// A voter that refuses the slot's present epoch has promised it to another owner.
+    /// Gives up the slot if a voter refuses its current epoch, because the voter has promised the slot to another owner.
     fn check_fence(
         &mut self,
         now: Timestamp,
@@ -243,8 +246,8 @@
     }
 }
 
-fn resolve(ticket: AttemptId, resolution: ClaimDecision, outputs: &mut Vec<OwnerOutput>) {
-    outputs.push(OwnerOutput::Resolved { ticket, resolution });
+fn resolve(ticket: AttemptId, decision: ClaimDecision, outputs: &mut Vec<OwnerOutput>) {
+    outputs.push(OwnerOutput::Resolved { ticket, resolution: decision });
 }
 
 fn refuse(ticket: AttemptId, refusal: Refusal, outputs: &mut Vec<OwnerOutput>) {
--- a/crates/claims/src/owner/pages.rs
+++ b/crates/claims/src/owner/pages.rs
@@ -1,4 +1,4 @@
-//! Collects all claims of a slot from the voters, and records them there, a page at a time.
+//! Collects all claims of a slot from the voters, and records them on the voters, one page at a time.
 
 use quillhatch_types::{Epoch, NodeId, RequestKey, SlotId, Timestamp};
 
@@ -10,7 +10,7 @@
 use crate::message::{ClaimBody, RecordId};
 
 impl ClaimOwner {
-    /// Sends every page of the slot that is due.
+    /// Sends every page and page request of the slot that is due.
     pub(super) fn send_pages(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
         let Some(paging) = self.slots.get(&slot).and_then(|held| held.paging()) else {
             return;
@@ -40,7 +40,8 @@
         let body = match collecting {
             Some(purpose) => ClaimBody::Collect { export: purpose == Purpose::Export, after: cursor.after.clone() },
             None => {
-                // A claim not yet granted is recorded on both sets of voters, or given up, by its own delivery.
+                // Claims that are not yet granted are left out: their own deliveries record them on both sets of voters, or
+                // release them.
                 let pending = |claim: &HeldClaim| self.deliveries.is_pending(claim.origin);
                 let page = self.store.page(slot, cursor.after.as_ref(), now, pending);
                 let through = page.entries.last().map(|entry| entry.key.clone());
@@ -54,7 +55,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn page_collected(
+    pub(super) fn handle_page_collected(
         &mut self,
         now: Timestamp,
         voter: NodeId,
@@ -80,18 +81,18 @@
         cursor.page += 1;
         cursor.done = !more;
         cursor.retry_at = now;
-        let adopted = |entry: &&ClaimEntry| self.mechanisms.keep_claimed || entry.status != ClaimStatus::Claimed;
-        for entry in claims.iter().filter(adopted) {
+        let is_adopted = |entry: &&ClaimEntry| self.mechanisms.keep_claimed || entry.status != ClaimStatus::Claimed;
+        for entry in claims.iter().filter(is_adopted) {
             self.store.merge(slot, &entry.key, HeldClaim::from_entry(entry, now), now);
         }
         if more {
             self.send_page(now, slot, voter, outputs);
         }
-        self.review_slot(now, slot, outputs);
+        self.advance_slot(now, slot, outputs);
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn page_recorded(
+    pub(super) fn handle_page_recorded(
         &mut self,
         now: Timestamp,
         voter: NodeId,
@@ -111,11 +112,11 @@
         let Some(paging) = held.paging_mut().filter(|paging| paging.round == round) else {
             return;
         };
-        // The content of a page may change between two tries; only the answer to the last one counts.
-        let current = |cursor: &&mut super::paging::Cursor| {
+        // The content of a page may change between tries, so only the reply to the last try counts.
+        let is_current = |cursor: &&mut super::paging::Cursor| {
             !cursor.done && cursor.page == number && cursor.through == through && cursor.retry_at > Timestamp::ZERO
         };
-        let Some(cursor) = paging.cursor_mut(voter).filter(current) else {
+        let Some(cursor) = paging.cursor_mut(voter).filter(is_current) else {
             return;
         };
         cursor.after = through.or_else(|| cursor.after.take());
@@ -125,11 +126,11 @@
         if !cursor.done {
             self.send_page(now, slot, voter, outputs);
         }
-        self.review_slot(now, slot, outputs);
+        self.advance_slot(now, slot, outputs);
     }
 
-    /// Moves the slot to its next phase if enough voters are done with the present one.
-    pub(super) fn review_slot(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
+    /// Moves the slot to its next phase if a quorum of voters has completed the current one.
+    pub(super) fn advance_slot(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
         let Some(held) = self.slots.get(&slot) else {
             return;
         };
@@ -139,9 +140,9 @@
         let quorum = self.roster.is_quorum(&done, self.mechanisms);
         match &held.phase {
             Phase::Collecting { purpose: Purpose::Takeover, .. } if quorum => self.begin_recording(now, slot, outputs),
-            Phase::Collecting { purpose: Purpose::Export, .. } if quorum => self.exported(now, slot, outputs),
+            Phase::Collecting { purpose: Purpose::Export, .. } if quorum => self.complete_export(now, slot, outputs),
             Phase::Recording { .. } if quorum => self.open_slot(slot, outputs),
-            Phase::Importing { .. } if quorum => self.imported(slot, outputs),
+            Phase::Importing { .. } if quorum => self.complete_import(slot, outputs),
             Phase::Open { .. } if self.roster.is_current_quorum(&done, self.mechanisms) => {
                 self.set_phase(slot, Phase::Open { settling: None });
                 self.announce_settled(outputs);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Records the collected claims under the new epoch, so that the next takeover finds them on any majority.
+    /// Records the collected claims under the new epoch, so that the next takeover finds them on every majority.
     fn begin_recording(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
         if self.store.page(slot, None, now, |_| false).entries.is_empty() {
             self.open_slot(slot, outputs);
--- a/crates/claims/src/owner/paging.rs
+++ b/crates/claims/src/owner/paging.rs
@@ -1,28 +1,28 @@
-//! Where each voter stands while all claims of a slot are collected from it or recorded on it, a page at a time.
+//! The progress of each voter while all claims of a slot are collected from it or recorded on it, one page at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use quillhatch_types::{Epoch, NodeId, RequestKey, Timestamp};
 
-/// Where one voter stands.
+/// The progress of one voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Cursor {
-    /// The number of the page that is on its way.
+    /// The number of the page in flight.
     pub page: u32,
-    /// The last key of the page before.
+    /// The last key of the previous page.
     pub after: Option<RequestKey>,
-    /// The last key of the page on its way, when recording.
+    /// The last key of the page in flight, when recording.
     pub through: Option<RequestKey>,
-    /// Whether the page on its way is the last, when recording.
+    /// Whether the page in flight is the last one, when recording.
     pub last: bool,
     pub done: bool,
     pub retry_at: Timestamp,
 }
 
-/// Pages going to or coming from several voters, each at its own pace.
+/// A paged transfer to or from several voters, each of which progresses independently.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Paging {
-    /// Tells this paging from an earlier one of the same slot.
+    /// Distinguishes this transfer from earlier ones of the same slot.
     pub round: Epoch,
     cursors: BTreeMap<NodeId, Cursor>,
 }
@@ -33,7 +33,7 @@
         Paging { round, cursors }
     }
 
-    /// Keeps what the voters that remain have done, and begins with those that are new.
+    /// Replaces the set of voters: keeps the progress of those that remain and starts the new ones from the beginning.
     pub fn set_voters(&mut self, voters: &BTreeSet<NodeId>) {
         self.cursors.retain(|voter, _| voters.contains(voter));
         for voter in voters {
@@ -45,12 +45,12 @@
         self.cursors.get_mut(&voter)
     }
 
-    /// The voters that have everything, or from which everything was received.
+    /// The voters to which, or from which, all pages have been transferred.
     pub fn done(&self) -> BTreeSet<NodeId> {
         self.cursors.iter().filter(|(_, cursor)| cursor.done).map(|(voter, _)| *voter).collect()
     }
 
-    /// The voters whose page should be sent or asked for, first or again.
+    /// The voters to which the next page or request should be sent now, for the first time or again.
     pub fn due(&self, now: Timestamp) -> Vec<NodeId> {
         let due = |(_, cursor): &(&NodeId, &Cursor)| !cursor.done && cursor.retry_at <= now;
         self.cursors.iter().filter(due).map(|(voter, _)| *voter).collect()
--- a/crates/claims/src/owner/settle.rs
+++ b/crates/claims/src/owner/settle.rs
@@ -1,4 +1,4 @@
-//! The end of a claim: finished or released, here or at a former owner.
+//! Settles claims: records that they finished or were released, at this owner or at a former one.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
         let Some(ticket) = self.tickets.get(&attempt) else {
             return;
         };
-        // A call that was not granted cannot have run; the gate is at fault, and the claim stays as it is.
+        // A call that was not granted cannot have run, so this is an error of the gate; the claim is left unchanged.
         if !ticket.granted {
             return;
         }
@@ -43,7 +43,7 @@
         self.settle(now, &ticket, ClaimStatus::Released, outputs);
     }
 
-    /// Notes how a claim of this owner ended, and tells the voters and, if the slot has gone, its present owner.
+    /// Stores how a claim of this owner ended, and sends it to the voters and, if another node owns the slot now, to it.
     pub(super) fn settle(
         &mut self,
         now: Timestamp,
@@ -58,14 +58,14 @@
         let claim = ticket.claim(status, now + retention);
         self.store.merge(ticket.slot, &ticket.key, claim.clone(), now);
         self.deliver_settled(now, ticket.slot, &ticket.key, &claim, outputs);
-        if let Some(owner) = self.other_owner(ticket.slot) {
+        if let Some(owner) = self.current_other_owner(ticket.slot) {
             let entry = claim.to_entry(&ticket.key, now);
             self.send(owner, ticket.slot, ticket.origin.epoch, ClaimBody::Settled(entry), outputs);
         }
     }
 
-    /// Learns from the granting owner how a claim that was taken over ended.
-    pub(super) fn take_settled(
+    /// Stores the end of a claim that was taken over, as reported by the owner that granted it.
+    pub(super) fn handle_settled(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -73,9 +73,9 @@
         entry: ClaimEntry,
         outputs: &mut Vec<OwnerOutput>,
     ) {
-        let by_granter = entry.origin.incarnation == from.incarnation && entry.status != ClaimStatus::Claimed;
+        let from_granter = entry.origin.incarnation == from.incarnation && entry.status != ClaimStatus::Claimed;
         let held = self.store.get(slot, &entry.key, now).is_some_and(|held| held.origin == entry.origin);
-        if !by_granter || !held || !self.slots.contains_key(&slot) {
+        if !from_granter || !held || !self.slots.contains_key(&slot) {
             return;
         }
         let claim = HeldClaim::from_entry(&entry, now);
@@ -109,7 +109,7 @@
         self.send_delivery(now, id, outputs);
     }
 
-    fn other_owner(&self, slot: SlotId) -> Option<NodeId> {
+    fn current_other_owner(&self, slot: SlotId) -> Option<NodeId> {
         match self.table.as_ref()?.slot(slot)?.state {
             SlotState::Owned { owner } if owner != self.node => Some(owner),
             _ => None,
--- a/crates/claims/src/owner/slot.rs
+++ b/crates/claims/src/owner/slot.rs
@@ -7,32 +7,32 @@
 /// Why claims are collected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Purpose {
-    /// To own the slot.
+    /// This node takes over the slot.
     Takeover,
-    /// To hand it to another site.
+    /// The slot moves to another site.
     Export,
 }
 
-/// What is being done with the slot.
+/// The current phase of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Phase {
     /// Claims are collected from the voters.
     Collecting { purpose: Purpose, paging: Paging },
     /// The collected claims are recorded under the new epoch.
     Recording { paging: Paging },
-    /// Claims are granted; `settling` records the claims held on new voters.
+    /// Claims are granted; `settling` tracks the recording of existing claims on new voters.
     Open { settling: Option<Paging> },
-    /// All claims are collected, to be handed to another site.
+    /// All claims are collected, ready for the transfer to another site.
     Exported,
-    /// Claims of another site are recorded here.
+    /// The claims of another site are being recorded on this site's voters.
     Importing { paging: Paging },
-    /// Claims of another site are recorded here; no owner is named yet.
+    /// The claims of another site are recorded on a majority; no owner is assigned yet.
     Imported,
-    /// Another owner holds the voters' promise.
+    /// A voter has promised the slot to another owner.
     Fenced,
 }
 
-/// One slot at a node that owns it, opens it, or helps to move it.
+/// A slot at a node that owns it, takes it over, or exports or imports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Slot {
     pub epoch: Epoch,
--- a/crates/claims/src/owner/table.rs
+++ b/crates/claims/src/owner/table.rs
@@ -1,4 +1,4 @@
-//! Slots that come and go with the service's table, and slots that move between sites.
+//! Applies the service's table to the slots of this node, and moves slots between sites.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::claim::{ClaimEntry, HeldClaim};
 use crate::quorum::Roster;
 
-/// The round of every import; no table has this epoch, so a late answer to it counts for no other transfer.
+/// The round of every import. No table has this epoch, so a late reply to an import is not counted for another transfer.
 const IMPORT_ROUND: Epoch = Epoch(0);
 
 impl ClaimOwner {
@@ -21,7 +21,7 @@
         self.table.as_ref().map_or(Epoch(0), |table| table.epoch)
     }
 
-    pub(super) fn take_table(&mut self, now: Timestamp, table: Arc<ServiceTable>, outputs: &mut Vec<OwnerOutput>) {
+    pub(super) fn apply_table(&mut self, now: Timestamp, table: Arc<ServiceTable>, outputs: &mut Vec<OwnerOutput>) {
         let newer = self.table.as_ref().is_none_or(|old| table.supersedes(old));
         if table.service != self.service || !newer {
             return;
@@ -31,15 +31,15 @@
         self.roster = roster;
         self.table = Some(Arc::clone(&table));
         for assignment in &table.slots {
-            self.take_assignment(now, assignment, outputs);
+            self.apply_assignment(now, assignment, outputs);
         }
         if roster_changed {
-            self.follow_roster(now, outputs);
+            self.apply_roster_change(now, outputs);
         }
         self.announce_settled(outputs);
     }
 
-    fn take_assignment(&mut self, now: Timestamp, assignment: &SlotAssignment, outputs: &mut Vec<OwnerOutput>) {
+    fn apply_assignment(&mut self, now: Timestamp, assignment: &SlotAssignment, outputs: &mut Vec<OwnerOutput>) {
         let slot = assignment.slot;
         let held_epoch = self.slots.get(&slot).map(|held| held.epoch);
         let owned = matches!(assignment.state, SlotState::Owned { owner } if self.is_self(owner));
@@ -49,8 +49,8 @@
         let importer = self.slots.get(&slot).is_some_and(|held| {
             matches!(held.phase, Phase::Importing { .. } | Phase::Imported) && held.epoch == assignment.epoch
         });
-        let handed_over = matches!(assignment.state, SlotState::Elsewhere { .. }) && !importer;
-        if held_epoch == Some(assignment.epoch) && !(owned && importer) && !handed_over {
+        let moved_away = matches!(assignment.state, SlotState::Elsewhere { .. }) && !importer;
+        if held_epoch == Some(assignment.epoch) && !(owned && importer) && !moved_away {
             return;
         }
         let reason = match assignment.state {
@@ -93,9 +93,9 @@
         self.send_pages(now, slot, outputs);
     }
 
-    /// Stops granting claims of a slot: refuses those that wait, and forgets what the next owner collects.
+    /// Stops granting claims of a slot: refuses the pending ones, and drops the claims that the next owner collects.
     ///
-    /// Calls that were granted keep their tickets, so that their ends can still be told.
+    /// Granted calls keep their tickets, so that their ends can still be reported.
     pub(super) fn lose_slot(
         &mut self,
         now: Timestamp,
@@ -107,17 +107,17 @@
             return;
         }
         for id in self.deliveries.pending_in(slot) {
-            self.give_up(now, id, Refusal::not_run(reason), outputs);
+            self.release_and_refuse(now, id, Refusal::not_run(reason), outputs);
         }
         let deliveries = &self.deliveries;
-        let settling = |origin| {
+        let is_settling = |origin| {
             deliveries.get(&super::delivery::DeliveryId { kind: crate::message::RecordKind::Settle, origin }).is_some()
         };
-        self.store.retain_slot(slot, |claim| settling(claim.origin));
+        self.store.retain_slot(slot, |claim| is_settling(claim.origin));
     }
 
-    /// Brings everything that is on its way to the voters of the new table.
-    fn follow_roster(&mut self, now: Timestamp, outputs: &mut Vec<OwnerOutput>) {
+    /// Redirects all transfers and deliveries in flight to the voters of the new table.
+    fn apply_roster_change(&mut self, now: Timestamp, outputs: &mut Vec<OwnerOutput>) {
         let members = self.roster.members();
         let current = self.roster.current().iter().copied().collect();
         let round = self.table_epoch();
@@ -131,15 +131,15 @@
                 paging.set_voters(&members);
             }
             self.send_pages(now, slot, outputs);
-            self.review_slot(now, slot, outputs);
+            self.advance_slot(now, slot, outputs);
         }
         for id in self.deliveries.ids() {
             self.send_delivery(now, id, outputs);
-            self.review(now, id, outputs);
+            self.review_delivery(now, id, outputs);
         }
     }
 
-    /// Says that the previous voters are not needed by this owner any more, once per table.
+    /// Reports, once per table, that this owner no longer needs the previous voters.
     pub(super) fn announce_settled(&mut self, outputs: &mut Vec<OwnerOutput>) {
         let Some(table) = self.table.as_ref().filter(|_| self.roster.is_changing()) else {
             return;
@@ -147,12 +147,12 @@
         if self.settled_epoch == Some(table.epoch) {
             return;
         }
-        let mine =
+        let owned_here =
             |assignment: &&SlotAssignment| matches!(assignment.state, SlotState::Owned { owner } if owner == self.node);
-        let settled = |assignment: &SlotAssignment| {
+        let is_settled = |assignment: &SlotAssignment| {
             self.slots.get(&assignment.slot).is_some_and(|held| held.phase == Phase::Open { settling: None })
         };
-        if table.slots.iter().filter(mine).all(settled) {
+        if table.slots.iter().filter(owned_here).all(is_settled) {
             let epoch = table.epoch;
             self.settled_epoch = Some(epoch);
             outputs.push(OwnerOutput::VotersSettled { epoch });
@@ -161,26 +161,28 @@
 
     /// Seals the slot on a majority under the epoch of the table, and collects its claims.
     ///
-    /// The claims are collected from the voters even by the last owner: another may have owned the slot after it, and
-    /// the promise keeps a paused owner from recording claims that would not be handed over.
-    pub(super) fn export(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
+    /// Even the last owner collects the claims from the voters: another node may have owned the slot after it, and the
+    /// voters' promise prevents a paused owner from recording claims that would be missing from the export.
+    pub(super) fn export_slot(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
         let assignment = self.table.as_ref().and_then(|table| table.slot(slot));
         let Some(assignment) = assignment.filter(|held| matches!(held.state, SlotState::Sealed { .. })) else {
             return;
         };
         let epoch = assignment.epoch;
         match self.slots.get(&slot) {
-            Some(held) if held.epoch == epoch && held.phase == Phase::Exported => self.exported(now, slot, outputs),
+            Some(held) if held.epoch == epoch && held.phase == Phase::Exported => {
+                self.complete_export(now, slot, outputs)
+            }
             Some(held) if held.epoch >= epoch => {}
             _ if !self.mechanisms.export_seal => {
                 self.slots.insert(slot, Slot { epoch, phase: Phase::Exported });
-                self.exported(now, slot, outputs);
+                self.complete_export(now, slot, outputs);
             }
             _ => self.begin_collecting(now, slot, epoch, Purpose::Export, outputs),
         }
     }
 
-    pub(super) fn exported(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
+    pub(super) fn complete_export(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
         self.set_phase(slot, Phase::Exported);
         let Some(epoch) = self.slots.get(&slot).map(|held| held.epoch) else {
             return;
@@ -190,7 +192,7 @@
         outputs.push(OwnerOutput::SlotExported { slot, epoch, claims });
     }
 
-    pub(super) fn import(
+    pub(super) fn import_slot(
         &mut self,
         now: Timestamp,
         slot: SlotId,
@@ -199,15 +201,15 @@
         outputs: &mut Vec<OwnerOutput>,
     ) {
         let assigned = self.table.as_ref().and_then(|table| table.slot(slot));
-        // The group may agree on the import before it names an owner: the slot is then vacant under the import's epoch.
-        let past = |assigned: &SlotAssignment| {
+        // The group may agree on the import before it assigns an owner: the slot is then vacant under the import's epoch.
+        let is_superseded = |assigned: &SlotAssignment| {
             assigned.epoch > epoch || (assigned.epoch == epoch && assigned.state != SlotState::Vacant)
         };
-        if assigned.is_some_and(past) {
+        if assigned.is_some_and(is_superseded) {
             return;
         }
         match self.slots.get(&slot) {
-            Some(held) if held.epoch == epoch && held.phase == Phase::Imported => self.imported(slot, outputs),
+            Some(held) if held.epoch == epoch && held.phase == Phase::Imported => self.complete_import(slot, outputs),
             Some(held) if held.epoch >= epoch => {}
             _ => self.begin_import(now, slot, epoch, claims, outputs),
         }
@@ -230,11 +232,11 @@
         if self.mechanisms.import_record {
             self.send_pages(now, slot, outputs);
         } else {
-            self.imported(slot, outputs);
+            self.complete_import(slot, outputs);
         }
     }
 
-    pub(super) fn imported(&mut self, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
+    pub(super) fn complete_import(&mut self, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
         self.set_phase(slot, Phase::Imported);
         if let Some(epoch) = self.slots.get(&slot).map(|held| held.epoch) {
             outputs.push(OwnerOutput::SlotImported { slot, epoch });
--- a/crates/claims/src/voter/mod.rs
+++ b/crates/claims/src/voter/mod.rs
@@ -1,7 +1,7 @@
-//! Keeps claims for the owners of one service's slots, and fences owners that were replaced.
+//! The voter stores claims for the owners of one service's slots, and fences owners that were replaced.
 //!
-//! Every voter named in the service's table runs one. Its driver hands it the messages of role
-//! [`ClaimRole::Voter`](crate::ClaimRole) and sends what it answers.
+//! Every node that the service's table lists as a voter runs one. Its driver passes it the messages with role
+//! [`ClaimRole::Voter`](crate::ClaimRole) and sends its replies.
 
 use std::collections::BTreeMap;
 
@@ -16,11 +16,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The highest epoch that the voter knows of for a slot, and who may record under it.
+/// The highest epoch that the voter has seen for a slot, and the node that may record under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Promise {
     epoch: Epoch,
-    /// Nobody while the slot is on its way to another site.
+    /// `None` if the slot was sealed to move it to another site.
     holder: Option<NodeId>,
 }
 
@@ -35,18 +35,18 @@
 }
 
 impl ClaimVoter {
-    /// A voter without any memory; it must run under an incarnation that never voted before.
+    /// Creates a voter without claims or promises; it must run under an incarnation that has never voted before.
     pub fn new(service: ServiceName, settings: VoterSettings) -> Self {
         Self::with_mechanisms(service, settings, ClaimMechanisms::default())
     }
 
-    /// A voter with some checks switched off, for the simulation and the model.
+    /// Creates a voter with some checks disabled, for the simulation and the model.
     pub fn with_mechanisms(service: ServiceName, settings: VoterSettings, mechanisms: ClaimMechanisms) -> Self {
         let store = ClaimStore::new(settings.answer_capacity_bytes);
         ClaimVoter { service, settings, mechanisms, promises: BTreeMap::new(), store }
     }
 
-    /// Puts other settings in force; claims already held stay, also above a lower capacity.
+    /// Applies new settings; claims already held stay, even if they exceed a lower capacity.
     pub fn set_settings(&mut self, settings: VoterSettings) {
         self.store.set_answer_capacity(settings.answer_capacity_bytes);
         self.settings = settings;
@@ -57,7 +57,7 @@
         self.store.len()
     }
 
-    /// The bytes of recorded answers held.
+    /// The total size of the recorded answers, in bytes.
     pub fn held_answer_bytes(&self) -> usize {
         self.store.answer_bytes()
     }
@@ -67,19 +67,19 @@
         self.store.slot(slot)
     }
 
-    /// When claims are due to be forgotten; [`ClaimVoter::expire`] should then be called.
+    /// When [`ClaimVoter::expire`] should be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.store.next_expiry()
     }
 
-    /// Forgets claims whose time is over.
+    /// Drops expired claims, at most a fixed number of them per call.
     pub fn expire(&mut self, now: Timestamp) {
         self.store.expire(now);
     }
 
-    /// Takes one message from `from`, and answers it.
+    /// Handles one message from `from` and appends the reply to `outputs`.
     ///
-    /// Messages for another service or another role are ignored.
+    /// Ignores messages for another service or another role.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -119,11 +119,11 @@
             }
             return Verdict::Fenced { promised };
         }
-        let new = matches!(id, RecordId::Claim { kind: RecordKind::New, .. });
+        let is_new = matches!(id, RecordId::Claim { kind: RecordKind::New, .. });
         for entry in claims {
-            let known = self.store.get(slot, &entry.key, now).is_some();
-            // Only new claims are refused: forgetting one that another owner handed on would allow a second run.
-            if new && !known && self.store.len() >= self.settings.capacity {
+            let is_held = self.store.get(slot, &entry.key, now).is_some();
+            // Only new claims are refused: dropping one that was transferred from another owner would allow a second run.
+            if is_new && !is_held && self.store.len() >= self.settings.capacity {
                 return Verdict::Full;
             }
             self.store.merge(slot, &entry.key, HeldClaim::from_entry(entry, now), now);
@@ -131,14 +131,14 @@
         Verdict::Accepted
     }
 
-    /// Lets a fenced owner tell how a claim of its own ended, which is true under every epoch.
+    /// Lets a fenced owner report how one of its own claims ended, because that is valid under every epoch.
     fn settle_own(&mut self, now: Timestamp, from: NodeId, slot: SlotId, entry: &ClaimEntry) -> bool {
-        let own = entry.origin.incarnation == from.incarnation && entry.status != ClaimStatus::Claimed;
+        let from_granter = entry.origin.incarnation == from.incarnation && entry.status != ClaimStatus::Claimed;
         let held = self.store.get(slot, &entry.key, now).is_some_and(|held| held.origin == entry.origin);
-        if own && held {
+        if from_granter && held {
             self.store.merge(slot, &entry.key, HeldClaim::from_entry(entry, now), now);
         }
-        own && held
+        from_granter && held
     }
 
     fn collect(
@@ -159,7 +159,7 @@
         ClaimBody::CollectReply { after, verdict: Verdict::Accepted, claims: page.entries, more: page.more }
     }
 
-    /// Promises `wanted` for the slot, unless a newer epoch, or the same one by another owner, was promised.
+    /// Promises `wanted` for the slot, unless a newer epoch, or the same epoch for another owner, was promised before.
     fn promise(&mut self, slot: SlotId, wanted: Promise) -> Result<(), Epoch> {
         let held = self.promises.entry(slot).or_insert(wanted);
         let fenced = held.epoch > wanted.epoch || (held.epoch == wanted.epoch && held.holder != wanted.holder);
