--- a/crates/claims/examples/claim_memory.rs
+++ b/crates/claims/examples/claim_memory.rs
@@ -29,8 +29,8 @@
 
 fn main() {
     for answer_bytes in [0, 256] {
-        let owner = grown(|| owner_with_claims(answer_bytes));
-        let voter = grown(|| voter_with_claims(answer_bytes));
+        let owner = resident_growth(|| owner_with_claims(answer_bytes));
+        let voter = resident_growth(|| voter_with_claims(answer_bytes));
         println!(
             "{CLAIMS} claims, keys of 36 bytes, answers of {answer_bytes} bytes: {owner} bytes per claim at the owner, \
              {voter} at the voter"
@@ -38,12 +38,12 @@
     }
 }
 
-/// The growth of the resident size per claim; what `build` makes stays in memory until the end.
-fn grown<T>(build: impl FnOnce() -> T) -> u64 {
+/// The growth of the resident size per claim while `build` runs; its result is never freed.
+fn resident_growth<T>(build: impl FnOnce() -> T) -> u64 {
     let before = resident_bytes();
     let built = build();
     let after = resident_bytes();
-    // Memory that one round frees would hide the growth of the next.
+    // The next measurement would reuse freed memory and show too little growth.
     std::mem::forget(built);
     after.saturating_sub(before) / u64::from(CLAIMS)
 }
@@ -57,7 +57,7 @@
     NodeId { address, incarnation: Incarnation(1) }
 }
 
-/// Keys in no particular order, as callers draw them.
+/// Generates keys in no particular order, like the random keys of callers.
 fn key(number: u32) -> RequestKey {
     let scattered = u128::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
     RequestKey::new(&format!("{scattered:036x}")).expect("the key is valid")
@@ -71,8 +71,8 @@
     let settings =
         OwnerSettings { capacity: CLAIMS as usize, answer_capacity_bytes: usize::MAX, ..OwnerSettings::default() };
     let mut owner = ClaimOwner::new(node(), service(), settings);
-    feed(&mut owner, OwnerInput::Lease { until: NOW + Duration::from_secs(60) });
-    feed(&mut owner, OwnerInput::Table(Arc::new(table())));
+    step_to_completion(&mut owner, OwnerInput::Lease { until: NOW + Duration::from_secs(60) });
+    step_to_completion(&mut owner, OwnerInput::Table(Arc::new(table())));
     for number in 0..CLAIMS {
         let ticket = AttemptId { call: CallId(u128::from(number)), attempt: 0 };
         let claim = OwnerInput::Claim {
@@ -84,24 +84,24 @@
             key_from_caller: true,
             remaining: Duration::from_secs(5),
         };
-        feed(&mut owner, claim);
-        feed(&mut owner, OwnerInput::Finished { ticket, record: answer(answer_bytes) });
+        step_to_completion(&mut owner, claim);
+        step_to_completion(&mut owner, OwnerInput::Finished { ticket, record: answer(answer_bytes) });
     }
     assert_eq!(owner.held_claims(), CLAIMS as usize);
     owner
 }
 
-/// Steps the owner, and accepts in the place of its only voter whatever it sends.
-fn feed(owner: &mut ClaimOwner, input: OwnerInput) {
+/// Passes an input to the owner, and accepts every message that it sends on behalf of its only voter.
+fn step_to_completion(owner: &mut ClaimOwner, input: OwnerInput) {
     let mut inputs = vec![input];
     while let Some(input) = inputs.pop() {
         let mut outputs = Vec::new();
         owner.step(NOW, input, &mut outputs);
-        inputs.extend(outputs.into_iter().filter_map(accept));
+        inputs.extend(outputs.into_iter().filter_map(accept_as_voter));
     }
 }
 
-fn accept(output: OwnerOutput) -> Option<OwnerInput> {
+fn accept_as_voter(output: OwnerOutput) -> Option<OwnerInput> {
     let OwnerOutput::Send { message, .. } = output else {
         return None;
     };
--- a/crates/claims/src/codec_tests.rs
+++ b/crates/claims/src/codec_tests.rs
@@ -95,12 +95,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn what_is_encoded_is_decoded(message in message()) {
+    fn messages_round_trip(message in message()) {
         prop_assert_eq!(ClaimMessage::decode(&message.encode()), Ok(message));
     }
 
     #[test]
-    fn changed_bytes_are_an_error_or_another_message_but_no_crash(
+    fn decoding_corrupted_bytes_does_not_panic(
         message in message(), position in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>()
     ) {
         let mut bytes = message.encode();
@@ -112,19 +112,19 @@
     }
 
     #[test]
-    fn pages_keep_all_claims_in_order(entries in vec(entry(), 0..600)) {
+    fn paging_preserves_all_claims_in_order(entries in vec(entry(), 0..600)) {
         let pages = pages_of(entries.clone());
         let mut decoded = Vec::new();
         for page in pages {
             let bytes = encode_claims(&page);
             prop_assert!(bytes.len() <= 64 * 1024);
-            decoded.extend(decode_claims(&bytes).expect("a page is well formed"));
+            decoded.extend(decode_claims(&bytes).expect("the page is valid"));
         }
         prop_assert_eq!(decoded, entries);
     }
 }
 
 #[test]
-fn an_oversized_message_is_refused_unread() {
+fn an_oversized_message_is_rejected_before_decoding() {
     assert_eq!(ClaimMessage::decode(&vec![0; 64 * 1024 + 1]), Err(ClaimMessageError::Oversized));
 }
--- a/crates/claims/src/owner/tests.rs
+++ b/crates/claims/src/owner/tests.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Owners and voters joined without loss or delay; nodes that are down take nothing.
+/// Owners and voters connected without loss or delay; messages to nodes that are down are dropped.
 struct Cluster {
     now: Timestamp,
     owners: BTreeMap<NodeId, ClaimOwner>,
@@ -85,13 +85,13 @@
         }
     }
 
-    fn small() -> Self {
+    fn with_two_owners() -> Self {
         let mut cluster = Self::new(&[11, 12], &[1, 2, 3], &OwnerSettings::default(), &VoterSettings::default());
-        cluster.table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
+        cluster.apply_table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
         cluster
     }
 
-    fn table(&mut self, owner: u8, table: ServiceTable) -> Vec<OwnerOutput> {
+    fn apply_table(&mut self, owner: u8, table: ServiceTable) -> Vec<OwnerOutput> {
         self.step(owner, OwnerInput::Table(Arc::new(table)))
     }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    fn pass(&mut self, owner: u8, time: Duration) -> Vec<OwnerOutput> {
+    fn advance_time(&mut self, owner: u8, time: Duration) -> Vec<OwnerOutput> {
         let end = self.now + time;
         let mut seen = Vec::new();
         while let Some(wake) = self.owners[&node(owner)].next_wake().filter(|wake| *wake <= end) {
@@ -186,11 +186,11 @@
 )]
 #[test_case(
     Some(OwnerInput::Finished { ticket: ticket(1), record: Some(large_answer()) }),
-    refused(Refusal::failed(RefusalReason::AnswerNotKept)); "finished without a kept answer"
+    refused(Refusal::failed(RefusalReason::AnswerNotKept)); "finished without a retained answer"
 )]
-fn a_repeat_learns_what_became_of_the_first(end: Option<OwnerInput>, expected: ClaimDecision) {
+fn a_retry_gets_the_outcome_of_the_first_attempt(end: Option<OwnerInput>, expected: ClaimDecision) {
     for other_owner in [false, true] {
-        let mut cluster = Cluster::small();
+        let mut cluster = Cluster::with_two_owners();
         assert_eq!(decision(&cluster.step(11, claim(1, "a")), 1), ClaimDecision::Granted);
         if let Some(end) = end.clone() {
             cluster.step(11, end);
@@ -198,15 +198,15 @@
         let mut owner = 11;
         if other_owner {
             owner = 12;
-            cluster.table(12, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
+            cluster.apply_table(12, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
         }
         assert_eq!(decision(&cluster.step(owner, claim(2, "a")), 2), expected, "other owner: {other_owner}");
     }
 }
 
 #[test]
-fn another_request_under_the_same_key_is_told_that_it_did_not_run() {
-    let mut cluster = Cluster::small();
+fn a_different_request_with_the_same_key_is_refused_as_not_run() {
+    let mut cluster = Cluster::with_two_owners();
     cluster.step(11, claim(1, "a"));
     let mut other = claim(2, "a");
     if let OwnerInput::Claim { digest, .. } = &mut other {
@@ -217,11 +217,11 @@
 }
 
 #[test]
-fn without_a_majority_a_claim_is_given_up_and_released() {
-    let mut cluster = Cluster::small();
+fn a_claim_without_a_majority_is_refused_and_released() {
+    let mut cluster = Cluster::with_two_owners();
     cluster.down = vec![node(2), node(3)];
     cluster.step(11, claim(1, "a"));
-    let outputs = cluster.pass(11, Duration::from_millis(500));
+    let outputs = cluster.advance_time(11, Duration::from_millis(500));
     assert_eq!(decision(&outputs, 1), refused(Refusal::not_run(RefusalReason::ClaimNotRecorded)));
     assert!(!cluster.may_dispatch(11, 1));
     cluster.down.clear();
@@ -229,8 +229,8 @@
 }
 
 #[test]
-fn a_granted_call_is_not_dispatched_after_its_deadline_its_lease_or_its_slot() {
-    let mut cluster = Cluster::small();
+fn a_granted_call_is_not_dispatched_after_its_deadline_or_without_lease_or_slot() {
+    let mut cluster = Cluster::with_two_owners();
     cluster.step(11, claim(1, "a"));
     assert!(cluster.may_dispatch(11, 1));
     let lease = |until| OwnerInput::Lease { until };
@@ -242,14 +242,14 @@
     cluster.now = START + REMAINING;
     assert!(!cluster.may_dispatch(11, 1));
     cluster.now = START;
-    cluster.table(11, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
+    cluster.apply_table(11, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
     assert!(!cluster.may_dispatch(11, 1));
 }
 
 #[test]
-fn a_voter_with_a_newer_promise_ends_the_ownership() {
-    let mut cluster = Cluster::small();
-    cluster.table(12, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
+fn an_owner_fenced_by_a_voter_loses_the_slot() {
+    let mut cluster = Cluster::with_two_owners();
+    cluster.apply_table(12, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
     let outputs = cluster.step(11, claim(1, "a"));
     assert!(outputs.contains(&OwnerOutput::SlotLost { slot: SLOT, epoch: Epoch(1) }));
     assert_eq!(decision(&outputs, 1), refused(Refusal::not_run(RefusalReason::NotOwner)));
@@ -257,29 +257,29 @@
 }
 
 #[test]
-fn the_end_of_a_call_reaches_the_owner_that_took_over() {
-    let mut cluster = Cluster::small();
+fn the_outcome_of_a_call_reaches_the_owner_that_took_over() {
+    let mut cluster = Cluster::with_two_owners();
     cluster.step(11, claim(1, "a"));
     let next = table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]);
-    cluster.table(12, next.clone());
-    cluster.table(11, next);
+    cluster.apply_table(12, next.clone());
+    cluster.apply_table(11, next);
     cluster.step(11, OwnerInput::Finished { ticket: ticket(1), record: Some(small_answer()) });
     assert_eq!(decision(&cluster.step(12, claim(2, "a")), 2), ClaimDecision::Replay(small_answer()));
 }
 
 #[test]
-fn lost_claims_stop_only_keys_that_callers_chose() {
-    let mut cluster = Cluster::small();
-    let mut lost = table(2, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]);
-    lost.claims_lost = true;
-    cluster.table(11, lost);
+fn lost_claims_block_only_keys_chosen_by_callers() {
+    let mut cluster = Cluster::with_two_owners();
+    let mut lossy_table = table(2, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]);
+    lossy_table.claims_lost = true;
+    cluster.apply_table(11, lossy_table);
     let expected = refused(Refusal::not_run(RefusalReason::ClaimsLost));
     assert_eq!(decision(&cluster.step(11, claim(1, "a")), 1), expected);
-    let mut drawn = claim(2, "b");
-    if let OwnerInput::Claim { key_from_caller, .. } = &mut drawn {
+    let mut edge_claim = claim(2, "b");
+    if let OwnerInput::Claim { key_from_caller, .. } = &mut edge_claim {
         *key_from_caller = false;
     }
-    assert_eq!(decision(&cluster.step(11, drawn), 2), ClaimDecision::Granted);
+    assert_eq!(decision(&cluster.step(11, edge_claim), 2), ClaimDecision::Granted);
 }
 
 #[test]
@@ -287,18 +287,18 @@
     let settings = OwnerSettings { retention: Duration::from_secs(5), ..OwnerSettings::default() };
     let voter_settings = VoterSettings { capacity: 1, ..VoterSettings::default() };
     let mut cluster = Cluster::new(&[11], &[1, 2, 3], &settings, &voter_settings);
-    cluster.table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
+    cluster.apply_table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
     cluster.step(11, claim(1, "a"));
     let full = refused(Refusal::not_run(RefusalReason::ClaimStoreFull));
     assert_eq!(decision(&cluster.step(11, claim(2, "b")), 2), full);
     assert!(cluster.may_dispatch(11, 1));
-    cluster.pass(11, Duration::from_secs(20));
+    cluster.advance_time(11, Duration::from_secs(20));
     assert_eq!(decision(&cluster.step(11, claim(3, "b")), 3), ClaimDecision::Granted);
 }
 
 #[test]
 fn a_large_slot_is_taken_over_in_bounded_pages() {
-    let mut cluster = Cluster::small();
+    let mut cluster = Cluster::with_two_owners();
     let answer = RecordedAnswer { status: 200, headers: Vec::new(), body: vec![1; 2_000] };
     for number in 0..300 {
         cluster.step(11, claim(number, &format!("key-{number}")));
@@ -306,7 +306,7 @@
         cluster.step(11, OwnerInput::Finished { ticket: ticket(number), record });
     }
     cluster.down = vec![node(2)];
-    let outputs = cluster.table(12, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
+    let outputs = cluster.apply_table(12, table(2, SlotState::Owned { owner: node(12) }, &[1, 2, 3], &[]));
     assert!(outputs.contains(&OwnerOutput::SlotOpened { slot: SLOT, epoch: Epoch(2) }));
     assert!(cluster.largest_message <= 64 * 1024, "{} bytes", cluster.largest_message);
     assert_eq!(cluster.owners[&node(12)].held_claims(), 300);
@@ -314,9 +314,9 @@
 }
 
 #[test]
-fn new_voters_hold_every_claim_before_the_old_ones_go() {
+fn new_voters_hold_all_claims_before_the_previous_voters_are_dropped() {
     let mut cluster = Cluster::new(&[11], &[1, 2, 3, 4], &OwnerSettings::default(), &VoterSettings::default());
-    cluster.table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
+    cluster.apply_table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
     for number in 0..2_000 {
         cluster.step(11, claim(number, &format!("key-{number}")));
     }
@@ -324,54 +324,54 @@
     changed.slots[0].epoch = Epoch(1);
     let settled = OwnerOutput::VotersSettled { epoch: Epoch(2) };
     cluster.down = vec![node(1), node(4)];
-    assert!(!cluster.table(11, changed).contains(&settled));
+    assert!(!cluster.apply_table(11, changed).contains(&settled));
     cluster.down = vec![node(1)];
-    assert!(cluster.pass(11, Duration::from_secs(2)).contains(&settled));
+    assert!(cluster.advance_time(11, Duration::from_secs(2)).contains(&settled));
     assert_eq!(cluster.voters[&node(4)].held_claims(), 2_000);
 }
 
 #[test]
 fn a_slot_moves_to_another_site_with_its_claims() {
     let mut cluster = Cluster::new(&[11, 12, 21], &[1, 2, 3, 4], &OwnerSettings::default(), &VoterSettings::default());
-    cluster.table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
+    cluster.apply_table(11, table(1, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]));
     cluster.step(11, claim(1, "a"));
     let west = SiteName::new("west").expect("valid");
     let sealed = table(2, SlotState::Sealed { destination: west }, &[1, 2, 3], &[]);
-    // The owner is unreachable: another node of the site exports.
+    // The owner is unreachable, so another node of the site exports the slot.
     cluster.down = vec![node(11)];
-    cluster.table(12, sealed.clone());
+    cluster.apply_table(12, sealed.clone());
     let exported = cluster.step(12, OwnerInput::ExportSlot { slot: SLOT });
     let [OwnerOutput::SlotExported { claims, epoch: Epoch(2), .. }] = exported.as_slice() else {
         panic!("unexpected {exported:?}");
     };
     assert_eq!(claims.len(), 1);
     let east = SiteName::new("east").expect("valid");
-    cluster.table(21, table(1, SlotState::Elsewhere { site: east }, &[4], &[]));
-    cluster.table(21, table(3, SlotState::Vacant, &[4], &[]));
+    cluster.apply_table(21, table(1, SlotState::Elsewhere { site: east }, &[4], &[]));
+    cluster.apply_table(21, table(3, SlotState::Vacant, &[4], &[]));
     let import = OwnerInput::ImportSlot { slot: SLOT, epoch: Epoch(3), claims: claims.clone() };
     let imported = cluster.step(21, import);
     assert_eq!(imported, vec![OwnerOutput::SlotImported { slot: SLOT, epoch: Epoch(3) }]);
     let mut owned = table(4, SlotState::Owned { owner: node(21) }, &[4], &[]);
     owned.slots[0].epoch = Epoch(3);
-    cluster.table(21, owned);
+    cluster.apply_table(21, owned);
     let expected = refused(Refusal::unknown(RefusalReason::KeyInProgress));
     assert_eq!(decision(&cluster.step(21, claim(3, "a")), 3), expected);
     cluster.down.clear();
-    cluster.table(11, sealed);
+    cluster.apply_table(11, sealed);
     assert_eq!(
         decision(&cluster.step(11, claim(4, "c")), 4),
         refused(Refusal::not_run(RefusalReason::SlotMoving).with_retry_after(Duration::from_millis(100)))
     );
     let west = SiteName::new("west").expect("valid");
-    let mut gone = table(3, SlotState::Elsewhere { site: west }, &[1, 2, 3], &[]);
-    gone.slots[0].epoch = Epoch(2);
-    cluster.table(12, gone);
+    let mut moved = table(3, SlotState::Elsewhere { site: west }, &[1, 2, 3], &[]);
+    moved.slots[0].epoch = Epoch(2);
+    cluster.apply_table(12, moved);
     assert_eq!(cluster.owners[&node(12)].held_claims(), 0);
 }
 
 #[test]
-fn the_estimated_size_of_an_entry_is_not_below_the_encoded_one() {
-    let mut cluster = Cluster::small();
+fn entry_size_is_an_upper_bound_on_the_encoded_size() {
+    let mut cluster = Cluster::with_two_owners();
     cluster.step(11, claim(1, &"k".repeat(128)));
     cluster.step(11, OwnerInput::Finished { ticket: ticket(1), record: Some(small_answer()) });
     let voter = &cluster.voters[&node(1)];
--- a/crates/claims/src/voter/tests.rs
+++ b/crates/claims/src/voter/tests.rs
@@ -12,7 +12,7 @@
 
 const SLOT: SlotId = SlotId(3);
 const NOW: Timestamp = Timestamp::from_millis(1_000);
-const KEPT_FOR: Duration = Duration::from_secs(20);
+const RETENTION: Duration = Duration::from_secs(20);
 
 fn node(number: u8) -> NodeId {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, u16::from(number)));
@@ -34,7 +34,7 @@
         digest: None,
         root: RootId(1),
         status,
-        remaining_retention: KEPT_FOR,
+        remaining_retention: RETENTION,
     }
 }
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_promise_fences_older_epochs_and_other_owners_of_the_same() {
+fn a_promise_fences_older_epochs_and_other_owners_at_the_same_epoch() {
     let mut voter = voter(10);
     let (old, new, third) = (node(1), node(2), node(3));
     let claim = |owner, epoch| entry("a", owner, epoch, 1, ClaimStatus::Claimed);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_sealed_slot_can_be_exported_by_anyone_and_recorded_by_none() {
+fn a_sealed_slot_can_be_exported_by_any_node_and_accepts_no_new_claims() {
     let mut voter = voter(10);
     let claim = entry("a", node(1), 1, 1, ClaimStatus::Claimed);
     record(&mut voter, node(1), 1, RecordKind::New, claim.clone());
@@ -87,22 +87,22 @@
 }
 
 #[test]
-fn a_fenced_owner_can_only_end_its_own_claims() {
+fn a_fenced_owner_can_only_settle_its_own_claims() {
     let mut voter = voter(10);
     let (old, new) = (node(1), node(2));
     record(&mut voter, old, 1, RecordKind::New, entry("a", old, 1, 1, ClaimStatus::Claimed));
     collect(&mut voter, new, 2, false);
     let fenced = Verdict::Fenced { promised: Epoch(2) };
-    let ended = entry("a", old, 1, 1, ClaimStatus::Released);
-    assert_eq!(record(&mut voter, node(3), 1, RecordKind::Settle, ended.clone()), fenced);
+    let released = entry("a", old, 1, 1, ClaimStatus::Released);
+    assert_eq!(record(&mut voter, node(3), 1, RecordKind::Settle, released.clone()), fenced);
     let unknown = entry("b", old, 1, 2, ClaimStatus::Released);
     assert_eq!(record(&mut voter, old, 1, RecordKind::Settle, unknown), fenced);
-    assert_eq!(record(&mut voter, old, 1, RecordKind::Settle, ended), Verdict::Accepted);
+    assert_eq!(record(&mut voter, old, 1, RecordKind::Settle, released), Verdict::Accepted);
     assert_eq!(collect(&mut voter, new, 2, false).1[0].status, ClaimStatus::Released);
 }
 
 #[test]
-fn a_full_store_refuses_new_claims_and_forgets_none() {
+fn a_full_store_refuses_new_claims_and_drops_none() {
     let mut voter = voter(2);
     let owner = node(1);
     for key in ["a", "b"] {
@@ -115,12 +115,12 @@
     assert_eq!(record(&mut voter, owner, 1, RecordKind::New, again), Verdict::Accepted);
     assert_eq!(record(&mut voter, owner, 1, RecordKind::Settle, third), Verdict::Accepted);
     assert_eq!(voter.held_claims(), 3);
-    voter.expire(NOW + KEPT_FOR + Duration::from_secs(1));
+    voter.expire(NOW + RETENTION + Duration::from_secs(1));
     assert_eq!((voter.held_claims(), voter.next_wake()), (0, None));
 }
 
 #[test]
-fn answers_beyond_the_bound_are_dropped_but_their_claims_kept() {
+fn answers_beyond_the_capacity_are_dropped_but_their_claims_retained() {
     let settings = VoterSettings { capacity: 10, answer_capacity_bytes: 150 };
     let mut voter = ClaimVoter::new(service(), settings);
     let owner = node(1);
@@ -129,19 +129,19 @@
         let finished = ClaimStatus::Finished(Some(std::sync::Arc::new(answer.clone())));
         record(&mut voter, owner, 1, RecordKind::Settle, entry(key, owner, 1, 1, finished));
     }
-    let kept: Vec<usize> = voter.claims(SLOT).map(|(_, claim)| claim.status.answer_bytes()).collect();
-    assert_eq!((kept, voter.held_answer_bytes()), (vec![100, 0], 100));
-    voter.expire(NOW + KEPT_FOR + Duration::from_secs(1));
+    let answer_bytes: Vec<usize> = voter.claims(SLOT).map(|(_, claim)| claim.status.answer_bytes()).collect();
+    assert_eq!((answer_bytes, voter.held_answer_bytes()), (vec![100, 0], 100));
+    voter.expire(NOW + RETENTION + Duration::from_secs(1));
     assert_eq!(voter.held_answer_bytes(), 0);
 }
 
 #[test]
-fn a_late_copy_of_a_released_claim_does_not_bring_it_back() {
+fn a_late_duplicate_of_a_record_does_not_restore_a_released_claim() {
     let mut voter = voter(10);
     let owner = node(1);
-    let begun = entry("a", owner, 1, 1, ClaimStatus::Claimed);
-    record(&mut voter, owner, 1, RecordKind::New, begun.clone());
+    let claimed = entry("a", owner, 1, 1, ClaimStatus::Claimed);
+    record(&mut voter, owner, 1, RecordKind::New, claimed.clone());
     record(&mut voter, owner, 1, RecordKind::Settle, entry("a", owner, 1, 1, ClaimStatus::Released));
-    record(&mut voter, owner, 1, RecordKind::New, begun);
+    record(&mut voter, owner, 1, RecordKind::New, claimed);
     assert_eq!(collect(&mut voter, owner, 1, false).1[0].status, ClaimStatus::Released);
 }
--- a/crates/claims/tests/simulation/main.rs
+++ b/crates/claims/tests/simulation/main.rs
@@ -1,5 +1,6 @@
-//! At most one run of a key on a simulated network that loses, repeats and reorders, with pauses, restarts, changes of
-//! owners and voters, and moves between sites; judged by what back ends and callers saw.
+//! Checks that no key runs twice on a simulated network that loses, duplicates and reorders messages, with pauses,
+//! restarts, changes of owners and voters, and moves of a slot between sites. The checks use only what back ends and
+//! callers observe.
 
 mod support;
 
@@ -12,9 +13,10 @@
 
 use support::{run_seeds, Faults, Report, World};
 
-const KEPT_THROUGHOUT: Duration = Duration::from_secs(60);
+/// Longer than a simulation run, so that no claim expires during it.
+const RETENTION_BEYOND_RUN: Duration = Duration::from_secs(60);
 
-fn rough(retention: Duration) -> Faults {
+fn frequent_faults(retention: Duration) -> Faults {
     Faults {
         loss: 0.1,
         duplication: 0.1,
@@ -27,7 +29,7 @@
     }
 }
 
-fn broken_promises(report: &Report) -> (usize, usize, usize) {
+fn violations(report: &Report) -> (usize, usize, usize) {
     (report.duplicate_runs, report.false_not_run, report.foreign_replays)
 }
 
@@ -57,14 +59,14 @@
         let retention = Duration::from_millis(retention_ms);
         let faults = Faults { loss, duplication, pause, restart, takeover, site_move, abandon: 0.1, retention };
         let report = World::new(seed, faults, ClaimMechanisms::default()).run();
-        prop_assert_eq!(broken_promises(&report), (0, 0, 0));
+        prop_assert_eq!(violations(&report), (0, 0, 0));
     }
 }
 
 #[test]
-fn the_simulation_exercises_every_mechanism() {
-    let report = run_seeds(0..40, rough(KEPT_THROUGHOUT), ClaimMechanisms::default());
-    assert_eq!(broken_promises(&report), (0, 0, 0), "{report:?}");
+fn the_simulation_covers_runs_replays_moves_and_voter_changes() {
+    let report = run_seeds(0..40, frequent_faults(RETENTION_BEYOND_RUN), ClaimMechanisms::default());
+    assert_eq!(violations(&report), (0, 0, 0), "{report:?}");
     assert!(report.runs > 40 && report.replays > 100 && report.moves > 20 && report.voter_changes > 20, "{report:?}");
 }
 
@@ -79,27 +81,34 @@
 #[test_case("import_record")]
 fn without_the_mechanism_a_key_runs_twice(mechanism: &str) {
     let mechanisms = ClaimMechanisms::without(mechanism).expect("the mechanism exists");
-    let report = run_seeds(0..400, rough(KEPT_THROUGHOUT), mechanisms);
+    let report = run_seeds(0..400, frequent_faults(RETENTION_BEYOND_RUN), mechanisms);
     assert!(report.duplicate_runs > 0, "{report:?}");
 }
 
 #[test]
-fn without_settling_on_new_voters_a_key_runs_twice() {
-    // Heavy loss leaves claims on bare majorities, which restarts then thin out.
-    let faults = Faults { loss: 0.3, restart: 0.5, pause: 0.0, site_move: 0.0, abandon: 0.9, ..rough(KEPT_THROUGHOUT) };
+fn without_recording_claims_on_new_voters_a_key_runs_twice() {
+    // Heavy message loss leaves claims on the smallest majority, and restarts then remove them from some of its voters.
+    let faults = Faults {
+        loss: 0.3,
+        restart: 0.5,
+        pause: 0.0,
+        site_move: 0.0,
+        abandon: 0.9,
+        ..frequent_faults(RETENTION_BEYOND_RUN)
+    };
     let mechanisms = ClaimMechanisms::without("voter_settle").expect("the mechanism exists");
     let report = run_seeds(0..400, faults, mechanisms);
     assert!(report.duplicate_runs > 0, "{report:?}");
     let report = run_seeds(0..400, faults, ClaimMechanisms::default());
-    assert_eq!(broken_promises(&report), (0, 0, 0), "{report:?}");
+    assert_eq!(violations(&report), (0, 0, 0), "{report:?}");
 }
 
 #[test]
-fn without_the_last_check_of_the_deadline_a_key_runs_twice() {
+fn without_the_deadline_check_at_dispatch_a_key_runs_twice() {
     let mechanisms = ClaimMechanisms::without("dispatch_deadline").expect("the mechanism exists");
     let retention = Duration::from_millis(100);
-    let report = run_seeds(0..400, rough(retention), mechanisms);
+    let report = run_seeds(0..400, frequent_faults(retention), mechanisms);
     assert!(report.duplicate_runs > 0, "{report:?}");
-    let report = run_seeds(0..400, rough(retention), ClaimMechanisms::default());
-    assert_eq!(broken_promises(&report), (0, 0, 0), "{report:?}");
+    let report = run_seeds(0..400, frequent_faults(retention), ClaimMechanisms::default());
+    assert_eq!(violations(&report), (0, 0, 0), "{report:?}");
 }
--- a/crates/claims/tests/simulation/support.rs
+++ b/crates/claims/tests/simulation/support.rs
@@ -1,4 +1,4 @@
-//! A network of two sites in which owners and voters run, with a truthful record of what the back ends did.
+//! A simulated network of two sites with owners and voters, which records what the back ends actually ran.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -24,7 +24,7 @@
 const CONTROL_INTERVAL_MS: u64 = 40;
 const RUN: Duration = Duration::from_millis(2_000);
 
-/// How rough the network and the nodes are.
+/// The probabilities of faults and events, and the retention of claims.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss: f64,
@@ -33,33 +33,60 @@
     pub restart: f64,
     pub takeover: f64,
     pub site_move: f64,
-    /// The share of calls of which the gate never learns whether they ran.
+    /// The probability that the gate never receives the result of a call.
     pub abandon: f64,
     pub retention: Duration,
 }
 
-/// What went wrong, from what back ends and callers saw.
+/// Counts of events and of violations, as back ends and callers observed them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     pub runs: usize,
     pub replays: usize,
     pub moves: usize,
     pub voter_changes: usize,
+    /// Runs of a key while an earlier run of it still excluded others.
     pub duplicate_runs: usize,
+    /// Calls that ran but were refused as not run.
     pub false_not_run: usize,
+    /// Replayed answers and reports of a completed run that belong to no run of the key.
     pub foreign_replays: usize,
 }
 
 enum Event {
-    Message { to: NodeId, from: NodeId, message: ClaimMessage },
-    Table { node: usize, table: Arc<ServiceTable> },
-    Input { node: NodeId, input: OwnerInput },
+    Message {
+        to: NodeId,
+        from: NodeId,
+        message: ClaimMessage,
+    },
+    Table {
+        node: usize,
+        table: Arc<ServiceTable>,
+    },
+    Input {
+        node: NodeId,
+        input: OwnerInput,
+    },
     Tick(usize),
+    /// A client sends a call.
     Client,
+    /// Control publishes tables and injects faults.
     Control,
-    Check { node: NodeId, ticket: AttemptId },
-    Run { node: NodeId, ticket: AttemptId },
-    Done { node: NodeId, ticket: AttemptId },
+    /// A gate checks whether it may dispatch a granted call.
+    Check {
+        node: NodeId,
+        ticket: AttemptId,
+    },
+    /// A dispatched call reaches the back end.
+    Run {
+        node: NodeId,
+        ticket: AttemptId,
+    },
+    /// The back end's answer reaches the gate.
+    Done {
+        node: NodeId,
+        ticket: AttemptId,
+    },
 }
 
 struct Node {
@@ -92,15 +119,15 @@
     mechanisms: ClaimMechanisms,
     now: Timestamp,
     events: BTreeMap<(Timestamp, u64), Event>,
-    scheduled: u64,
+    event_count: u64,
     nodes: Vec<Node>,
     sites: Vec<Site>,
     moving: Option<Move>,
     epoch: Epoch,
-    runs_of_nodes: u64,
+    last_incarnation: u64,
     calls: Vec<Call>,
-    /// Until when each run of a key excludes another, as the back ends and callers know it.
-    ran: Vec<Vec<Timestamp>>,
+    /// For each key, the times until which each of its runs excludes another one, computed from the actual runs.
+    excluded_until: Vec<Vec<Timestamp>>,
     report: Report,
 }
 
@@ -129,14 +156,14 @@
             mechanisms,
             now: Timestamp::from_millis(1),
             events: BTreeMap::new(),
-            scheduled: 0,
+            event_count: 0,
             nodes: Vec::new(),
             sites: Vec::new(),
             moving: None,
             epoch: Epoch(1),
-            runs_of_nodes: 0,
+            last_incarnation: 0,
             calls: Vec::new(),
-            ran: vec![Vec::new(); KEYS],
+            excluded_until: vec![Vec::new(); KEYS],
             report: Report::default(),
         };
         for index in 0..NODES {
@@ -161,7 +188,7 @@
                 claims_lost: false,
             };
             world.sites.push(Site { table, changed_at: Epoch(1), settled: BTreeMap::new() });
-            world.publish(site);
+            world.publish_table(site);
         }
         world.schedule(Duration::ZERO, Event::Client);
         world.schedule(Duration::from_millis(CONTROL_INTERVAL_MS), Event::Control);
@@ -181,9 +208,9 @@
     }
 
     fn new_node(&mut self, index: usize) -> Node {
-        self.runs_of_nodes += 1;
+        self.last_incarnation += 1;
         let address = NodeAddress(SocketAddr::from((Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000)));
-        let id = NodeId { address, incarnation: Incarnation(self.runs_of_nodes) };
+        let id = NodeId { address, incarnation: Incarnation(self.last_incarnation) };
         let settings = OwnerSettings { retention: self.faults.retention, ..OwnerSettings::default() };
         let mut owner = ClaimOwner::with_mechanisms(id, service(), settings, self.mechanisms);
         owner.step(self.now, OwnerInput::Lease { until: Timestamp(u64::MAX) }, &mut Vec::new());
@@ -192,8 +219,8 @@
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.scheduled += 1;
-        self.events.insert((self.now + after, self.scheduled), event);
+        self.event_count += 1;
+        self.events.insert((self.now + after, self.event_count), event);
     }
 
     fn chance(&mut self, probability: f64) -> bool {
@@ -208,8 +235,8 @@
         self.nodes.iter().position(|node| node.id == id)
     }
 
-    /// The node at which an event happens; events at a paused node wait for its waking.
-    fn place(&self, event: &Event) -> Option<usize> {
+    /// The node at which an event happens; events at a paused node are delayed until it resumes.
+    fn event_node(&self, event: &Event) -> Option<usize> {
         match event {
             Event::Message { to, .. } => self.nodes.iter().position(|node| node.id.address == to.address),
             Event::Table { node, .. } | Event::Tick(node) => Some(*node),
@@ -222,15 +249,15 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some(place) = self.place(&event) {
-            let wake = self.nodes[place].paused_until;
+        if let Some(index) = self.event_node(&event) {
+            let wake = self.nodes[index].paused_until;
             if wake > self.now {
                 let wait = self.now.until(wake);
                 if !matches!(event, Event::Run { .. }) {
                     self.schedule(wait, event);
                     return;
                 }
-                // The process may be held up between its last check and the back end, for less than the retention.
+                // A process may also pause between its last check and sending to the back end, for less than the retention.
                 if self.now < self.run_limit(&event) {
                     self.schedule(wait.min(self.faults.retention / 4), event);
                     return;
@@ -250,9 +277,9 @@
                     self.step(node, OwnerInput::Tick);
                 }
             }
-            Event::Client => self.client(),
-            Event::Control => self.control(),
-            Event::Check { node, ticket } => self.check(node, ticket),
+            Event::Client => self.send_client_call(),
+            Event::Control => self.run_control(),
+            Event::Check { node, ticket } => self.check_dispatch(node, ticket),
             Event::Run { node, ticket } => self.run_call(node, ticket),
             Event::Done { node, ticket } => {
                 if let Some(index) = self.index_of(node) {
@@ -263,7 +290,7 @@
         }
     }
 
-    /// The time by which a call that passed the last check reaches the back end.
+    /// The latest time at which a pause may still delay a call that passed the last check before dispatch.
     fn run_limit(&self, event: &Event) -> Timestamp {
         match event {
             Event::Run { ticket, .. } => self.calls[ticket.call.0 as usize].deadline + self.faults.retention / 2,
@@ -275,7 +302,7 @@
         let Some(index) = self.nodes.iter().position(|node| node.id.address == to.address) else {
             return;
         };
-        let message = ClaimMessage::decode(&message.encode()).expect("what is encoded can be decoded");
+        let message = ClaimMessage::decode(&message.encode()).expect("an encoded message can be decoded");
         if message.role() == ClaimRole::Owner {
             self.step(index, OwnerInput::Message { from, message });
             return;
@@ -305,7 +332,7 @@
         node.owner.step(self.now, input, &mut outputs);
         let id = node.id;
         for output in outputs {
-            self.carry_out(index, id, output);
+            self.apply_output(index, id, output);
         }
         if let Some(wake) = self.nodes[index].owner.next_wake() {
             let wait = self.now.until(wake) + Duration::from_micros(1);
@@ -313,11 +340,11 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, id: NodeId, output: OwnerOutput) {
+    fn apply_output(&mut self, index: usize, id: NodeId, output: OwnerOutput) {
         let site = index / NODES_PER_SITE;
         match output {
             OwnerOutput::Send { to, message } => self.send(id, to, message),
-            OwnerOutput::Resolved { ticket, resolution } => self.resolved(id, ticket, resolution),
+            OwnerOutput::Resolved { ticket, resolution } => self.handle_decision(id, ticket, resolution),
             OwnerOutput::SlotExported { claims, .. } => {
                 if matches!(self.moving, Some(Move::Exporting { from }) if from == site) {
                     self.epoch = self.epoch.next();
@@ -326,7 +353,7 @@
                     self.moving = Some(Move::Importing { from: site, epoch: self.epoch, claims, importer });
                 }
             }
-            OwnerOutput::SlotImported { epoch, .. } => self.imported(site, epoch),
+            OwnerOutput::SlotImported { epoch, .. } => self.complete_site_move(site, epoch),
             OwnerOutput::VotersSettled { epoch } => {
                 self.sites[site].settled.insert(id, epoch);
             }
@@ -334,7 +361,7 @@
         }
     }
 
-    fn resolved(&mut self, id: NodeId, ticket: AttemptId, decision: ClaimDecision) {
+    fn handle_decision(&mut self, id: NodeId, ticket: AttemptId, decision: ClaimDecision) {
         let call = ticket.call.0 as usize;
         let key = self.calls[call].key;
         match decision {
@@ -342,9 +369,9 @@
                 let wait = if self.chance(0.3) { self.millis(0..150) } else { self.millis(0..5) };
                 self.schedule(wait, Event::Check { node: id, ticket });
             }
-            ClaimDecision::Replay(given) => {
+            ClaimDecision::Replay(replayed) => {
                 self.report.replays += 1;
-                if given != answer(key) || self.ran[key].is_empty() {
+                if replayed != answer(key) || self.excluded_until[key].is_empty() {
                     self.report.foreign_replays += 1;
                 }
             }
@@ -352,14 +379,14 @@
                 if refusal.outcome == Outcome::NotRun && self.calls[call].started.is_some() {
                     self.report.false_not_run += 1;
                 }
-                if refusal.outcome == Outcome::Failed && self.ran[key].is_empty() {
+                if refusal.outcome == Outcome::Failed && self.excluded_until[key].is_empty() {
                     self.report.foreign_replays += 1;
                 }
             }
         }
     }
 
-    fn check(&mut self, node: NodeId, ticket: AttemptId) {
+    fn check_dispatch(&mut self, node: NodeId, ticket: AttemptId) {
         let Some(index) = self.index_of(node) else {
             return;
         };
@@ -375,17 +402,17 @@
         let call = &mut self.calls[ticket.call.0 as usize];
         call.started = Some(self.now);
         let (key, deadline) = (call.key, call.deadline);
-        let held = self.ran[key].iter().any(|kept_until| self.now < *kept_until);
-        self.report.duplicate_runs += usize::from(held);
+        let excluded = self.excluded_until[key].iter().any(|until| self.now < *until);
+        self.report.duplicate_runs += usize::from(excluded);
         self.report.runs += 1;
         let time = self.millis(1..60);
-        self.ran[key].push((self.now + time).min(deadline) + self.faults.retention);
+        self.excluded_until[key].push((self.now + time).min(deadline) + self.faults.retention);
         if !self.chance(self.faults.abandon) {
             self.schedule(time, Event::Done { node, ticket });
         }
     }
 
-    fn client(&mut self) {
+    fn send_client_call(&mut self) {
         self.schedule(Duration::from_millis(CLIENT_INTERVAL_MS), Event::Client);
         let (key_number, node) = (self.random.gen_range(0..KEYS), self.random.gen_range(0..NODES));
         let owners = self.sites.iter().filter_map(|site| match site.table.slots[0].state {
@@ -409,11 +436,11 @@
         self.schedule(Duration::ZERO, Event::Input { node: id, input });
     }
 
-    fn control(&mut self) {
+    fn run_control(&mut self) {
         self.schedule(Duration::from_millis(CONTROL_INTERVAL_MS), Event::Control);
         for site in 0..2 {
             self.drop_previous_voters(site);
-            self.publish(site);
+            self.publish_table(site);
         }
         if self.chance(self.faults.pause) {
             let node = self.random.gen_range(0..NODES);
@@ -426,10 +453,10 @@
         if self.chance(self.faults.takeover) {
             self.take_over();
         }
-        self.move_on();
+        self.advance_site_move();
     }
 
-    fn publish(&mut self, site: usize) {
+    fn publish_table(&mut self, site: usize) {
         let table = Arc::new(self.sites[site].table.clone());
         for node in site * NODES_PER_SITE..(site + 1) * NODES_PER_SITE {
             if !self.chance(self.faults.loss) {
@@ -439,7 +466,7 @@
         }
     }
 
-    fn change(&mut self, site: usize, change: impl FnOnce(&mut ServiceTable, Epoch)) {
+    fn change_table(&mut self, site: usize, change: impl FnOnce(&mut ServiceTable, Epoch)) {
         self.epoch = self.epoch.next();
         let epoch = self.epoch;
         let table = &mut self.sites[site].table;
@@ -454,27 +481,28 @@
         }
         if can_drop_previous_voters(&state.table, state.changed_at, &state.settled) {
             self.report.voter_changes += 1;
-            self.change(site, |table, _| table.previous_voters.clear());
+            self.change_table(site, |table, _| table.previous_voters.clear());
         }
     }
 
-    /// One voter of a site at a time loses its memory, so that a majority always remembers.
+    /// Restarts a node, which loses its claims and promises. Only one voter of a site restarts at a time, so that a
+    /// majority always holds them.
     fn restart(&mut self, index: usize) {
         let site = index / NODES_PER_SITE;
         let members = site * NODES_PER_SITE..(site + 1) * NODES_PER_SITE;
-        let whole = members.clone().all(|node| self.sites[site].table.voters.contains(&self.nodes[node].id));
-        if !whole || !self.sites[site].table.previous_voters.is_empty() {
+        let all_listed = members.clone().all(|node| self.sites[site].table.voters.contains(&self.nodes[node].id));
+        if !all_listed || !self.sites[site].table.previous_voters.is_empty() {
             return;
         }
-        let fresh = self.new_node(index);
-        self.nodes[index] = fresh;
-        let later = self.chance(0.5);
-        if later {
-            // The group notices only after another change of owner, if there is one.
+        let restarted = self.new_node(index);
+        self.nodes[index] = restarted;
+        let takeover_first = self.chance(0.5);
+        if takeover_first {
+            // The group detects the restart only after a change of owner, if the slot is owned.
             self.take_over();
         }
         let voters = members.map(|node| self.nodes[node].id).collect();
-        self.change(site, |table, _| {
+        self.change_table(site, |table, _| {
             table.previous_voters = std::mem::replace(&mut table.voters, voters);
         });
         self.sites[site].changed_at = self.epoch;
@@ -488,18 +516,18 @@
             }
             let node = site * NODES_PER_SITE + self.random.gen_range(0..NODES_PER_SITE);
             let owner = self.nodes[node].id;
-            self.change(site, |table, epoch| {
+            self.change_table(site, |table, epoch| {
                 table.slots[0] = SlotAssignment { slot: SLOT, epoch, state: SlotState::Owned { owner } };
             });
-            self.publish(site);
+            self.publish_table(site);
         }
     }
 
-    fn move_on(&mut self) {
+    fn advance_site_move(&mut self) {
         match &self.moving {
             None => {
                 if self.chance(self.faults.site_move) {
-                    self.seal();
+                    self.seal_slot();
                 }
             }
             Some(Move::Exporting { from }) => {
@@ -529,17 +557,17 @@
         self.moving = Some(Move::Importing { from, epoch: self.epoch, claims, importer });
     }
 
-    fn seal(&mut self) {
+    fn seal_slot(&mut self) {
         let owned = |site: &&Site| matches!(site.table.slots[0].state, SlotState::Owned { .. });
         let from = if owned(&&self.sites[0]) { 0 } else { 1 };
-        self.change(from, |table, epoch| {
+        self.change_table(from, |table, epoch| {
             let state = SlotState::Sealed { destination: site_name(1 - from) };
             table.slots[0] = SlotAssignment { slot: SLOT, epoch, state };
         });
         self.moving = Some(Move::Exporting { from });
     }
 
-    fn imported(&mut self, site: usize, at: Epoch) {
+    fn complete_site_move(&mut self, site: usize, at: Epoch) {
         let Some(Move::Importing { from, epoch, .. }) = &self.moving else {
             return;
         };
@@ -551,17 +579,17 @@
         self.report.moves += 1;
         let node = site * NODES_PER_SITE + self.random.gen_range(0..NODES_PER_SITE);
         let owner = self.nodes[node].id;
-        self.change(site, |table, epoch| {
+        self.change_table(site, |table, epoch| {
             table.slots[0] = SlotAssignment { slot: SLOT, epoch, state: SlotState::Owned { owner } };
         });
-        self.change(from, |table, epoch| {
+        self.change_table(from, |table, epoch| {
             let state = SlotState::Elsewhere { site: site_name(site) };
             table.slots[0] = SlotAssignment { slot: SLOT, epoch, state };
         });
     }
 }
 
-/// Runs many seeds and adds up what went wrong.
+/// Runs the simulation for each seed and adds up the reports.
 pub fn run_seeds(seeds: std::ops::Range<u64>, faults: Faults, mechanisms: ClaimMechanisms) -> Report {
     let mut total = Report::default();
     for seed in seeds {
