--- a/crates/claims/src/claim.rs
+++ b/crates/claims/src/claim.rs
@@ -8,8 +8,9 @@
 
 /// Identifies the grant that created a claim.
 ///
-/// Within a slot, a later grant for the same key has the greater origin, and an owner grants a key only if it knows that
-/// every smaller origin of the key is void. So of two versions of a claim, the one with the greater origin is valid.
+/// Within a slot, a later grant for the same key has the greater origin, and an owner grants a key only if it knows
+/// that every smaller origin of the key is void. So of two versions of a claim, the one with the greater origin is
+/// valid.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{epoch}.{sequence}@{incarnation}")]
 pub struct ClaimOrigin {
--- a/crates/claims/src/error.rs
+++ b/crates/claims/src/error.rs
@@ -32,7 +32,7 @@
         field: &'static str,
     },
     /// The message, the number of its claims or a recorded answer exceeds its limit.
-    #[display("the message, its claims or an answer exceed the size limit")]
+    #[display("the message, the number of its claims or an answer exceeds its limit")]
     #[from(ignore)]
     Oversized,
 }
--- a/crates/claims/src/mechanisms.rs
+++ b/crates/claims/src/mechanisms.rs
@@ -45,7 +45,8 @@
 pub struct UnknownMechanism;
 
 mechanisms! {
-    /// Recording a claim, collecting a slot's claims and transferring a slot need a majority of the voters, not just one.
+    /// Recording a claim, collecting a slot's claims and transferring a slot need a majority of the voters, not just
+    /// one.
     majority,
     /// A retry with a key that is already claimed is refused.
     refuse_repeats,
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -62,7 +62,8 @@
     /// From a new owner or an exporter to a voter: promise the epoch, and return the slot's claims.
     #[display("collect")]
     Collect {
-        /// Whether to seal the slot because it moves to another site: no owner at or below the epoch can add claims then.
+        /// Whether to seal the slot because it moves to another site: no owner at or below the epoch can add claims
+        /// then.
         export: bool,
         /// Return only claims with a greater key.
         after: Option<RequestKey>,
--- a/crates/claims/src/owner/delivery.rs
+++ b/crates/claims/src/owner/delivery.rs
@@ -1,5 +1,5 @@
-//! Records of single claims in flight to the voters: their replies are counted, and they are sent again a limited number
-//! of times.
+//! Records of single claims in flight to the voters: their replies are counted, and they are sent again a limited
+//! number of times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 /// The record of one claim in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Delivery {
+pub(crate) struct ClaimDelivery {
     pub slot: SlotId,
     pub key: RequestKey,
     /// The epoch under which the record is sent.
@@ -32,29 +32,29 @@
 
 /// All deliveries of an owner, with their timers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Deliveries {
-    by_id: BTreeMap<DeliveryId, Delivery>,
+pub(crate) struct ClaimDeliveries {
+    by_id: BTreeMap<DeliveryId, ClaimDelivery>,
     timers: BTreeSet<(Timestamp, DeliveryId)>,
 }
 
-impl Deliveries {
-    pub fn insert(&mut self, id: DeliveryId, delivery: Delivery) {
+impl ClaimDeliveries {
+    pub fn insert(&mut self, id: DeliveryId, delivery: ClaimDelivery) {
         self.remove(&id);
         self.timers.insert((delivery.retry_at, id));
         self.by_id.insert(id, delivery);
     }
 
-    pub fn remove(&mut self, id: &DeliveryId) -> Option<Delivery> {
+    pub fn remove(&mut self, id: &DeliveryId) -> Option<ClaimDelivery> {
         let delivery = self.by_id.remove(id)?;
         self.timers.remove(&(delivery.retry_at, *id));
         Some(delivery)
     }
 
-    pub fn get(&self, id: &DeliveryId) -> Option<&Delivery> {
+    pub fn get(&self, id: &DeliveryId) -> Option<&ClaimDelivery> {
         self.by_id.get(id)
     }
 
-    pub fn get_mut(&mut self, id: &DeliveryId) -> Option<&mut Delivery> {
+    pub fn get_mut(&mut self, id: &DeliveryId) -> Option<&mut ClaimDelivery> {
         self.by_id.get_mut(id)
     }
 
@@ -69,7 +69,8 @@
 
     /// The new claims of a slot that wait for a majority.
     pub fn pending_in(&self, slot: SlotId) -> Vec<DeliveryId> {
-        let pending = |(id, delivery): &(&DeliveryId, &Delivery)| id.kind == RecordKind::New && delivery.slot == slot;
+        let pending =
+            |(id, delivery): &(&DeliveryId, &ClaimDelivery)| id.kind == RecordKind::New && delivery.slot == slot;
         self.by_id.iter().filter(pending).map(|(id, _)| *id).collect()
     }
 
--- a/crates/claims/src/owner/io.rs
+++ b/crates/claims/src/owner/io.rs
@@ -84,20 +84,20 @@
     },
     /// Record the claims of a slot that another site has sealed, before the table assigns the slot to an owner here.
     ///
-    /// Ignored if the table has the slot under a newer epoch, or under `epoch` in another state than vacant. Vacant under
-    /// `epoch` means that the group agreed on the import.
+    /// Ignored if the table has the slot under a newer epoch, or under `epoch` in another state than vacant. Vacant
+    /// under `epoch` means that the group agreed on the import.
     ImportSlot {
         /// The slot.
         slot: SlotId,
-        /// An epoch above that of the seal and of every earlier import. The first owner must be assigned at this epoch if
-        /// it is this node, and at a higher one if it is another node.
+        /// An epoch above that of the seal and of every earlier import. The first owner must be assigned at this epoch
+        /// if it is this node, and at a higher one if it is another node.
         epoch: Epoch,
         /// All exported claims.
         claims: Vec<ClaimEntry>,
     },
     /// The settings changed; a new retention applies to claims created or finished from now on.
     SettingsChanged(OwnerSettings),
-    /// Drops expired claims and sends overdue messages again.
+    /// Time has passed: the owner drops expired claims and sends overdue messages again.
     Tick,
 }
 
@@ -125,7 +125,7 @@
         /// The epoch.
         epoch: Epoch,
     },
-    /// A voter promised the slot to another owner: this node no longer owns it, whatever its table says.
+    /// A voter promised the slot to another owner, or sealed it: this node no longer owns it, whatever its table says.
     SlotLost {
         /// The slot.
         slot: SlotId,
--- a/crates/claims/src/owner/mod.rs
+++ b/crates/claims/src/owner/mod.rs
@@ -24,21 +24,21 @@
 use crate::claim::{ClaimOrigin, ClaimStatus, HeldClaim};
 use crate::mechanisms::ClaimMechanisms;
 use crate::message::{ClaimBody, ClaimMessage, RecordId, Verdict};
-use crate::quorum::Roster;
+use crate::quorum::VoterRoster;
 use crate::settings::OwnerSettings;
 use crate::store::ClaimStore;
 
-use delivery::Deliveries;
+use delivery::ClaimDeliveries;
 use grant::ClaimRequest;
 use io::{ClaimDecision, OwnerInput, OwnerOutput};
-use slot::Slot;
+use slot::LocalSlot;
 
 #[cfg(test)]
 mod tests;
 
 /// An attempt that requested a claim and has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Ticket {
+struct ClaimTicket {
     slot: SlotId,
     key: RequestKey,
     origin: ClaimOrigin,
@@ -49,7 +49,7 @@
     granted: bool,
 }
 
-impl Ticket {
+impl ClaimTicket {
     fn claim(&self, status: ClaimStatus, expires: Timestamp) -> HeldClaim {
         HeldClaim { origin: self.origin, digest: self.digest, root: self.root, status, expires }
     }
@@ -63,15 +63,15 @@
     settings: OwnerSettings,
     mechanisms: ClaimMechanisms,
     table: Option<Arc<ServiceTable>>,
-    roster: Roster,
+    roster: VoterRoster,
     /// The epoch of the last table for which [`OwnerOutput::VotersSettled`] was emitted.
     settled_epoch: Option<Epoch>,
     lease_until: Timestamp,
     sequence: u64,
-    slots: BTreeMap<SlotId, Slot>,
-    tickets: BTreeMap<AttemptId, Ticket>,
+    slots: BTreeMap<SlotId, LocalSlot>,
+    tickets: BTreeMap<AttemptId, ClaimTicket>,
     store: ClaimStore,
-    deliveries: Deliveries,
+    deliveries: ClaimDeliveries,
 }
 
 impl ClaimOwner {
@@ -94,14 +94,14 @@
             settings,
             mechanisms,
             table: None,
-            roster: Roster::default(),
+            roster: VoterRoster::default(),
             settled_epoch: None,
             lease_until: Timestamp::ZERO,
             sequence: 0,
             slots: BTreeMap::new(),
             tickets: BTreeMap::new(),
             store,
-            deliveries: Deliveries::default(),
+            deliveries: ClaimDeliveries::default(),
         }
     }
 
@@ -132,7 +132,7 @@
 
     /// When [`ClaimOwner::step`] should next be called with [`OwnerInput::Tick`].
     pub fn next_wake(&self) -> Option<Timestamp> {
-        let slots = self.slots.values().filter_map(Slot::next_due).min();
+        let slots = self.slots.values().filter_map(LocalSlot::next_due).min();
         [self.deliveries.next_due(), slots, self.store.next_expiry()].into_iter().flatten().min()
     }
 
@@ -169,7 +169,7 @@
 
     /// Whether the owner grants claims of the slot.
     pub fn is_open(&self, slot: SlotId) -> bool {
-        self.slots.get(&slot).is_some_and(Slot::is_open)
+        self.slots.get(&slot).is_some_and(LocalSlot::is_open)
     }
 
     fn is_open_at(&self, slot: SlotId, epoch: Epoch) -> bool {
@@ -212,7 +212,8 @@
         }
     }
 
-    /// Gives up the slot if a voter refuses its current epoch, because the voter has promised the slot to another owner.
+    /// Gives up the slot if a voter refuses its current epoch, because the voter has promised the slot to another
+    /// owner.
     fn check_fence(
         &mut self,
         now: Timestamp,
@@ -223,10 +224,10 @@
     ) {
         let fenced = matches!(verdict, Verdict::Fenced { .. });
         let current =
-            self.slots.get(&slot).is_some_and(|held| held.epoch == epoch && held.phase != slot::Phase::Fenced);
+            self.slots.get(&slot).is_some_and(|held| held.epoch == epoch && held.phase != slot::SlotPhase::Fenced);
         if fenced && current {
             self.lose_slot(now, slot, RefusalReason::NotOwner, outputs);
-            self.slots.insert(slot, Slot { epoch, phase: slot::Phase::Fenced });
+            self.slots.insert(slot, LocalSlot { epoch, phase: slot::SlotPhase::Fenced });
             outputs.push(OwnerOutput::SlotLost { slot, epoch });
         }
     }
--- a/crates/claims/src/owner/pages.rs
+++ b/crates/claims/src/owner/pages.rs
@@ -3,8 +3,8 @@
 use quillhatch_types::{Epoch, NodeId, RequestKey, SlotId, Timestamp};
 
 use super::io::OwnerOutput;
-use super::paging::Paging;
-use super::slot::{Phase, Purpose};
+use super::paging::PagedTransfer;
+use super::slot::{CollectPurpose, SlotPhase};
 use super::ClaimOwner;
 use crate::claim::{ClaimEntry, ClaimStatus, HeldClaim};
 use crate::message::{ClaimBody, RecordId};
@@ -12,10 +12,10 @@
 impl ClaimOwner {
     /// Sends every page and page request of the slot that is due.
     pub(super) fn send_pages(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
-        let Some(paging) = self.slots.get(&slot).and_then(|held| held.paging()) else {
+        let Some(transfer) = self.slots.get(&slot).and_then(|held| held.transfer()) else {
             return;
         };
-        for voter in paging.due(now) {
+        for voter in transfer.due(now) {
             self.send_page(now, slot, voter, outputs);
         }
     }
@@ -26,22 +26,24 @@
         };
         let epoch = held.epoch;
         let collecting = match &held.phase {
-            Phase::Collecting { purpose, .. } => Some(*purpose),
+            SlotPhase::Collecting { purpose, .. } => Some(*purpose),
             _ => None,
         };
-        let Some(paging) = held.paging_mut() else {
+        let Some(transfer) = held.transfer_mut() else {
             return;
         };
-        let round = paging.round;
-        let Some(cursor) = paging.cursor_mut(voter) else {
+        let round = transfer.round;
+        let Some(cursor) = transfer.cursor_mut(voter) else {
             return;
         };
         cursor.retry_at = now + self.settings.retry_interval;
         let body = match collecting {
-            Some(purpose) => ClaimBody::Collect { export: purpose == Purpose::Export, after: cursor.after.clone() },
+            Some(purpose) => {
+                ClaimBody::Collect { export: purpose == CollectPurpose::Export, after: cursor.after.clone() }
+            }
             None => {
-                // Claims that are not yet granted are left out: their own deliveries record them on both sets of voters, or
-                // release them.
+                // Claims that are not yet granted are left out: their own deliveries record them on both sets of
+                // voters, or release them.
                 let pending = |claim: &HeldClaim| self.deliveries.is_pending(claim.origin);
                 let page = self.store.page(slot, cursor.after.as_ref(), now, pending);
                 let through = page.entries.last().map(|entry| entry.key.clone());
@@ -69,10 +71,10 @@
         let Some(held) = self.slots.get_mut(&slot).filter(|held| held.epoch == epoch) else {
             return;
         };
-        let Phase::Collecting { paging, .. } = &mut held.phase else {
+        let SlotPhase::Collecting { transfer, .. } = &mut held.phase else {
             return;
         };
-        let Some(cursor) = paging.cursor_mut(voter).filter(|cursor| !cursor.done && cursor.after == after) else {
+        let Some(cursor) = transfer.cursor_mut(voter).filter(|cursor| !cursor.done && cursor.after == after) else {
             return;
         };
         if let Some(last) = claims.last() {
@@ -106,17 +108,17 @@
         let Some(held) = self.slots.get_mut(&slot).filter(|held| held.epoch == epoch) else {
             return;
         };
-        if matches!(held.phase, Phase::Collecting { .. }) {
+        if matches!(held.phase, SlotPhase::Collecting { .. }) {
             return;
         }
-        let Some(paging) = held.paging_mut().filter(|paging| paging.round == round) else {
+        let Some(transfer) = held.transfer_mut().filter(|transfer| transfer.round == round) else {
             return;
         };
         // The content of a page may change between tries, so only the reply to the last try counts.
-        let is_current = |cursor: &&mut super::paging::Cursor| {
+        let is_current = |cursor: &&mut super::paging::PageCursor| {
             !cursor.done && cursor.page == number && cursor.through == through && cursor.retry_at > Timestamp::ZERO
         };
-        let Some(cursor) = paging.cursor_mut(voter).filter(is_current) else {
+        let Some(cursor) = transfer.cursor_mut(voter).filter(is_current) else {
             return;
         };
         cursor.after = through.or_else(|| cursor.after.take());
@@ -134,24 +136,28 @@
         let Some(held) = self.slots.get(&slot) else {
             return;
         };
-        let Some(done) = held.paging().map(Paging::done) else {
+        let Some(done) = held.transfer().map(PagedTransfer::done) else {
             return;
         };
         let quorum = self.roster.is_quorum(&done, self.mechanisms);
         match &held.phase {
-            Phase::Collecting { purpose: Purpose::Takeover, .. } if quorum => self.begin_recording(now, slot, outputs),
-            Phase::Collecting { purpose: Purpose::Export, .. } if quorum => self.complete_export(now, slot, outputs),
-            Phase::Recording { .. } if quorum => self.open_slot(slot, outputs),
-            Phase::Importing { .. } if quorum => self.complete_import(slot, outputs),
-            Phase::Open { .. } if self.roster.is_current_quorum(&done, self.mechanisms) => {
-                self.set_phase(slot, Phase::Open { settling: None });
+            SlotPhase::Collecting { purpose: CollectPurpose::Takeover, .. } if quorum => {
+                self.begin_recording(now, slot, outputs)
+            }
+            SlotPhase::Collecting { purpose: CollectPurpose::Export, .. } if quorum => {
+                self.complete_export(now, slot, outputs)
+            }
+            SlotPhase::Recording { .. } if quorum => self.open_slot(slot, outputs),
+            SlotPhase::Importing { .. } if quorum => self.complete_import(slot, outputs),
+            SlotPhase::Open { .. } if self.roster.is_current_quorum(&done, self.mechanisms) => {
+                self.set_phase(slot, SlotPhase::Open { settling: None });
                 self.announce_settled(outputs);
             }
             _ => {}
         }
     }
 
-    pub(super) fn set_phase(&mut self, slot: SlotId, phase: Phase) {
+    pub(super) fn set_phase(&mut self, slot: SlotId, phase: SlotPhase) {
         if let Some(held) = self.slots.get_mut(&slot) {
             held.phase = phase;
         }
@@ -164,12 +170,12 @@
             return;
         }
         let round = self.table_epoch();
-        self.set_phase(slot, Phase::Recording { paging: Paging::new(round, &self.roster.members()) });
+        self.set_phase(slot, SlotPhase::Recording { transfer: PagedTransfer::new(round, &self.roster.members()) });
         self.send_pages(now, slot, outputs);
     }
 
     pub(super) fn open_slot(&mut self, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
-        self.set_phase(slot, Phase::Open { settling: None });
+        self.set_phase(slot, SlotPhase::Open { settling: None });
         if let Some(epoch) = self.slots.get(&slot).map(|held| held.epoch) {
             outputs.push(OwnerOutput::SlotOpened { slot, epoch });
         }
--- a/crates/claims/src/owner/paging.rs
+++ b/crates/claims/src/owner/paging.rs
@@ -6,7 +6,7 @@
 
 /// The progress of one voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Cursor {
+pub(crate) struct PageCursor {
     /// The number of the page in flight.
     pub page: u32,
     /// The last key of the previous page.
@@ -21,16 +21,16 @@
 
 /// A paged transfer to or from several voters, each of which progresses independently.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Paging {
+pub(crate) struct PagedTransfer {
     /// Distinguishes this transfer from earlier ones of the same slot.
     pub round: Epoch,
-    cursors: BTreeMap<NodeId, Cursor>,
+    cursors: BTreeMap<NodeId, PageCursor>,
 }
 
-impl Paging {
+impl PagedTransfer {
     pub fn new(round: Epoch, voters: &BTreeSet<NodeId>) -> Self {
-        let cursors = voters.iter().map(|voter| (*voter, Cursor::default())).collect();
-        Paging { round, cursors }
+        let cursors = voters.iter().map(|voter| (*voter, PageCursor::default())).collect();
+        PagedTransfer { round, cursors }
     }
 
     /// Replaces the set of voters: keeps the progress of those that remain and starts the new ones from the beginning.
@@ -41,7 +41,7 @@
         }
     }
 
-    pub fn cursor_mut(&mut self, voter: NodeId) -> Option<&mut Cursor> {
+    pub fn cursor_mut(&mut self, voter: NodeId) -> Option<&mut PageCursor> {
         self.cursors.get_mut(&voter)
     }
 
@@ -52,7 +52,7 @@
 
     /// The voters to which the next page or request should be sent now, for the first time or again.
     pub fn due(&self, now: Timestamp) -> Vec<NodeId> {
-        let due = |(_, cursor): &(&NodeId, &Cursor)| !cursor.done && cursor.retry_at <= now;
+        let due = |(_, cursor): &(&NodeId, &PageCursor)| !cursor.done && cursor.retry_at <= now;
         self.cursors.iter().filter(due).map(|(voter, _)| *voter).collect()
     }
 
--- a/crates/claims/src/owner/settle.rs
+++ b/crates/claims/src/owner/settle.rs
@@ -5,9 +5,9 @@
 
 use quillhatch_types::{AttemptId, NodeId, RecordedAnswer, SlotId, SlotState, Timestamp};
 
-use super::delivery::{Delivery, DeliveryId};
+use super::delivery::{ClaimDelivery, DeliveryId};
 use super::io::OwnerOutput;
-use super::{ClaimOwner, Ticket};
+use super::{ClaimOwner, ClaimTicket};
 use crate::claim::{recorded_size, ClaimEntry, ClaimOrigin, ClaimStatus, HeldClaim};
 use crate::message::{ClaimBody, RecordKind, MAXIMUM_ANSWER_BYTES};
 use crate::settings::RELEASED_RETENTION;
@@ -43,11 +43,12 @@
         self.settle(now, &ticket, ClaimStatus::Released, outputs);
     }
 
-    /// Stores how a claim of this owner ended, and sends it to the voters and, if another node owns the slot now, to it.
+    /// Stores how a claim of this owner ended, and sends it to the voters and, if another node owns the slot now, to
+    /// it.
     pub(super) fn settle(
         &mut self,
         now: Timestamp,
-        ticket: &Ticket,
+        ticket: &ClaimTicket,
         status: ClaimStatus,
         outputs: &mut Vec<OwnerOutput>,
     ) {
@@ -94,7 +95,7 @@
     ) {
         let origin: ClaimOrigin = claim.origin;
         let epoch = self.slots.get(&slot).map_or(origin.epoch, |slot| slot.epoch);
-        let delivery = Delivery {
+        let delivery = ClaimDelivery {
             slot,
             key: key.clone(),
             epoch,
--- a/crates/claims/src/owner/slot.rs
+++ b/crates/claims/src/owner/slot.rs
@@ -2,11 +2,11 @@
 
 use quillhatch_types::{Epoch, Timestamp};
 
-use super::paging::Paging;
+use super::paging::PagedTransfer;
 
 /// Why claims are collected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Purpose {
+pub(crate) enum CollectPurpose {
     /// This node takes over the slot.
     Takeover,
     /// The slot moves to another site.
@@ -15,56 +15,56 @@
 
 /// The current phase of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Phase {
+pub(crate) enum SlotPhase {
     /// Claims are collected from the voters.
-    Collecting { purpose: Purpose, paging: Paging },
+    Collecting { purpose: CollectPurpose, transfer: PagedTransfer },
     /// The collected claims are recorded under the new epoch.
-    Recording { paging: Paging },
+    Recording { transfer: PagedTransfer },
     /// Claims are granted; `settling` tracks the recording of existing claims on new voters.
-    Open { settling: Option<Paging> },
+    Open { settling: Option<PagedTransfer> },
     /// All claims are collected, ready for the transfer to another site.
     Exported,
     /// The claims of another site are being recorded on this site's voters.
-    Importing { paging: Paging },
+    Importing { transfer: PagedTransfer },
     /// The claims of another site are recorded on a majority; no owner is assigned yet.
     Imported,
-    /// A voter has promised the slot to another owner.
+    /// A voter has promised the slot to another owner, or sealed it.
     Fenced,
 }
 
 /// A slot at a node that owns it, takes it over, or exports or imports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Slot {
+pub(crate) struct LocalSlot {
     pub epoch: Epoch,
-    pub phase: Phase,
+    pub phase: SlotPhase,
 }
 
-impl Slot {
-    pub fn paging(&self) -> Option<&Paging> {
+impl LocalSlot {
+    pub fn transfer(&self) -> Option<&PagedTransfer> {
         match &self.phase {
-            Phase::Collecting { paging, .. } | Phase::Recording { paging } | Phase::Importing { paging } => {
-                Some(paging)
-            }
-            Phase::Open { settling } => settling.as_ref(),
-            Phase::Exported | Phase::Imported | Phase::Fenced => None,
+            SlotPhase::Collecting { transfer, .. }
+            | SlotPhase::Recording { transfer }
+            | SlotPhase::Importing { transfer } => Some(transfer),
+            SlotPhase::Open { settling } => settling.as_ref(),
+            SlotPhase::Exported | SlotPhase::Imported | SlotPhase::Fenced => None,
         }
     }
 
-    pub fn paging_mut(&mut self) -> Option<&mut Paging> {
+    pub fn transfer_mut(&mut self) -> Option<&mut PagedTransfer> {
         match &mut self.phase {
-            Phase::Collecting { paging, .. } | Phase::Recording { paging } | Phase::Importing { paging } => {
-                Some(paging)
-            }
-            Phase::Open { settling } => settling.as_mut(),
-            Phase::Exported | Phase::Imported | Phase::Fenced => None,
+            SlotPhase::Collecting { transfer, .. }
+            | SlotPhase::Recording { transfer }
+            | SlotPhase::Importing { transfer } => Some(transfer),
+            SlotPhase::Open { settling } => settling.as_mut(),
+            SlotPhase::Exported | SlotPhase::Imported | SlotPhase::Fenced => None,
         }
     }
 
     pub fn next_due(&self) -> Option<Timestamp> {
-        self.paging().and_then(Paging::next_due)
+        self.transfer().and_then(PagedTransfer::next_due)
     }
 
     pub fn is_open(&self) -> bool {
-        matches!(self.phase, Phase::Open { .. })
+        matches!(self.phase, SlotPhase::Open { .. })
     }
 }
--- a/crates/claims/src/owner/table.rs
+++ b/crates/claims/src/owner/table.rs
@@ -7,13 +7,14 @@
 };
 
 use super::io::OwnerOutput;
-use super::paging::Paging;
-use super::slot::{Phase, Purpose, Slot};
+use super::paging::PagedTransfer;
+use super::slot::{CollectPurpose, LocalSlot, SlotPhase};
 use super::ClaimOwner;
 use crate::claim::{ClaimEntry, HeldClaim};
-use crate::quorum::Roster;
+use crate::quorum::VoterRoster;
 
-/// The round of every import. No table has this epoch, so a late reply to an import is not counted for another transfer.
+/// The round of every import. No table has this epoch, so a late reply to an import is not counted for another
+/// transfer.
 const IMPORT_ROUND: Epoch = Epoch(0);
 
 impl ClaimOwner {
@@ -26,7 +27,7 @@
         if table.service != self.service || !newer {
             return;
         }
-        let roster = Roster::of_table(&table);
+        let roster = VoterRoster::of_table(&table);
         let roster_changed = roster != self.roster;
         self.roster = roster;
         self.table = Some(Arc::clone(&table));
@@ -47,7 +48,7 @@
             return;
         }
         let importer = self.slots.get(&slot).is_some_and(|held| {
-            matches!(held.phase, Phase::Importing { .. } | Phase::Imported) && held.epoch == assignment.epoch
+            matches!(held.phase, SlotPhase::Importing { .. } | SlotPhase::Imported) && held.epoch == assignment.epoch
         });
         let moved_away = matches!(assignment.state, SlotState::Elsewhere { .. }) && !importer;
         if held_epoch == Some(assignment.epoch) && !(owned && importer) && !moved_away {
@@ -73,11 +74,11 @@
 
     fn take_over(&mut self, now: Timestamp, slot: SlotId, epoch: Epoch, outputs: &mut Vec<OwnerOutput>) {
         if !self.mechanisms.takeover_collect {
-            self.slots.insert(slot, Slot { epoch, phase: Phase::Open { settling: None } });
+            self.slots.insert(slot, LocalSlot { epoch, phase: SlotPhase::Open { settling: None } });
             self.open_slot(slot, outputs);
             return;
         }
-        self.begin_collecting(now, slot, epoch, Purpose::Takeover, outputs);
+        self.begin_collecting(now, slot, epoch, CollectPurpose::Takeover, outputs);
     }
 
     fn begin_collecting(
@@ -85,11 +86,11 @@
         now: Timestamp,
         slot: SlotId,
         epoch: Epoch,
-        purpose: Purpose,
+        purpose: CollectPurpose,
         outputs: &mut Vec<OwnerOutput>,
     ) {
-        let paging = Paging::new(epoch, &self.roster.members());
-        self.slots.insert(slot, Slot { epoch, phase: Phase::Collecting { purpose, paging } });
+        let transfer = PagedTransfer::new(epoch, &self.roster.members());
+        self.slots.insert(slot, LocalSlot { epoch, phase: SlotPhase::Collecting { purpose, transfer } });
         self.send_pages(now, slot, outputs);
     }
 
@@ -125,10 +126,10 @@
         let slots: Vec<SlotId> = self.slots.keys().copied().collect();
         for slot in slots {
             if self.is_open(slot) {
-                let settling = settle_needed.then(|| Paging::new(round, &current));
-                self.set_phase(slot, Phase::Open { settling });
-            } else if let Some(paging) = self.slots.get_mut(&slot).and_then(Slot::paging_mut) {
-                paging.set_voters(&members);
+                let settling = settle_needed.then(|| PagedTransfer::new(round, &current));
+                self.set_phase(slot, SlotPhase::Open { settling });
+            } else if let Some(transfer) = self.slots.get_mut(&slot).and_then(LocalSlot::transfer_mut) {
+                transfer.set_voters(&members);
             }
             self.send_pages(now, slot, outputs);
             self.advance_slot(now, slot, outputs);
@@ -150,7 +151,7 @@
         let owned_here =
             |assignment: &&SlotAssignment| matches!(assignment.state, SlotState::Owned { owner } if owner == self.node);
         let is_settled = |assignment: &SlotAssignment| {
-            self.slots.get(&assignment.slot).is_some_and(|held| held.phase == Phase::Open { settling: None })
+            self.slots.get(&assignment.slot).is_some_and(|held| held.phase == SlotPhase::Open { settling: None })
         };
         if table.slots.iter().filter(owned_here).all(is_settled) {
             let epoch = table.epoch;
@@ -170,20 +171,20 @@
         };
         let epoch = assignment.epoch;
         match self.slots.get(&slot) {
-            Some(held) if held.epoch == epoch && held.phase == Phase::Exported => {
+            Some(held) if held.epoch == epoch && held.phase == SlotPhase::Exported => {
                 self.complete_export(now, slot, outputs)
             }
             Some(held) if held.epoch >= epoch => {}
             _ if !self.mechanisms.export_seal => {
-                self.slots.insert(slot, Slot { epoch, phase: Phase::Exported });
+                self.slots.insert(slot, LocalSlot { epoch, phase: SlotPhase::Exported });
                 self.complete_export(now, slot, outputs);
             }
-            _ => self.begin_collecting(now, slot, epoch, Purpose::Export, outputs),
+            _ => self.begin_collecting(now, slot, epoch, CollectPurpose::Export, outputs),
         }
     }
 
     pub(super) fn complete_export(&mut self, now: Timestamp, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
-        self.set_phase(slot, Phase::Exported);
+        self.set_phase(slot, SlotPhase::Exported);
         let Some(epoch) = self.slots.get(&slot).map(|held| held.epoch) else {
             return;
         };
@@ -201,7 +202,8 @@
         outputs: &mut Vec<OwnerOutput>,
     ) {
         let assigned = self.table.as_ref().and_then(|table| table.slot(slot));
-        // The group may agree on the import before it assigns an owner: the slot is then vacant under the import's epoch.
+        // The group may agree on the import before it assigns an owner: the slot is then vacant under the import's
+        // epoch.
         let is_superseded = |assigned: &SlotAssignment| {
             assigned.epoch > epoch || (assigned.epoch == epoch && assigned.state != SlotState::Vacant)
         };
@@ -209,7 +211,9 @@
             return;
         }
         match self.slots.get(&slot) {
-            Some(held) if held.epoch == epoch && held.phase == Phase::Imported => self.complete_import(slot, outputs),
+            Some(held) if held.epoch == epoch && held.phase == SlotPhase::Imported => {
+                self.complete_import(slot, outputs)
+            }
             Some(held) if held.epoch >= epoch => {}
             _ => self.begin_import(now, slot, epoch, claims, outputs),
         }
@@ -227,8 +231,8 @@
         for entry in claims {
             self.store.merge(slot, &entry.key, HeldClaim::from_entry(&entry, now), now);
         }
-        let paging = Paging::new(IMPORT_ROUND, &self.roster.members());
-        self.slots.insert(slot, Slot { epoch, phase: Phase::Importing { paging } });
+        let transfer = PagedTransfer::new(IMPORT_ROUND, &self.roster.members());
+        self.slots.insert(slot, LocalSlot { epoch, phase: SlotPhase::Importing { transfer } });
         if self.mechanisms.import_record {
             self.send_pages(now, slot, outputs);
         } else {
@@ -237,7 +241,7 @@
     }
 
     pub(super) fn complete_import(&mut self, slot: SlotId, outputs: &mut Vec<OwnerOutput>) {
-        self.set_phase(slot, Phase::Imported);
+        self.set_phase(slot, SlotPhase::Imported);
         if let Some(epoch) = self.slots.get(&slot).map(|held| held.epoch) {
             outputs.push(OwnerOutput::SlotImported { slot, epoch });
         }
--- a/crates/claims/src/owner/tests.rs
+++ b/crates/claims/src/owner/tests.rs
@@ -270,9 +270,9 @@
 #[test]
 fn lost_claims_block_only_keys_chosen_by_callers() {
     let mut cluster = Cluster::with_two_owners();
-    let mut lossy_table = table(2, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]);
-    lossy_table.claims_lost = true;
-    cluster.apply_table(11, lossy_table);
+    let mut table_with_loss = table(2, SlotState::Owned { owner: node(11) }, &[1, 2, 3], &[]);
+    table_with_loss.claims_lost = true;
+    cluster.apply_table(11, table_with_loss);
     let expected = refused(Refusal::not_run(RefusalReason::ClaimsLost));
     assert_eq!(decision(&cluster.step(11, claim(1, "a")), 1), expected);
     let mut edge_claim = claim(2, "b");
--- a/crates/claims/src/quorum.rs
+++ b/crates/claims/src/quorum.rs
@@ -8,15 +8,15 @@
 
 /// The voters of a service and, while they change, the previous voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Roster {
+pub struct VoterRoster {
     current: Vec<NodeId>,
     previous: Vec<NodeId>,
 }
 
-impl Roster {
+impl VoterRoster {
     /// Takes the voters from a table.
     pub fn of_table(table: &ServiceTable) -> Self {
-        Roster { current: table.voters.clone(), previous: table.previous_voters.clone() }
+        VoterRoster { current: table.voters.clone(), previous: table.previous_voters.clone() }
     }
 
     /// The current voters.
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -23,8 +23,8 @@
     pub replay_limit_bytes: usize,
     /// The maximum total size of recorded answers, in bytes; further claims finish without an answer.
     pub answer_capacity_bytes: usize,
-    /// The time after which an unanswered message is sent again. It doubles with each try, up to a maximum, when the end
-    /// of a claim is sent.
+    /// The time after which an unanswered message is sent again. It doubles with each try, up to a maximum, when the
+    /// end of a claim is sent.
     pub retry_interval: Duration,
     /// How many times the record of a new claim is sent before the claim is released and the call refused.
     pub record_tries: u8,
--- a/crates/claims/src/store.rs
+++ b/crates/claims/src/store.rs
@@ -73,8 +73,8 @@
         let claims = self.slots.entry(slot).or_default();
         let old_bytes = claims.get(key).map_or(0, |held| held.status.answer_bytes());
         drop_oversized_answer(&mut claim.status, self.answer_bytes - old_bytes, self.answer_capacity_bytes);
-        // A mark that is due before its claim expires is queued again. So only a new claim and a released one, which may
-        // expire earlier than before, need a new mark.
+        // A mark that is due before its claim expires is queued again. So only a new claim and a released one, which
+        // may expire earlier than before, need a new mark.
         let needs_mark = !claims.contains_key(key) || claim.status == ClaimStatus::Released;
         let expires = claim.expires;
         let changed = match claims.get_mut(key) {
--- a/crates/claims/src/voter/mod.rs
+++ b/crates/claims/src/voter/mod.rs
@@ -18,7 +18,7 @@
 
 /// The highest epoch that the voter has seen for a slot, and the node that may record under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Promise {
+struct EpochPromise {
     epoch: Epoch,
     /// `None` if the slot was sealed to move it to another site.
     holder: Option<NodeId>,
@@ -30,7 +30,7 @@
     service: ServiceName,
     settings: VoterSettings,
     mechanisms: ClaimMechanisms,
-    promises: BTreeMap<SlotId, Promise>,
+    promises: BTreeMap<SlotId, EpochPromise>,
     store: ClaimStore,
 }
 
@@ -112,7 +112,7 @@
         id: &RecordId,
         claims: &[ClaimEntry],
     ) -> Verdict {
-        let fence = self.promise(slot, Promise { epoch, holder: Some(from) });
+        let fence = self.promise(slot, EpochPromise { epoch, holder: Some(from) });
         if let Err(promised) = fence {
             if claims.iter().all(|entry| self.settle_own(now, from, slot, entry)) {
                 return Verdict::Accepted;
@@ -122,7 +122,8 @@
         let is_new = matches!(id, RecordId::Claim { kind: RecordKind::New, .. });
         for entry in claims {
             let is_held = self.store.get(slot, &entry.key, now).is_some();
-            // Only new claims are refused: dropping one that was transferred from another owner would allow a second run.
+            // Only new claims are refused: dropping one that was transferred from another owner would allow a second
+            // run.
             if is_new && !is_held && self.store.len() >= self.settings.capacity {
                 return Verdict::Full;
             }
@@ -151,7 +152,7 @@
         after: Option<RequestKey>,
     ) -> ClaimBody {
         let holder = if export { None } else { Some(from) };
-        if let Err(promised) = self.promise(slot, Promise { epoch, holder }) {
+        if let Err(promised) = self.promise(slot, EpochPromise { epoch, holder }) {
             let verdict = Verdict::Fenced { promised };
             return ClaimBody::CollectReply { after, verdict, claims: Vec::new(), more: false };
         }
@@ -160,7 +161,7 @@
     }
 
     /// Promises `wanted` for the slot, unless a newer epoch, or the same epoch for another owner, was promised before.
-    fn promise(&mut self, slot: SlotId, wanted: Promise) -> Result<(), Epoch> {
+    fn promise(&mut self, slot: SlotId, wanted: EpochPromise) -> Result<(), Epoch> {
         let held = self.promises.entry(slot).or_insert(wanted);
         let fenced = held.epoch > wanted.epoch || (held.epoch == wanted.epoch && held.holder != wanted.holder);
         if fenced && self.mechanisms.epoch_fence {
--- a/crates/claims/tests/simulation/support.rs
+++ b/crates/claims/tests/simulation/support.rs
@@ -257,7 +257,8 @@
                     self.schedule(wait, event);
                     return;
                 }
-                // A process may also pause between its last check and sending to the back end, for less than the retention.
+                // A process may also pause between its last check and sending to the back end, for less than the
+                // retention.
                 if self.now < self.run_limit(&event) {
                     self.schedule(wait.min(self.faults.retention / 4), event);
                     return;
