--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -1,27 +1,27 @@
-//! Why a membership message cannot be read.
+//! Errors of decoding membership messages.
 
 use derive_more::{Display, Error, From};
 use quillhatch_messages::MalformedMessage;
 use quillhatch_types::names::NameError;
 
-/// Why the bytes of a membership message are refused.
+/// An error of decoding a membership message.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum MessageError {
-    /// The bytes are no membership message.
+    /// The bytes are not a valid membership message.
     #[display("malformed message")]
     #[from]
     Malformed(MalformedMessage),
-    /// A name in it is not valid.
+    /// A service, site or zone name is not valid.
     #[display("invalid name: {_0}")]
     #[from]
     Name(NameError),
-    /// An address in it is not valid.
+    /// A node address is not valid.
     #[display("invalid address")]
     Address,
-    /// A field that the message needs is missing or out of range.
+    /// A required field is missing, or a field is out of range.
     #[display("the field {field} is missing or out of range")]
     Field {
-        /// The field's name in the schema.
+        /// The field's name in the protobuf schema.
         #[error(not(source))]
         field: &'static str,
     },
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
 //! Failure detection and membership between nodes.
 //!
-//! Every node probes one member of its zone per interval, directly and then through others, suspects a silent one, and
-//! lets it refute the suspicion. A few delegates of each zone probe the other zones. What a node sends per second does
-//! not depend on the size of the fleet; see `docs/design/membership.md`.
+//! Every node probes one member of its zone per interval: directly first, then indirectly through other members. A member
+//! that does not answer is suspected and can refute the suspicion. A few delegates of each zone probe the other zones.
+//! The bytes that a node sends per second do not depend on the size of the fleet; see `docs/design/membership.md`.
 
 pub mod error;
 pub mod member;
