--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one member, and which of two pieces of knowledge is the newer.
+//! The record of one member, and which of two records is the newer.
 
 use derive_more::Display;
 use quillhatch_types::{NodeId, ServiceName, SiteName, ZoneName};
@@ -13,54 +13,54 @@
     pub zone: ZoneName,
 }
 
-/// A member and what it says of itself.
+/// A member with the zone and service that it announces.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberInfo {
-    /// The run of the node.
+    /// The address and incarnation of the node.
     pub node: NodeId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
-    /// The service of its back end, if it has one.
+    /// The service of its local back end, if it has one.
     pub service: Option<ServiceName>,
 }
 
-/// Whether a member is there; a later variant overrides an earlier one at the same refutation count.
+/// The status of a member. At the same refutation count, a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberStatus {
-    /// It answers.
+    /// It answers probes.
     #[display("alive")]
     Alive,
-    /// It did not answer, and has time to refute.
+    /// A probe of it timed out; it can still refute.
     #[display("suspected")]
     Suspected,
-    /// It did not refute in time, or another run took its address.
+    /// It did not refute in time, or its address is used by another incarnation.
     #[display("failed")]
     Failed,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     #[display("left")]
     Left,
 }
 
 impl MemberStatus {
-    /// Whether the member still takes part.
+    /// Whether the member still takes part: alive or suspected.
     pub fn is_present(self) -> bool {
         matches!(self, MemberStatus::Alive | MemberStatus::Suspected)
     }
 }
 
-/// A member, its status, and how often it has refuted.
+/// A member with its status and refutation count.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberRecord {
     /// The member.
     pub info: MemberInfo,
-    /// Raised by the member itself alone, each time it refutes.
+    /// The refutation count. Only the member itself increments it, each time it refutes.
     pub refutation: u32,
     /// Its status.
     pub status: MemberStatus,
 }
 
 impl MemberRecord {
-    /// Whether this knowledge replaces `other` of the same member.
+    /// Whether this record is newer than `other`, a record of the same member.
     pub fn supersedes(&self, other: &MemberRecord) -> bool {
         (self.refutation, self.status) > (other.refutation, other.status)
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,23 +1,23 @@
-//! The messages of failure detection.
+//! Messages of the membership protocol.
 
 use quillhatch_types::NodeId;
 
 use crate::member::{MemberInfo, MemberRecord, ZoneId};
 
-/// One observer's view of whether a zone can be reached from its own.
+/// One delegate's view of whether another zone is reachable from its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneRecord {
     /// The delegate that probed.
     pub observer: NodeId,
-    /// The zone probed.
+    /// The probed zone.
     pub zone: ZoneId,
-    /// Raised by the observer with every change of its view.
+    /// Incremented by the observer with every change of one of its views.
     pub version: u64,
-    /// Whether the zone answers.
+    /// Whether the zone is reachable.
     pub reachable: bool,
 }
 
-/// A digest of all that a node knows of one zone's members.
+/// A digest of a node's records of one zone's members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneDigest {
     /// The zone.
@@ -26,41 +26,41 @@
     pub digest: u64,
 }
 
-/// What a message is for.
+/// The type of a message, with the fields of that type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageBody {
-    /// Asks for an acknowledgement.
+    /// Requests an acknowledgement.
     Ping,
-    /// Answers a ping, or passes on that `subject` answered.
+    /// Answers a ping, or reports to a requester that `subject` answered.
     Acknowledge {
-        /// The member that answered, if it is not the sender.
+        /// The member that answered the ping, if it is not the sender.
         subject: Option<MemberInfo>,
     },
-    /// Asks the receiver to ping `subject` and to pass its answer on.
+    /// Asks the receiver to ping `subject` and to forward the acknowledgement.
     PingRequest {
-        /// Whom to ping.
+        /// The member to ping.
         subject: MemberInfo,
     },
-    /// Asks for all records of the zones whose digest differs.
+    /// Requests all records of the zones whose digest differs.
     SyncRequest {
-        /// The sender's digests; zones that are missing here are unknown to the sender.
+        /// The sender's digests. The sender has no records of zones that are missing here.
         digests: Vec<ZoneDigest>,
     },
-    /// One page of records.
+    /// One page of records in answer to a sync request, or the announcement of a node that leaves.
     SyncAnswer,
 }
 
 /// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipMessage {
-    /// Pairs an acknowledgement with its ping.
+    /// Matches an acknowledgement to its ping or ping request; 0 in sync messages.
     pub sequence: u64,
-    /// The sender, alive by the message itself.
+    /// The sender's record of itself. The message shows that it is alive, unless the record says that it left.
     pub sender: MemberRecord,
-    /// What the message is for.
+    /// The type of the message.
     pub body: MessageBody,
-    /// Records that the sender passes on.
+    /// Member records gossiped or synchronized by the sender.
     pub members: Vec<MemberRecord>,
-    /// Views of zones that the sender passes on.
+    /// Zone views gossiped by the sender.
     pub zones: Vec<ZoneRecord>,
 }
