--- a/crates/membership/src/rumor.rs
+++ b/crates/membership/src/rumor.rs
@@ -1,11 +1,11 @@
-//! Records that are passed on with probes, each a bounded number of times.
+//! Gossip: records that are piggybacked on messages, each a bounded number of times.
 
 use std::collections::BTreeMap;
 
-/// Each rumor is passed on this many times the logarithm of the number of members.
+/// Each rumor is sent this many times the binary logarithm of the number of members.
 const TRANSMISSION_FACTOR: u32 = 2;
 
-/// Rumors to pass on, the least transmitted first; a newer rumor of the same subject replaces the older one.
+/// Rumors to send, the least transmitted first. A newer rumor about the same subject replaces the older one.
 #[derive(Clone, Debug)]
 pub struct RumorQueue<Subject, Record> {
     rumors: BTreeMap<Subject, Rumor<Record>>,
@@ -18,23 +18,24 @@
 }
 
 impl<Subject: Ord + Clone, Record: Clone> RumorQueue<Subject, Record> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         RumorQueue { rumors: BTreeMap::new() }
     }
 
-    /// Adds a rumor, in place of an older one of the same subject.
+    /// Adds a rumor, replacing an older one about the same subject.
     pub fn push(&mut self, subject: Subject, record: Record) {
         self.rumors.insert(subject, Rumor { record, transmissions: 0 });
     }
 
-    /// Takes up to `maximum` rumors for one message to a fleet of `members`.
-    pub fn take(&mut self, maximum: usize, members: usize) -> Vec<Record> {
+    /// Returns up to `max_records` rumors for one message in a fleet of `members`, and drops those that reach their
+    /// transmission limit.
+    pub fn take(&mut self, max_records: usize, members: usize) -> Vec<Record> {
         let limit = TRANSMISSION_FACTOR * (usize::BITS - members.leading_zeros()).max(1);
         let mut chosen: Vec<(u32, Subject)> =
             self.rumors.iter().map(|(subject, rumor)| (rumor.transmissions, subject.clone())).collect();
         chosen.sort();
-        chosen.truncate(maximum);
+        chosen.truncate(max_records);
         let mut records = Vec::with_capacity(chosen.len());
         for (_, subject) in chosen {
             let Some(rumor) = self.rumors.get_mut(&subject) else { continue };
@@ -47,12 +48,12 @@
         records
     }
 
-    /// The number of rumors waiting.
+    /// The number of queued rumors.
     pub fn len(&self) -> usize {
         self.rumors.len()
     }
 
-    /// Whether no rumor waits.
+    /// Whether no rumor is queued.
     pub fn is_empty(&self) -> bool {
         self.rumors.is_empty()
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Converts membership messages from and to their protobuf form.
+//! Conversion of membership messages to and from protobuf.
 
 use quillhatch_messages::generated::membership as proto;
 use quillhatch_messages::{decode, encode};
@@ -15,7 +15,7 @@
 const SYNC_ANSWER: u32 = 5;
 
 impl MembershipMessage {
-    /// Encodes the message.
+    /// Encodes the message as protobuf bytes.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, subject, digests) = match &self.body {
             MessageBody::Ping => (PING, None, Vec::new()),
@@ -35,11 +35,11 @@
         })
     }
 
-    /// Decodes a message.
+    /// Decodes a message from protobuf bytes.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the first field that is not valid.
+    /// Returns an error for the first field that is not valid.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         let message: proto::MembershipMessage = decode(bytes)?;
         let subject = message.subject.as_ref().map(info_from_wire).transpose()?;
