--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes that wait for their acknowledgement.
+//! Probes that await an acknowledgement.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,46 @@
 
 use crate::member::MemberInfo;
 
-/// How far a probe has come.
+/// The stage of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeStage {
-    /// Pinged directly.
+    /// Only this node pings the member.
     Direct,
-    /// Pinged through others as well.
+    /// Other members ping it as well. A probe relayed for another node is always in this stage.
     Indirect,
 }
 
 /// Why a probe was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbePurpose {
-    /// To find out whether a member of this node's view is there.
+    /// To check for this node whether a member is alive or its zone reachable.
     Own,
-    /// In the place of another node, which is told of the answer.
+    /// On behalf of another node, to which the acknowledgement is forwarded.
     Relayed {
-        /// Who asked.
+        /// The node that requested the probe.
         requester: NodeAddress,
-        /// The requester's own sequence number.
+        /// The requester's sequence number of the probe.
         sequence: u64,
     },
 }
 
-/// A probe that waits.
+/// A probe that awaits an acknowledgement.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Who was pinged.
+    /// The probed member.
     pub subject: MemberInfo,
-    /// Why.
+    /// Why it was sent.
     pub purpose: ProbePurpose,
-    /// How far it has come.
+    /// Its current stage.
     pub stage: ProbeStage,
-    /// When the stage ends.
+    /// When the current stage times out.
     pub deadline: Timestamp,
 }
 
-/// All probes that wait, by sequence number.
+/// All pending probes by sequence number.
 #[derive(Clone, Debug, Default)]
 pub struct Probes {
-    waiting: BTreeMap<u64, Probe>,
+    pending: BTreeMap<u64, Probe>,
     last_sequence: u64,
 }
 
@@ -53,34 +53,34 @@
     /// Adds a probe and returns its sequence number.
     pub fn add(&mut self, probe: Probe) -> u64 {
         self.last_sequence += 1;
-        self.waiting.insert(self.last_sequence, probe);
+        self.pending.insert(self.last_sequence, probe);
         self.last_sequence
     }
 
     /// Removes and returns the probe with this sequence number.
     pub fn acknowledge(&mut self, sequence: u64) -> Option<Probe> {
-        self.waiting.remove(&sequence)
+        self.pending.remove(&sequence)
     }
 
-    /// Removes and returns the probes whose stage ended.
+    /// Removes and returns the probes whose current stage timed out.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<(u64, Probe)> {
         let expired: Vec<u64> =
-            self.waiting.iter().filter(|(_, probe)| probe.deadline <= now).map(|(sequence, _)| *sequence).collect();
-        expired.into_iter().filter_map(|sequence| Some((sequence, self.waiting.remove(&sequence)?))).collect()
+            self.pending.iter().filter(|(_, probe)| probe.deadline <= now).map(|(sequence, _)| *sequence).collect();
+        expired.into_iter().filter_map(|sequence| Some((sequence, self.pending.remove(&sequence)?))).collect()
     }
 
     /// Puts a probe back under its sequence number for its next stage.
     pub fn resume(&mut self, sequence: u64, probe: Probe) {
-        self.waiting.insert(sequence, probe);
+        self.pending.insert(sequence, probe);
     }
 
-    /// Forgets all probes.
+    /// Drops all pending probes.
     pub fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
     }
 
-    /// When the next stage ends.
+    /// The earliest deadline of a pending probe.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        self.waiting.values().map(|probe| probe.deadline).min()
+        self.pending.values().map(|probe| probe.deadline).min()
     }
 }
--- a/crates/membership/src/zones.rs
+++ b/crates/membership/src/zones.rs
@@ -1,4 +1,4 @@
-//! Whether other zones can be reached: delegates of each zone probe the others and tell their own zone.
+//! Reachability of other zones: delegates of each zone probe the other zones and gossip the result in their own zone.
 
 use std::collections::BTreeMap;
 
@@ -7,73 +7,75 @@
 use crate::member::ZoneId;
 use crate::message::ZoneRecord;
 
-/// The outcome of this node's own probes of one zone.
+/// Consecutive timed-out probes of one zone by this node.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneProbes {
     failures: u32,
     first_failure: Option<Timestamp>,
 }
 
-/// What delegates say of each zone, and this node's own findings while it is one.
+/// The views of each zone by the delegates of the local zone, and the results of this node's own probes while it is a
+/// delegate.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneViews {
-    opinions: BTreeMap<ZoneId, BTreeMap<NodeId, ZoneRecord>>,
+    views_by_zone: BTreeMap<ZoneId, BTreeMap<NodeId, ZoneRecord>>,
     probes: BTreeMap<ZoneId, ZoneProbes>,
     version: u64,
 }
 
 impl ZoneViews {
-    /// Takes a delegate's view; returns whether it is news.
+    /// Stores a delegate's view if it is newer than the known one; returns whether it was stored.
     pub fn accept(&mut self, record: ZoneRecord) -> bool {
-        let opinions = self.opinions.entry(record.zone.clone()).or_default();
-        match opinions.get(&record.observer) {
+        let views = self.views_by_zone.entry(record.zone.clone()).or_default();
+        match views.get(&record.observer) {
             Some(known) if known.version >= record.version => false,
             _ => {
-                opinions.insert(record.observer, record);
+                views.insert(record.observer, record);
                 true
             }
         }
     }
 
-    /// Whether a zone can be reached, by the views of the present `delegates` of this node's zone.
+    /// Whether a zone is reachable according to `delegates`, the current delegates of the local zone.
     ///
-    /// A zone is unreachable only if every delegate with a view says so, so that one cut-off delegate decides nothing.
+    /// A zone is unreachable only if every delegate with a view reports it so: a single delegate that is partitioned from
+    /// the zone must not decide alone.
     pub fn is_reachable(&self, zone: &ZoneId, delegates: &[NodeId]) -> bool {
-        let Some(opinions) = self.opinions.get(zone) else { return true };
-        let mut views = delegates.iter().filter_map(|delegate| opinions.get(delegate)).peekable();
-        views.peek().is_none() || views.any(|view| view.reachable)
+        let Some(views) = self.views_by_zone.get(zone) else { return true };
+        let mut delegate_views = delegates.iter().filter_map(|delegate| views.get(delegate)).peekable();
+        delegate_views.peek().is_none() || delegate_views.any(|view| view.reachable)
     }
 
-    /// Counts an answer from a zone; returns this node's new view if it changed.
+    /// Resets the failure count of a zone that answered; returns this node's new view if it changed.
     pub fn record_answer(&mut self, zone: &ZoneId, observer: NodeId) -> Option<ZoneRecord> {
         self.probes.remove(zone);
-        self.change_view(zone, observer, true)
+        self.update_view(zone, observer, true)
     }
 
-    /// Counts an unanswered probe; returns this node's new view if it changed.
+    /// Counts a timed-out probe; returns this node's new view if it changed.
     pub fn record_failure(
         &mut self,
         zone: &ZoneId,
         observer: NodeId,
         now: Timestamp,
-        failures_needed: u32,
+        failure_threshold: u32,
     ) -> Option<ZoneRecord> {
         let probes = self.probes.entry(zone.clone()).or_default();
         probes.failures += 1;
         probes.first_failure.get_or_insert(now);
-        if probes.failures < failures_needed {
+        if probes.failures < failure_threshold {
             return None;
         }
-        self.change_view(zone, observer, false)
+        self.update_view(zone, observer, false)
     }
 
-    /// Forgets what was counted before a pause of this process.
+    /// Resets all failure counts after a pause of this process.
     pub fn forget_failures(&mut self) {
         self.probes.clear();
     }
 
-    fn change_view(&mut self, zone: &ZoneId, observer: NodeId, reachable: bool) -> Option<ZoneRecord> {
-        let known = self.opinions.get(zone).and_then(|opinions| opinions.get(&observer));
+    fn update_view(&mut self, zone: &ZoneId, observer: NodeId, reachable: bool) -> Option<ZoneRecord> {
+        let known = self.views_by_zone.get(zone).and_then(|views| views.get(&observer));
         let unchanged = known.map_or(reachable, |record| record.reachable == reachable);
         if unchanged {
             return None;
