--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state machine of failure detection.
+//! The state machine of failure detection and membership.
 
 mod receive;
 mod schedule;
@@ -17,39 +17,39 @@
 use crate::table::MemberTable;
 use crate::zones::ZoneViews;
 
-/// What can happen to the membership of a node.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipInput {
     /// A message arrived.
     Message(Box<MembershipMessage>),
-    /// Addresses at which members may be found: from the settings, or the platform's lagging list.
+    /// Addresses at which members may be found: from the settings, or from the platform's list, which may be outdated.
     Seeds(Vec<NodeAddress>),
-    /// This node leaves for good.
+    /// This node leaves the fleet and does not return under this incarnation.
     Leave,
-    /// Time has passed.
+    /// A timer may be due.
     Tick,
 }
 
-/// A member whose presence changed, as this node sees it.
+/// A change of a member's status in this node's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberChange {
     /// The member.
     pub member: MemberInfo,
-    /// Its status; `Failed` also while its whole zone cannot be reached.
+    /// Its new status. `Failed` is also reported when its whole zone becomes unreachable.
     pub status: MemberStatus,
 }
 
-/// What the membership of a node wants done.
+/// An output of the state machine, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipOutput {
     /// Send a message.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: NodeAddress,
         /// The message.
         message: Box<MembershipMessage>,
     },
-    /// A member's presence changed.
+    /// A member's status changed.
     Changed(MemberChange),
 }
 
@@ -64,12 +64,12 @@
     zone_rumors: RumorQueue<(NodeId, ZoneId), ZoneRecord>,
     zones: ZoneViews,
     probes: Probes,
-    /// The members that this node itself accused; it decides on their failure.
-    accused: BTreeSet<NodeId>,
-    /// The delegates of this node's own zone; kept, since every view of another zone rests on them.
-    own_delegates: Vec<NodeId>,
+    /// Members that this node suspects because its own probe timed out. It decides whether they failed.
+    suspected_here: BTreeSet<NodeId>,
+    /// The delegates of the local zone. Cached, because every check of another zone's reachability needs them.
+    local_delegates: Vec<NodeId>,
     probe_order: Vec<NodeId>,
-    foreign_zone_order: Vec<ZoneId>,
+    remote_site_zone_order: Vec<ZoneId>,
     seeds: Vec<NodeAddress>,
     next_probe: Timestamp,
     next_sync: Timestamp,
@@ -77,11 +77,11 @@
 }
 
 impl Membership {
-    /// The membership of the node `own`.
+    /// Creates the membership of the node `own`. `seed` seeds its random generator.
     pub fn new(own: MemberInfo, settings: MembershipSettings, seed: u64) -> Self {
-        let own_delegates = vec![own.node];
+        let local_delegates = vec![own.node];
         Membership {
-            own_delegates,
+            local_delegates,
             own: MemberRecord { info: own, refutation: 0, status: MemberStatus::Alive },
             settings,
             generator: Pcg64::seed_from_u64(seed),
@@ -90,9 +90,9 @@
             zone_rumors: RumorQueue::new(),
             zones: ZoneViews::default(),
             probes: Probes::default(),
-            accused: BTreeSet::new(),
+            suspected_here: BTreeSet::new(),
             probe_order: Vec::new(),
-            foreign_zone_order: Vec::new(),
+            remote_site_zone_order: Vec::new(),
             seeds: Vec::new(),
             next_probe: Timestamp::ZERO,
             next_sync: Timestamp::ZERO,
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Takes one input and appends what is to be done to `outputs`.
+    /// Handles one input and appends the resulting outputs to `outputs`.
     pub fn step(&mut self, now: Timestamp, input: MembershipInput, outputs: &mut Vec<MembershipOutput>) {
-        self.guard_against_own_pause(now);
+        self.handle_local_pause(now);
         match input {
             MembershipInput::Message(message) => self.receive(now, *message, outputs),
             MembershipInput::Seeds(seeds) => self.set_seeds(seeds),
@@ -114,37 +114,37 @@
         }
     }
 
-    /// When the next timer runs out.
+    /// When the next timer is due.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        // A node that left does nothing more; a timer in its past would keep the driver stepping it for ever.
+        // A node that left has no timers. A timer in the past would make the driver step it endlessly.
         if self.own.status == MemberStatus::Left {
             return None;
         }
-        let expiry = self.table.ageing().map(|member| member.since + self.age_limit(&member.record)).min();
+        let expiry = self.table.expiring().map(|member| member.since + self.status_timeout(&member.record)).min();
         let timers = [Some(self.next_probe), self.probes.next_deadline(), expiry];
         timers.into_iter().flatten().min()
     }
 
-    /// This node as it presents itself.
+    /// This node's own member information.
     pub fn own(&self) -> &MemberInfo {
         &self.own.info
     }
 
-    /// The number of members held, failed ones included, without this node.
+    /// The number of members in the table, including failed ones and those that left, without this node.
     pub fn member_count(&self) -> usize {
         self.table.len()
     }
 
-    /// The members that can be reached, without this node.
+    /// The alive and suspected members in reachable zones, without this node.
     pub fn reachable(&self) -> impl Iterator<Item = &MemberInfo> {
         let zones = self.table.zones().filter(|zone| self.is_zone_reachable(zone));
         zones.flat_map(|zone| self.table.present_in_zone(zone))
     }
 
-    /// The delegates of this node's zone: its first present members in the order of their runs' numbers.
+    /// Selects the delegates of the local zone: its first present members in the order of their incarnation numbers.
     ///
-    /// The order is random between nodes and the same for all that know the same members.
-    fn find_delegates(&self) -> Vec<NodeId> {
+    /// Incarnations are random, so the order is too, and all nodes with the same members select the same delegates.
+    fn select_delegates(&self) -> Vec<NodeId> {
         let others = self.table.present_in_zone(&self.own.info.zone).map(|info| info.node);
         let mut nodes: Vec<NodeId> = others.chain([self.own.info.node]).collect();
         nodes.sort_by_key(|node| (node.incarnation, node.address));
@@ -152,18 +152,18 @@
         nodes
     }
 
-    /// Stores a record, or forgets a member, and keeps the delegates in step.
+    /// Stores a record and updates the delegates if a member of the local zone appeared or went away.
     fn set_member(&mut self, now: Timestamp, record: MemberRecord) {
         let was_present = self.table.get(&record.info.node).is_some_and(|known| known.record.status.is_present());
         let changes_delegates = record.info.zone == self.own.info.zone && was_present != record.status.is_present();
         self.table.set(record, now);
         if changes_delegates {
-            self.own_delegates = self.find_delegates();
+            self.local_delegates = self.select_delegates();
         }
     }
 
     fn is_zone_reachable(&self, zone: &ZoneId) -> bool {
-        *zone == self.own.info.zone || self.zones.is_reachable(zone, &self.own_delegates)
+        *zone == self.own.info.zone || self.zones.is_reachable(zone, &self.local_delegates)
     }
 
     fn set_seeds(&mut self, seeds: Vec<NodeAddress>) {
@@ -175,7 +175,7 @@
 
     fn leave(&mut self, outputs: &mut Vec<MembershipOutput>) {
         self.own.status = MemberStatus::Left;
-        let delegates = self.own_delegates.clone();
+        let delegates = self.local_delegates.clone();
         let neighbours: Vec<NodeAddress> = self
             .table
             .present_in_zone(&self.own.info.zone)
@@ -196,8 +196,8 @@
         outputs.push(MembershipOutput::Send { to, message });
     }
 
-    /// Stores what is newer than the known, passes it on, and reports a change of presence.
-    fn learn(&mut self, now: Timestamp, record: MemberRecord, outputs: &mut Vec<MembershipOutput>) {
+    /// Stores a record that is newer than the known one, gossips it, and reports a change of status.
+    fn merge_member(&mut self, now: Timestamp, record: MemberRecord, outputs: &mut Vec<MembershipOutput>) {
         let node = record.info.node;
         if node == self.own.info.node {
             self.refute(&record);
@@ -207,11 +207,11 @@
         match &known {
             Some(known) if !record.supersedes(known) => return,
             None if !record.status.is_present() && record.status != MemberStatus::Failed => return,
-            None if self.table.len() >= self.settings.maximum_members => return,
+            None if self.table.len() >= self.settings.max_members => return,
             _ => {}
         }
         if record.status != MemberStatus::Suspected {
-            self.accused.remove(&node);
+            self.suspected_here.remove(&node);
         }
         self.set_member(now, record.clone());
         self.member_rumors.push(node, record.clone());
@@ -222,21 +222,23 @@
         }
     }
 
-    fn refute(&mut self, accusation: &MemberRecord) {
-        let accused = accusation.status != MemberStatus::Alive && accusation.refutation >= self.own.refutation;
-        if !accused || !self.settings.mechanisms.refutation || self.own.status == MemberStatus::Left {
+    /// Refutes a record that reports this node as suspected, failed or left.
+    fn refute(&mut self, report: &MemberRecord) {
+        let must_refute = report.status != MemberStatus::Alive && report.refutation >= self.own.refutation;
+        if !must_refute || !self.settings.mechanisms.refutation || self.own.status == MemberStatus::Left {
             return;
         }
-        self.own.refutation = accusation.refutation + 1;
+        self.own.refutation = report.refutation + 1;
         self.member_rumors.push(self.own.info.node, self.own.clone());
     }
 
-    /// Takes a view of a zone and reports its members as failed or back if that changes whether it is reachable.
-    fn learn_zone(&mut self, record: ZoneRecord, outputs: &mut Vec<MembershipOutput>) {
+    /// Stores a delegate's view of a zone. If that changes whether the zone is reachable, reports its members as failed or
+    /// alive.
+    fn merge_zone_view(&mut self, record: ZoneRecord, outputs: &mut Vec<MembershipOutput>) {
         let zone = record.zone.clone();
-        let own_zone = self.own.info.zone.clone();
-        let from_own_zone = self.own_delegates.contains(&record.observer);
-        if zone == own_zone || !from_own_zone {
+        let local_zone = self.own.info.zone.clone();
+        let from_local_delegate = self.local_delegates.contains(&record.observer);
+        if zone == local_zone || !from_local_delegate {
             return;
         }
         let before = self.is_zone_reachable(&zone);
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What a node does with a message.
+//! Handling of received messages.
 
 use quillhatch_types::{NodeAddress, Timestamp};
 
@@ -7,18 +7,18 @@
 use crate::message::{MembershipMessage, MessageBody, ZoneDigest};
 use crate::probe::{Probe, ProbePurpose, ProbeStage};
 
-/// Records on one page of a synchronization answer; a page stays well below the largest payload.
+/// Records on one page of a sync answer. A page stays well below the maximum payload size.
 const RECORDS_PER_PAGE: usize = 500;
 
 impl Membership {
     pub(super) fn receive(&mut self, now: Timestamp, message: MembershipMessage, outputs: &mut Vec<MembershipOutput>) {
         let sender = message.sender.info.clone();
-        self.learn_sender(now, message.sender, outputs);
+        self.merge_sender(now, message.sender, outputs);
         for record in message.members {
-            self.learn(now, record, outputs);
+            self.merge_member(now, record, outputs);
         }
         for record in message.zones {
-            self.learn_zone(record, outputs);
+            self.merge_zone_view(record, outputs);
         }
         let from = sender.node.address;
         match message.body {
@@ -35,31 +35,32 @@
         }
     }
 
-    /// The message itself proves that the sender is alive, or that it leaves; an older run at its address is gone.
-    fn learn_sender(&mut self, now: Timestamp, sender: MemberRecord, outputs: &mut Vec<MembershipOutput>) {
-        self.fail_older_runs(now, &sender.info, outputs);
+    /// Merges the sender's record. The message proves that the sender is alive or left, and that older incarnations at its
+    /// address have ended.
+    fn merge_sender(&mut self, now: Timestamp, sender: MemberRecord, outputs: &mut Vec<MembershipOutput>) {
+        self.fail_other_incarnations(now, &sender.info, outputs);
         let node = sender.info.node;
-        let accused = self
+        let newer_report = self
             .table
             .get(&node)
             .filter(|member| member.record.status != MemberStatus::Alive && !sender.supersedes(&member.record))
             .map(|member| member.record.clone());
-        match accused {
-            // Told with the next answer, so that it can refute.
-            Some(accusation) if sender.status != MemberStatus::Left => self.member_rumors.push(node, accusation),
-            _ => self.learn(now, sender, outputs),
+        match newer_report {
+            // The report is gossiped with the next messages, also to the sender, so that it can refute.
+            Some(report) if sender.status != MemberStatus::Left => self.member_rumors.push(node, report),
+            _ => self.merge_member(now, sender, outputs),
         }
     }
 
-    fn fail_older_runs(&mut self, now: Timestamp, current: &MemberInfo, outputs: &mut Vec<MembershipOutput>) {
-        let older: Vec<MemberRecord> = self
+    fn fail_other_incarnations(&mut self, now: Timestamp, current: &MemberInfo, outputs: &mut Vec<MembershipOutput>) {
+        let others: Vec<MemberRecord> = self
             .table
             .at_address(current.node.address)
             .filter(|member| member.record.info.node != current.node && member.record.status.is_present())
             .map(|member| member.record.clone())
             .collect();
-        for record in older {
-            self.learn(now, MemberRecord { status: MemberStatus::Failed, ..record }, outputs);
+        for record in others {
+            self.merge_member(now, MemberRecord { status: MemberStatus::Failed, ..record }, outputs);
         }
     }
 
@@ -92,7 +93,7 @@
         let Some(probe) = self.probes.acknowledge(sequence) else { return };
         if answered.node != probe.subject.node {
             // Another run answers at the address: the probed one is gone.
-            self.fail_older_runs(now, &answered, outputs);
+            self.fail_other_incarnations(now, &answered, outputs);
         }
         match probe.purpose {
             ProbePurpose::Relayed { requester, sequence } => {
@@ -115,8 +116,8 @@
 
     fn answer_sync(&mut self, to: NodeAddress, digests: &[ZoneDigest], outputs: &mut Vec<MembershipOutput>) {
         let differs = |zone: &ZoneId| {
-            let theirs = digests.iter().find(|digest| digest.zone == *zone).map(|digest| digest.digest);
-            theirs != Some(self.table.digest(zone))
+            let remote_digest = digests.iter().find(|digest| digest.zone == *zone).map(|digest| digest.digest);
+            remote_digest != Some(self.table.digest(zone))
         };
         let zones: Vec<ZoneId> = self.table.zones().filter(|zone| differs(zone)).cloned().collect();
         let records: Vec<MemberRecord> =
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,15 +1,15 @@
-//! Timings and bounds of failure detection.
+//! Timeouts and limits of failure detection.
 
 use std::time::Duration;
 
-/// Mechanisms that can be switched off, to show what each is for.
+/// Mechanisms that can be disabled, to show the effect of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipMechanisms {
-    /// Ask others to probe a silent member before it is suspected.
+    /// Ask other members to probe a member that did not answer before it is suspected.
     pub indirect_probes: bool,
-    /// Let a suspected member refute.
+    /// Let a suspected member refute the suspicion.
     pub refutation: bool,
-    /// Accuse nobody after a pause of this process itself.
+    /// Suspect or fail no member because of a pause of this process itself.
     pub pause_guard: bool,
 }
 
@@ -19,36 +19,37 @@
     }
 }
 
-/// How much longer than the accuser the other nodes wait for a refutation.
-pub const HEARSAY_FACTOR: u32 = 5;
+/// Factor on [`MembershipSettings::suspicion_timeout`] for nodes that received a suspicion from another node.
+pub const INDIRECT_SUSPICION_FACTOR: u32 = 5;
 
-/// Timings and bounds of failure detection.
+/// Timeouts and limits of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// The time between two probes by one node.
+    /// The time between two probes of members in the local zone by one node.
     pub probe_interval: Duration,
-    /// The time after which a direct probe counts as unanswered.
+    /// The timeout of a direct probe.
     pub acknowledge_timeout: Duration,
-    /// The time that a suspected member has to refute towards the node that accused it.
+    /// The time after which the node whose probe timed out declares the suspected member failed, unless it refutes.
     ///
-    /// Nodes that heard of the accusation leave the decision to the accuser and take it themselves only after
-    /// [`HEARSAY_FACTOR`] times as long, in case the accuser failed too.
+    /// Nodes that received the suspicion leave the decision to that node. They declare the member failed themselves only
+    /// after [`INDIRECT_SUSPICION_FACTOR`] times as long, in case that node failed too.
     pub suspicion_timeout: Duration,
-    /// The members asked to probe in this node's place.
+    /// The number of members asked to probe on behalf of this node.
     pub indirect_probes: usize,
-    /// The delegates of each zone.
+    /// The number of delegates of each zone.
     pub delegates_per_zone: usize,
-    /// Unanswered probes of another zone, to different members where there are, before it counts as unreachable.
+    /// The number of consecutive timed-out probes of another zone after which it counts as unreachable. The probes go to
+    /// randomly chosen members of the zone.
     pub zone_failures: u32,
-    /// The time between two comparisons of the whole view with a random member.
+    /// The time between two full synchronizations with a random member of the local zone.
     pub sync_interval: Duration,
-    /// The time for which failed members are remembered.
+    /// The time for which records of failed members and of those that left are retained.
     pub tombstone_retention: Duration,
-    /// The largest number of records in one message.
+    /// The maximum number of member records, and of zone records, gossiped in one message.
     pub records_per_message: usize,
-    /// The largest number of members held.
-    pub maximum_members: usize,
-    /// The mechanisms in force.
+    /// The maximum number of members in the table.
+    pub max_members: usize,
+    /// The enabled mechanisms.
     pub mechanisms: MembershipMechanisms,
 }
 
@@ -64,7 +65,7 @@
             sync_interval: Duration::from_secs(60),
             tombstone_retention: Duration::from_secs(600),
             records_per_message: 10,
-            maximum_members: 40_000,
+            max_members: 40_000,
             mechanisms: MembershipMechanisms::default(),
         }
     }
