--- a/crates/group/src/change.rs
+++ b/crates/group/src/change.rs
@@ -8,7 +8,7 @@
 use crate::io::{GroupOutput, ProposalRefusal, ProposalResult};
 use crate::log::Payload;
 use crate::member::Member;
-use crate::settings::MAXIMUM_VOTERS;
+use crate::settings::MAX_VOTERS;
 use crate::voters::VoterSet;
 
 /// A node may be taken in for so many inquiry intervals after it last proved to be alive.
@@ -42,7 +42,7 @@
         add: Option<NodeId>,
         remove: Option<NodeId>,
     ) -> Result<VoterSet, ProposalRefusal> {
-        let member = self.check_leading()?;
+        let member = self.require_leader()?;
         if member.change_pending() && self.settings.mechanisms.one_at_a_time {
             return Err(ProposalRefusal::ChangePending);
         }
@@ -60,7 +60,7 @@
         if next == current {
             return Err(ProposalRefusal::NothingToChange);
         }
-        if next.voters.is_empty() || next.voters.len() > MAXIMUM_VOTERS || !next.can_decide() {
+        if next.voters.is_empty() || next.voters.len() > MAX_VOTERS || !next.can_decide() {
             return Err(ProposalRefusal::CannotDecide);
         }
         Ok(next)
@@ -80,18 +80,18 @@
     }
 
     /// Brings the electorate one address closer to the configured one, so that majorities of both always meet.
-    pub(crate) fn walk_electorate(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn step_electorate(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(requirements) = &self.requirements else {
             return;
         };
         let wanted: BTreeSet<NodeAddress> = requirements.electorate.iter().copied().collect();
-        let Ok(member) = self.check_leading() else {
+        let Ok(member) = self.require_leader() else {
             return;
         };
         if member.change_pending() {
             return;
         }
-        if let Some(next) = member.latest_voters().toward_electorate(&wanted) {
+        if let Some(next) = member.latest_voters().step_toward_electorate(&wanted) {
             self.append_voters(now, next, outputs);
         }
     }
--- a/crates/group/src/election.rs
+++ b/crates/group/src/election.rs
@@ -19,13 +19,13 @@
             return;
         }
         if self.settings.mechanisms.pre_vote {
-            self.ask_beforehand(now, outputs);
+            self.start_pre_vote(now, outputs);
         } else {
             self.campaign(now, false, outputs);
         }
     }
 
-    fn ask_beforehand(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    fn start_pre_vote(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.rearm_election(now);
         let Some(member) = &mut self.member else {
             return;
@@ -91,7 +91,7 @@
 
     fn consider_vote(&mut self, now: Timestamp, from: NodeId, request: VoteRequest) -> bool {
         let mechanisms = self.settings.mechanisms;
-        if self.hears_leader(now) && !request.transfer {
+        if self.has_leader_contact(now) && !request.transfer {
             return false;
         }
         let Some(member) = &self.member else {
@@ -108,8 +108,8 @@
         let Some(member) = &mut self.member else {
             return false;
         };
-        let unspent = member.vote.is_none() || member.vote == Some(from) || !mechanisms.single_vote;
-        if request.term < member.term || !unspent || !complete {
+        let vote_available = member.vote.is_none() || member.vote == Some(from) || !mechanisms.single_vote;
+        if request.term < member.term || !vote_available || !complete {
             return false;
         }
         member.vote = Some(from);
@@ -118,7 +118,7 @@
     }
 
     /// Whether this node is in contact with a leader and therefore helps no other, which the leader's lease rests on.
-    fn hears_leader(&self, now: Timestamp) -> bool {
+    fn has_leader_contact(&self, now: Timestamp) -> bool {
         let Some(member) = &self.member else {
             return false;
         };
@@ -242,7 +242,7 @@
         if !self.stopping {
             return;
         }
-        let patience = self.settings.election_timeout_minimum;
+        let timeout = self.settings.election_timeout_minimum;
         let Some(member) = &mut self.member else {
             return;
         };
@@ -251,7 +251,7 @@
         let Some(leadership) = member.leadership_mut() else {
             return;
         };
-        if leadership.transfer.is_some_and(|transfer| now.since(transfer.since) < patience) {
+        if leadership.transfer.is_some_and(|transfer| now.since(transfer.since) < timeout) {
             return;
         }
         let tried = leadership.transfer.map(|transfer| transfer.to);
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -15,16 +15,16 @@
             return;
         };
         let taken = match accepted {
-            true => take_entries(member, &append),
+            true => append_entries(member, &append),
             // The answer's higher term tells the sender that it leads no more; in the same term there is no other leader.
-            false if append.term < member.term => Taken::Misfit { retry_at: 0 },
-            false => Taken::Contradiction,
+            false if append.term < member.term => AppendOutcome::Mismatch { retry_at: 0 },
+            false => AppendOutcome::Conflict,
         };
         let (success, index) = match taken {
-            Taken::Fitted { up_to } => (true, up_to),
-            Taken::Misfit { retry_at } => (false, retry_at),
+            AppendOutcome::Matched { up_to } => (true, up_to),
+            AppendOutcome::Mismatch { retry_at } => (false, retry_at),
             // The sender would only send the same again.
-            Taken::Contradiction => return,
+            AppendOutcome::Conflict => return,
         };
         let reply =
             AppendReply { identity: member.record.identity, term: member.term, sent: append.sent, success, index };
@@ -63,16 +63,16 @@
     }
 
     /// Hands out what is agreed and not handed out yet, and leaves if the agreed voters exclude this node.
-    pub(crate) fn hand_out(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn apply_committed(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(member) = &mut self.member else {
             return;
         };
-        while member.handed_out < member.commit {
-            let index = member.handed_out + 1;
+        while member.last_applied < member.commit {
+            let index = member.last_applied + 1;
             let Some(entry) = member.log.get(index) else {
                 break;
             };
-            member.handed_out = index;
+            member.last_applied = index;
             match &entry.payload {
                 Payload::Opening => {}
                 Payload::Voters(set) => outputs.push(GroupOutput::VotersChanged { voters: set.clone() }),
@@ -82,7 +82,7 @@
                 }
             }
         }
-        self.ask_for_snapshot(outputs);
+        self.request_snapshot(outputs);
         self.leave_if_removed(now, outputs);
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Forgets the group's state for good, and with it the right to ever answer that group again.
-    pub(crate) fn leave_for_good(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn abandon_membership(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         if let Some(retired) = self.retired.take() {
             self.abandon_group(retired.record.identity);
         }
@@ -141,7 +141,7 @@
     pub(crate) fn resume(&mut self, now: Timestamp, mut member: Member, outputs: &mut Vec<GroupOutput>) {
         let record = member.record;
         let index = member.log.base_index();
-        member.handed_out = index;
+        member.last_applied = index;
         member.contact = now;
         outputs.push(GroupOutput::Formed {
             generation: record.identity.generation,
@@ -157,26 +157,26 @@
 }
 
 /// What became of the entries of an append.
-enum Taken {
+enum AppendOutcome {
     /// Both logs agree up to there.
-    Fitted { up_to: u64 },
+    Matched { up_to: u64 },
     /// The entry before the first one is another; the leader should try after this index.
-    Misfit { retry_at: u64 },
+    Mismatch { retry_at: u64 },
     /// An agreed entry would have to be replaced, which no leader can rightly ask.
-    Contradiction,
+    Conflict,
 }
 
 /// Takes the entries if they fit.
-fn take_entries(member: &mut Member, append: &Append) -> Taken {
+fn append_entries(member: &mut Member, append: &Append) -> AppendOutcome {
     let base = member.log.base_index();
     let last = member.log.last_index();
     let known = append.previous_index < base || member.log.term_at(append.previous_index) == Some(append.previous_term);
     if !known && append.previous_index <= member.commit {
-        return Taken::Contradiction;
+        return AppendOutcome::Conflict;
     }
     if !known {
         let earlier = append.previous_index.saturating_sub(1);
-        return Taken::Misfit { retry_at: earlier.min(last) };
+        return AppendOutcome::Mismatch { retry_at: earlier.min(last) };
     }
     let mut index = append.previous_index;
     for entry in &append.entries {
@@ -185,11 +185,11 @@
             continue;
         }
         if index <= member.commit {
-            return Taken::Contradiction;
+            return AppendOutcome::Conflict;
         }
         member.log.truncate_from(index);
         member.log.append(entry.clone());
     }
     member.commit = member.commit.max(append.commit_index.min(index)).min(member.log.last_index());
-    Taken::Fitted { up_to: index }
+    AppendOutcome::Matched { up_to: index }
 }
--- a/crates/group/src/forming.rs
+++ b/crates/group/src/forming.rs
@@ -19,7 +19,7 @@
 const GENERATION_STRIDE: u64 = 1 << 16;
 
 /// How many given-up groups are remembered by name.
-const MAXIMUM_ABANDONED_GROUPS: usize = 16;
+const MAX_ABANDONED_GROUPS: usize = 16;
 
 /// A forming that this node tries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -41,7 +41,7 @@
 }
 
 /// A node that answered that it would take part in a forming.
-struct Ready {
+struct ReadyNode {
     node: NodeId,
     blank: bool,
     state: (Generation, u64),
@@ -76,17 +76,17 @@
         let Some(member) = &self.member else {
             return true;
         };
-        let silence = now.since(member.contact);
-        let unled = !member.is_leader() && silence >= self.settings.election_timeout_minimum;
-        unled && (self.proven_dead(member) || silence >= self.settings.abandon_after)
+        let since_contact = now.since(member.contact);
+        let leaderless = !member.is_leader() && since_contact >= self.settings.election_timeout_minimum;
+        leaderless && (self.has_lost_quorum(member) || since_contact >= self.settings.abandon_after)
     }
 
-    fn ready_nodes(&self, now: Timestamp, electorate: &BTreeSet<NodeAddress>) -> Vec<Ready> {
+    fn ready_nodes(&self, now: Timestamp, electorate: &BTreeSet<NodeAddress>) -> Vec<ReadyNode> {
         let own = self.answer(now, 0, self.node);
         let own = std::iter::once((self.node, &own));
         let others = self.survey.answers.values().map(|(node, answer)| (*node, answer));
         let answers = own.chain(others).filter(|(node, answer)| answer.free && electorate.contains(&node.address));
-        let mut ready: Vec<Ready> = answers.map(|(node, answer)| ready_from(node, answer)).collect();
+        let mut ready: Vec<ReadyNode> = answers.map(|(node, answer)| ready_from(node, answer)).collect();
         // Whoever kept most of an older group's state founds, so that its host can propose what it still knows.
         ready.sort_by_key(|ready| (Reverse(ready.state), ready.node));
         ready
@@ -97,7 +97,7 @@
     }
 
     fn may_found(&self, now: Timestamp, electorate: &BTreeSet<NodeAddress>) -> bool {
-        let involved = self.attempt.is_some() || self.is_engaged(now, self.node) || now < self.found_after;
+        let involved = self.attempt.is_some() || self.is_engaged(now, self.node) || now < self.next_attempt_after;
         electorate.contains(&self.node.address) && self.is_free(now) && !involved && !self.group_exists()
     }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    fn electorate_and_ready(&self, now: Timestamp) -> Option<(BTreeSet<NodeAddress>, Vec<Ready>)> {
+    fn electorate_and_ready(&self, now: Timestamp) -> Option<(BTreeSet<NodeAddress>, Vec<ReadyNode>)> {
         let requirements = self.requirements.as_ref()?;
         let electorate: BTreeSet<NodeAddress> = requirements.electorate.iter().copied().collect();
         if !self.may_found(now, &electorate) {
@@ -153,7 +153,7 @@
         &mut self,
         now: Timestamp,
         electorate: BTreeSet<NodeAddress>,
-        ready: Vec<Ready>,
+        ready: Vec<ReadyNode>,
         outputs: &mut Vec<GroupOutput>,
     ) {
         let complete = ready.len() == electorate.len();
@@ -165,7 +165,7 @@
         let record = FormationRecord { identity, claims_lost, epoch: self.remembered_epoch };
         let voters = ready.iter().map(|ready| ready.node).collect();
         let request = FormRequest { record, voters: VoterSet { voters, electorate } };
-        self.leave_for_good(now, outputs);
+        self.abandon_membership(now, outputs);
         self.consent(now, record);
         self.attempt = Some(Attempt {
             request,
@@ -210,7 +210,7 @@
         let pause = self.random.span(settings.formation_retry, settings.formation_wait);
         self.attempt = None;
         self.eligible_since = None;
-        self.found_after = now + pause;
+        self.next_attempt_after = now + pause;
         if let Some(promise) = &mut self.promise {
             promise.engaged_until = now;
         }
@@ -226,7 +226,7 @@
         let identity = request.record.identity;
         let granted = self.consider_forming(now, from, &request);
         if granted && !self.has_consented(identity) {
-            self.leave_for_good(now, outputs);
+            self.abandon_membership(now, outputs);
             self.attempt = None;
             self.consent(now, request.record);
         }
@@ -304,7 +304,7 @@
             self.resume(now, retired, outputs);
             return;
         }
-        self.leave_for_good(now, outputs);
+        self.abandon_membership(now, outputs);
         let mut member = Member::follower(record, now, now);
         member.term = FIRST_TERM;
         member.vote = Some(identity.founder);
@@ -374,7 +374,7 @@
             return true;
         }
         let unused = !promise.joined && now.since(promise.at) >= self.settings.abandon_after;
-        let dead = self.member.as_ref().is_some_and(|member| self.proven_dead(member));
+        let dead = self.member.as_ref().is_some_and(|member| self.has_lost_quorum(member));
         if unused || dead {
             self.abandon_group(promised);
             return true;
@@ -384,7 +384,7 @@
 
     pub(crate) fn abandon_group(&mut self, identity: GroupIdentity) {
         self.abandoned_groups.insert(identity);
-        if self.abandoned_groups.len() > MAXIMUM_ABANDONED_GROUPS {
+        if self.abandoned_groups.len() > MAX_ABANDONED_GROUPS {
             self.abandoned_groups.pop_first();
         }
     }
@@ -393,7 +393,7 @@
 /// The term that a group starts in.
 const FIRST_TERM: u64 = 1;
 
-fn ready_from(node: NodeId, answer: &Answer) -> Ready {
+fn ready_from(node: NodeId, answer: &Answer) -> ReadyNode {
     let state = answer.view.as_ref().map(|view| (view.identity.generation, view.commit_index));
-    Ready { node, blank: answer.blank, state: state.unwrap_or_default() }
+    ReadyNode { node, blank: answer.blank, state: state.unwrap_or_default() }
 }
--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -16,7 +16,7 @@
 use crate::voters::{ActiveSets, VoterSet};
 
 /// For how many of the longest election timeouts a stopping node leaves it to the others to be elected.
-const STOPPING_DEFERENCE: u32 = 2;
+const STOPPING_ELECTION_DELAY_FACTOR: u32 = 2;
 
 /// One node's part in the agreement of a small group.
 ///
@@ -38,7 +38,7 @@
     /// Since when a majority of the electorate was found free.
     pub(crate) eligible_since: Option<Timestamp>,
     /// Not before then does this node try to form a group again.
-    pub(crate) found_after: Timestamp,
+    pub(crate) next_attempt_after: Timestamp,
     pub(crate) survey: Survey,
     pub(crate) attempt: Option<Attempt>,
     pub(crate) promise: Option<Promise>,
@@ -51,12 +51,12 @@
 }
 
 /// Role, term and leader, compared before and after a step.
-type Standing = (Role, u64, Option<NodeId>);
+type RoleState = (Role, u64, Option<NodeId>);
 
 impl Group {
     /// A node without memory. `seed` drives the random spread of its timeouts.
     pub fn new(node: NodeId, settings: GroupSettings, seed: u64) -> Self {
-        let node = canonical(node, &settings.mechanisms);
+        let node = effective_node_id(node, &settings.mechanisms);
         Self {
             node,
             settings,
@@ -69,7 +69,7 @@
             requirements: None,
             waiting_since: Timestamp::ZERO,
             eligible_since: None,
-            found_after: Timestamp::ZERO,
+            next_attempt_after: Timestamp::ZERO,
             survey: Survey::default(),
             attempt: None,
             promise: None,
@@ -87,13 +87,13 @@
             self.started = Some(now);
             self.waiting_since = now;
         }
-        let before = self.standing();
-        self.fence_late_wake(now);
+        let before = self.role_state();
+        self.expire_state_after_pause(now);
         self.dispatch(now, input, outputs);
         self.advance_commit();
-        self.hand_out(now, outputs);
+        self.apply_committed(now, outputs);
         self.last_step = now;
-        let after = self.standing();
+        let after = self.role_state();
         if before != after {
             let (role, term, leader) = after;
             outputs.push(GroupOutput::RoleChanged { role, term, leader });
@@ -104,7 +104,7 @@
         match input {
             GroupInput::Tick => self.on_tick(now, outputs),
             GroupInput::Message { from, message } => {
-                let from = canonical(from, &self.settings.mechanisms);
+                let from = effective_node_id(from, &self.settings.mechanisms);
                 self.on_message(now, from, message, outputs);
             }
             GroupInput::Propose { ticket, command } => self.on_propose(now, ticket, command, outputs),
@@ -166,22 +166,22 @@
     ///
     /// A leader that no majority answered within the shortest election timeout may have been replaced. A follower that wakes
     /// long after its deadline has the leader's heartbeats still waiting in its sockets, so it waits once more.
-    fn fence_late_wake(&mut self, now: Timestamp) {
-        let patience = self.settings.election_timeout_minimum;
+    fn expire_state_after_pause(&mut self, now: Timestamp) {
+        let timeout = self.settings.election_timeout_minimum;
         let mechanisms = self.settings.mechanisms;
         let Some(member) = &self.member else {
             return;
         };
         if member.is_leader() {
             let contact = self.quorum_contact(now);
-            if mechanisms.check_quorum && now.since(contact) > patience {
+            if mechanisms.check_quorum && now.since(contact) > timeout {
                 self.step_down(now);
             } else if let Some(member) = &mut self.member {
                 member.contact = contact.max(member.contact);
             }
             return;
         }
-        if now > member.election_deadline + patience {
+        if now > member.election_deadline + timeout {
             self.rearm_election(now);
         }
     }
@@ -206,7 +206,7 @@
         self.attempt.as_ref().map_or(survey, |attempt| attempt.resend_at.min(survey))
     }
 
-    fn standing(&self) -> Standing {
+    fn role_state(&self) -> RoleState {
         (self.role(), self.term(), self.leader())
     }
 
@@ -277,7 +277,7 @@
 
     /// Whether a member's group can never decide again, because too many of its voters lost their memory.
     pub fn is_lost(&self) -> bool {
-        self.member.as_ref().is_some_and(|member| self.proven_dead(member))
+        self.member.as_ref().is_some_and(|member| self.has_lost_quorum(member))
     }
 
     /// Up to when this node as a leader may act alone.
@@ -323,10 +323,13 @@
     pub(crate) fn rearm_election(&mut self, now: Timestamp) {
         let settings = &self.settings;
         let span = self.random.span(settings.election_timeout_minimum, settings.election_timeout_maximum);
-        let deference =
-            if self.stopping { settings.election_timeout_maximum * STOPPING_DEFERENCE } else { Duration::ZERO };
+        let extra_delay = if self.stopping {
+            settings.election_timeout_maximum * STOPPING_ELECTION_DELAY_FACTOR
+        } else {
+            Duration::ZERO
+        };
         if let Some(member) = &mut self.member {
-            member.election_deadline = now + span + deference;
+            member.election_deadline = now + span + extra_delay;
         }
     }
 
@@ -340,7 +343,7 @@
 }
 
 /// Drops the incarnation when a test takes identity by incarnation out.
-fn canonical(node: NodeId, mechanisms: &GroupMechanisms) -> NodeId {
+fn effective_node_id(node: NodeId, mechanisms: &GroupMechanisms) -> NodeId {
     if mechanisms.incarnation_identity {
         return node;
     }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -34,6 +34,6 @@
     Answer, Append, AppendReply, FormReply, FormRequest, FormationRecord, GroupIdentity, GroupMessage, GroupView,
     SnapshotChunk, SnapshotReply, VoteReply, VoteRequest,
 };
-pub use settings::{GroupMechanisms, GroupSettings, SettingsError, MAXIMUM_BATCH_BYTES, MAXIMUM_VOTERS};
+pub use settings::{GroupMechanisms, GroupSettings, SettingsError, MAX_BATCH_BYTES, MAX_VOTERS};
 pub use voters::VoterSet;
 pub use wire::GroupDecodeError;
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -17,7 +17,7 @@
     pub leader: Option<NodeId>,
     pub log: Log,
     pub commit: u64,
-    pub handed_out: u64,
+    pub last_applied: u64,
     pub position: Position,
     pub election_deadline: Timestamp,
     /// When a leader was last heard, or when this node as a leader last had a majority's answer.
@@ -25,7 +25,7 @@
     /// Whether agreed voters have named this node.
     pub was_voter: bool,
     pub incoming: Option<IncomingSnapshot>,
-    pub snapshot_wanted: Option<u64>,
+    pub snapshot_requested: Option<u64>,
     /// Voters of which a later run has answered, so that they will never vote again.
     pub dead: BTreeSet<NodeId>,
 }
@@ -66,7 +66,7 @@
     /// Whether the follower's log did not fit; until it does, nothing is sent ahead of its answers.
     pub probing: bool,
     /// Whether an answer came since the last heartbeat.
-    pub moving: bool,
+    pub answered_since_heartbeat: bool,
     pub snapshot: Option<OutgoingSnapshot>,
 }
 
@@ -86,7 +86,14 @@
 
 impl Progress {
     pub fn starting_at(next_index: u64) -> Self {
-        Self { match_index: 0, next_index, answered: None, probing: false, moving: true, snapshot: None }
+        Self {
+            match_index: 0,
+            next_index,
+            answered: None,
+            probing: false,
+            answered_since_heartbeat: true,
+            snapshot: None,
+        }
     }
 }
 
@@ -99,13 +106,13 @@
             leader: None,
             log: Log::default(),
             commit: 0,
-            handed_out: 0,
+            last_applied: 0,
             position: Position::Follower,
             election_deadline,
             contact: now,
             was_voter: false,
             incoming: None,
-            snapshot_wanted: None,
+            snapshot_requested: None,
             dead: BTreeSet::new(),
         }
     }
--- a/crates/group/src/replication.rs
+++ b/crates/group/src/replication.rs
@@ -7,7 +7,7 @@
 use crate::log::{Entry, Payload};
 use crate::member::Member;
 use crate::message::{Append, AppendReply, GroupMessage};
-use crate::settings::MAXIMUM_BATCH_BYTES;
+use crate::settings::MAX_BATCH_BYTES;
 
 /// How many entries may be on their way to one follower without an answer.
 const REPLICATION_WINDOW: u64 = 512;
@@ -25,8 +25,8 @@
     }
 
     fn check_proposal(&self, command: &[u8]) -> Result<(), ProposalRefusal> {
-        let member = self.check_leading()?;
-        if command.len() > MAXIMUM_BATCH_BYTES {
+        let member = self.require_leader()?;
+        if command.len() > MAX_BATCH_BYTES {
             return Err(ProposalRefusal::CommandTooLarge);
         }
         let entries_full = member.log.len() >= self.settings.log_entries * LOG_HARD_LIMIT_FACTOR;
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    pub(crate) fn check_leading(&self) -> Result<&Member, ProposalRefusal> {
+    pub(crate) fn require_leader(&self) -> Result<&Member, ProposalRefusal> {
         let refusal = ProposalRefusal::NotLeader { leader: self.leader_hint() };
         let member = self.member.as_ref().ok_or(refusal)?;
         if !member.is_leader() {
@@ -76,12 +76,12 @@
         leadership.heartbeat_due = now + heartbeat;
         for progress in leadership.progress.values_mut() {
             // Nothing was answered since the last heartbeat: what was sent may be lost, so begin again where both agree.
-            if !progress.moving {
+            if !progress.answered_since_heartbeat {
                 progress.next_index = progress.next_index.min(progress.match_index + 1);
             }
-            progress.moving = false;
+            progress.answered_since_heartbeat = false;
         }
-        self.walk_electorate(now, outputs);
+        self.step_electorate(now, outputs);
         self.replicate_to_all(now, outputs);
         self.extend_lease(now, outputs);
         self.continue_transfer(now, outputs);
@@ -112,7 +112,7 @@
         let previous_index = progress.next_index - 1;
         let window_open = previous_index < progress.match_index + REPLICATION_WINDOW;
         let entries = match window_open {
-            true => member.log.batch_from(progress.next_index, MAXIMUM_BATCH_BYTES),
+            true => member.log.batch_from(progress.next_index, MAX_BATCH_BYTES),
             false => Vec::new(),
         };
         let next_index = progress.next_index + entries.len() as u64;
@@ -195,7 +195,7 @@
         };
         let sent = Timestamp(sent).min(now);
         progress.answered = progress.answered.max(Some(sent));
-        progress.moving = true;
+        progress.answered_since_heartbeat = true;
         self.extend_lease(now, outputs);
         true
     }
--- a/crates/group/src/settings.rs
+++ b/crates/group/src/settings.rs
@@ -5,10 +5,10 @@
 use derive_more::{Display, Error};
 
 /// Largest size in bytes of one command and of the entries of one append message.
-pub const MAXIMUM_BATCH_BYTES: usize = 64 * 1024;
+pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 
 /// Largest number of voters that a message may name.
-pub const MAXIMUM_VOTERS: usize = 32;
+pub const MAX_VOTERS: usize = 32;
 
 /// Times and bounds of a group; all nodes of a group must use the same times.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/group/src/snapshot.rs
+++ b/crates/group/src/snapshot.rs
@@ -7,20 +7,20 @@
 use crate::log::Log;
 use crate::member::{IncomingSnapshot, Member, OutgoingSnapshot};
 use crate::message::{GroupMessage, SnapshotChunk, SnapshotReply};
-use crate::settings::MAXIMUM_BATCH_BYTES;
+use crate::settings::MAX_BATCH_BYTES;
 
 impl Group {
     /// Asks the host once per bound's worth of agreed entries.
-    pub(crate) fn ask_for_snapshot(&mut self, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn request_snapshot(&mut self, outputs: &mut Vec<GroupOutput>) {
         let (entries, bytes) = (self.settings.log_entries, self.settings.log_bytes);
         let Some(member) = &mut self.member else {
             return;
         };
         let over = member.log.len() >= entries || member.log.bytes() >= bytes;
-        let index = member.handed_out;
-        let asked = member.snapshot_wanted.is_some_and(|wanted| wanted > member.log.base_index());
+        let index = member.last_applied;
+        let asked = member.snapshot_requested.is_some_and(|wanted| wanted > member.log.base_index());
         if over && !asked && index > member.log.base_index() {
-            member.snapshot_wanted = Some(index);
+            member.snapshot_requested = Some(index);
             outputs.push(GroupOutput::NeedSnapshot { index });
         }
     }
@@ -31,7 +31,7 @@
         let Some(member) = &mut self.member else {
             return;
         };
-        let usable = index <= member.handed_out && index > member.log.base_index();
+        let usable = index <= member.last_applied && index > member.log.base_index();
         if usable && bytes.len() <= limit {
             member.log.compact(index, bytes);
         }
@@ -47,7 +47,7 @@
         let current = progress.and_then(|progress| progress.snapshot).filter(|outgoing| outgoing.index == index);
         let outgoing = current.unwrap_or(OutgoingSnapshot { index, offset: 0 });
         let start = (outgoing.offset as usize).min(snapshot.len());
-        let end = (start + MAXIMUM_BATCH_BYTES).min(snapshot.len());
+        let end = (start + MAX_BATCH_BYTES).min(snapshot.len());
         let chunk = SnapshotChunk {
             record: member.record,
             term: member.term,
@@ -83,7 +83,7 @@
         }
         let mut received = 0;
         if accepted && chunk.total <= limit {
-            received = take_chunk(member, &chunk, outputs);
+            received = append_chunk(member, &chunk, outputs);
         }
         let reply = SnapshotReply {
             identity: member.record.identity,
@@ -130,7 +130,7 @@
 }
 
 /// Adds a piece in order and installs the snapshot when it is whole; returns the bytes held.
-fn take_chunk(member: &mut Member, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
+fn append_chunk(member: &mut Member, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
     if chunk.index <= member.commit {
         return chunk.total;
     }
@@ -170,7 +170,7 @@
         member.log = Log::from_snapshot(chunk.index, chunk.index_term, chunk.voters.clone(), bytes.clone());
     }
     member.commit = chunk.index;
-    member.handed_out = chunk.index;
+    member.last_applied = chunk.index;
     outputs.push(GroupOutput::InstallSnapshot { index: chunk.index, bytes });
     outputs.push(GroupOutput::VotersChanged { voters: chunk.voters.clone() });
 }
--- a/crates/group/src/survey.rs
+++ b/crates/group/src/survey.rs
@@ -10,7 +10,7 @@
 use crate::message::{Answer, GroupMessage, GroupView};
 
 /// How many nodes that ask to be taken in a leader keeps in mind.
-const MAXIMUM_JOINERS: usize = 64;
+const MAX_JOINERS: usize = 64;
 
 /// The answers of the current round of inquiries.
 ///
@@ -117,10 +117,10 @@
             return;
         }
         if self.member.as_ref().is_some_and(Member::is_leader) {
-            self.note_joiner(now, from, &answer, outputs);
+            self.record_joiner(now, from, &answer, outputs);
             return;
         }
-        self.note_dead_voter(from);
+        self.record_dead_voters(from);
         self.ask_leader_to_join(&answer, outputs);
         self.survey.answers.insert(from.address, (from, answer));
         self.form_if_complete(now, outputs);
@@ -141,17 +141,17 @@
         let own = member.record.identity;
         let replaced = view.identity.generation > own.generation && view.leader.is_some();
         if replaced {
-            self.leave_for_good(now, outputs);
+            self.abandon_membership(now, outputs);
             return;
         }
-        let unled = now.since(member.contact) >= self.settings.election_timeout_maximum && !member.is_leader();
+        let leaderless = now.since(member.contact) >= self.settings.election_timeout_maximum && !member.is_leader();
         let ahead = view.identity == own && view.term >= member.term && view.commit_index > member.log.last_index();
-        if unled && ahead && !view.voters.voters.contains(&self.node) {
+        if leaderless && ahead && !view.voters.voters.contains(&self.node) {
             self.retire(now, outputs);
         }
     }
 
-    fn note_joiner(&mut self, now: Timestamp, from: NodeId, answer: &Answer, outputs: &mut Vec<GroupOutput>) {
+    fn record_joiner(&mut self, now: Timestamp, from: NodeId, answer: &Answer, outputs: &mut Vec<GroupOutput>) {
         let Some(member) = &mut self.member else {
             return;
         };
@@ -162,20 +162,20 @@
         let Some(leadership) = member.leadership_mut() else {
             return;
         };
-        if leadership.joiners.len() >= MAXIMUM_JOINERS && !leadership.joiners.contains_key(&from) {
+        if leadership.joiners.len() >= MAX_JOINERS && !leadership.joiners.contains_key(&from) {
             return;
         }
         leadership.joiners.insert(from, now);
         outputs.push(GroupOutput::JoinRequested { node: from });
     }
 
-    fn note_dead_voter(&mut self, from: NodeId) {
+    fn record_dead_voters(&mut self, from: NodeId) {
         let Some(member) = &mut self.member else {
             return;
         };
         let own = self.node;
-        let outlived = |voter: &NodeId, run: NodeId| voter.address == run.address && *voter != run;
-        let replaced = |voter: &NodeId| outlived(voter, from) || outlived(voter, own);
+        let replaced_by_run = |voter: &NodeId, run: NodeId| voter.address == run.address && *voter != run;
+        let replaced = |voter: &NodeId| replaced_by_run(voter, from) || replaced_by_run(voter, own);
         let sets = member.active_sets(true, true).map(|sets| sets.members()).unwrap_or_default();
         member.dead.retain(|dead| sets.contains(dead));
         member.dead.extend(sets.into_iter().filter(replaced));
@@ -193,7 +193,7 @@
     }
 
     /// Whether the group can never decide again: of the voters that may still live no quorum is left.
-    pub(crate) fn proven_dead(&self, member: &Member) -> bool {
+    pub(crate) fn has_lost_quorum(&self, member: &Member) -> bool {
         let sets = self.active_sets(member);
         sets.is_some_and(|sets| !sets.is_quorum(|voter| !member.dead.contains(voter)))
     }
--- a/crates/group/src/voters.rs
+++ b/crates/group/src/voters.rs
@@ -47,7 +47,7 @@
     /// The set after one step towards `wanted` electorate, if a step is possible now.
     ///
     /// Addresses without a voter are taken in only once a voter runs there, so that a step never costs the quorum.
-    pub fn toward_electorate(&self, wanted: &BTreeSet<NodeAddress>) -> Option<VoterSet> {
+    pub fn step_toward_electorate(&self, wanted: &BTreeSet<NodeAddress>) -> Option<VoterSet> {
         let additions = wanted.difference(&self.electorate).filter(|address| self.at(**address).is_some());
         let removals = self.electorate.difference(wanted);
         let added = additions.map(|address| {
--- a/crates/group/src/wire.rs
+++ b/crates/group/src/wire.rs
@@ -14,11 +14,11 @@
     Answer, Append, AppendReply, FormReply, FormRequest, FormationRecord, GroupIdentity, GroupMessage, GroupView,
     SnapshotChunk, SnapshotReply, VoteReply, VoteRequest,
 };
-use crate::settings::{MAXIMUM_BATCH_BYTES, MAXIMUM_VOTERS};
+use crate::settings::{MAX_BATCH_BYTES, MAX_VOTERS};
 use crate::voters::VoterSet;
 
 /// Most entries in one append; with at least their overhead each they would pass the size limit anyway.
-const MAXIMUM_ENTRIES: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 
 /// Why bytes are no group message.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
@@ -223,7 +223,7 @@
 
 fn read_voters(set: Option<generated::Voters>) -> Decoded<VoterSet> {
     let set = set.ok_or(GroupDecodeError::Missing { field: "voters" })?;
-    if set.voters.len() > MAXIMUM_VOTERS || set.electorate.len() > MAXIMUM_VOTERS {
+    if set.voters.len() > MAX_VOTERS || set.electorate.len() > MAX_VOTERS {
         return Err(GroupDecodeError::TooLarge { field: "voters" });
     }
     let voters: Decoded<BTreeSet<NodeId>> = set.voters.into_iter().map(read_node).collect();
@@ -264,7 +264,7 @@
 }
 
 fn read_append(append: generated::Append) -> Decoded<Append> {
-    if append.entries.len() > MAXIMUM_ENTRIES {
+    if append.entries.len() > MAX_ENTRIES {
         return Err(GroupDecodeError::TooLarge { field: "entries" });
     }
     let entries: Decoded<Vec<Entry>> = append.entries.into_iter().map(read_entry).collect();
@@ -293,7 +293,7 @@
 }
 
 fn read_entry(entry: generated::Entry) -> Decoded<Entry> {
-    if entry.command.len() > MAXIMUM_BATCH_BYTES {
+    if entry.command.len() > MAX_BATCH_BYTES {
         return Err(GroupDecodeError::TooLarge { field: "command" });
     }
     let payload = match (entry.is_command, entry.voters) {
@@ -319,7 +319,7 @@
 }
 
 fn read_chunk(chunk: generated::SnapshotChunk) -> Decoded<SnapshotChunk> {
-    if chunk.bytes.len() > MAXIMUM_BATCH_BYTES {
+    if chunk.bytes.len() > MAX_BATCH_BYTES {
         return Err(GroupDecodeError::TooLarge { field: "bytes" });
     }
     Ok(SnapshotChunk {
