--- a/crates/lab/src/demo/audit.rs
+++ b/crates/lab/src/demo/audit.rs
@@ -75,7 +75,7 @@
         self.audit.broken += summary.broken;
         self.audit.partial += summary.partial;
         self.audit.foreign += summary.foreign;
-        self.told_not_run.extend(summary.told_not_run);
+        self.told_not_run.extend(summary.reported_not_run);
         let pledges = summary.whole_identities.into_iter().filter(|(share, _)| *share == PLEDGES);
         self.answered_pledges.extend(pledges.map(|(_, identity)| identity));
     }
--- a/crates/lab/src/demo/audit/tests.rs
+++ b/crates/lab/src/demo/audit/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn told_not_run() -> LoadSummary {
-    LoadSummary { offered: 2, whole: 1, told_not_run: vec![REQUEST.to_owned()], ..LoadSummary::default() }
+    LoadSummary { offered: 2, whole: 1, reported_not_run: vec![REQUEST.to_owned()], ..LoadSummary::default() }
 }
 
 fn judge(summary: LoadSummary, records: &[BTreeMap<String, RunRecord>]) -> Audit {
--- a/crates/standins/src/load/summary.rs
+++ b/crates/standins/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! How the calls of a load ended.
+//! The results of the calls of a load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,101 +7,101 @@
 use serde::Serialize;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// How a call ended, as its caller saw it.
+/// The result of a call as seen by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The whole answer to this very call.
+    /// The complete response to this call.
     Whole,
     /// A refusal or an error status.
     Refused {
         /// The status code.
         status: u16,
-        /// The `Outcome` header.
+        /// The value of the `Outcome` header.
         outcome: Option<String>,
     },
-    /// No answer in time.
+    /// No response before the timeout.
     TimedOut,
-    /// The connection or the body broke off visibly.
+    /// The connection failed or the body ended with an error.
     Broken {
-        /// The client's words.
+        /// The error message of the HTTP client.
         what: String,
     },
-    /// The body ended as if complete, and was not. Must never happen.
+    /// The body ended without an error but is incomplete. Must never happen.
     Partial,
-    /// The answer belongs to another call. Must never happen.
+    /// The response belongs to another call. Must never happen.
     Foreign {
-        /// Whose it is.
+        /// The identity of the other call.
         identity: String,
     },
 }
 
-/// One call's report.
+/// The report of one call.
 #[derive(Clone, Debug)]
 pub struct CallReport {
-    /// The request's identity.
+    /// The identity of the request.
     pub identity: String,
-    /// The index of its traffic share.
+    /// The index of the call's traffic share.
     pub share: usize,
-    /// How it ended.
+    /// The result of the call.
     pub end: CallEnd,
-    /// Attempts by the caller itself.
+    /// The number of attempts that the caller made; retries by nodes are not counted.
     pub attempts: u64,
-    /// Whether the caller was told of every attempt that it did not run.
-    pub told_not_run: bool,
-    /// From the planned start to the end.
+    /// Whether every attempt was refused with the outcome `not-run`.
+    pub reported_not_run: bool,
+    /// The time from the planned start to the end.
     pub latency: Duration,
 }
 
-/// Percentiles in milliseconds.
+/// Latency percentiles in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LatencySummary {
-    /// Half of the calls took at most this.
+    /// The 50th percentile.
     pub p50: f64,
-    /// 90 of 100.
+    /// The 90th percentile.
     pub p90: f64,
-    /// 99 of 100.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 of 1,000.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// The maximum.
     pub maximum: f64,
 }
 
-/// What became of a load.
+/// The results of a load.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadSummary {
-    /// Calls made.
+    /// The number of calls made.
     pub offered: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub whole: u64,
-    /// Refusals by status and outcome.
+    /// Refusals and error statuses by status and outcome.
     pub refused: BTreeMap<String, u64>,
-    /// Calls without an answer in time.
+    /// Calls that timed out.
     pub timed_out: u64,
-    /// Visibly broken answers.
+    /// Connections or bodies that ended with an error.
     pub broken: u64,
-    /// Answers that ended as if complete and were not.
+    /// Incomplete bodies that ended without an error.
     pub partial: u64,
-    /// Answers to other calls.
+    /// Responses that belong to other calls.
     pub foreign: u64,
-    /// Attempts by the callers themselves.
+    /// Attempts made by the callers; retries by nodes are not counted.
     pub attempts: u64,
-    /// Latency of whole answers.
+    /// The latency of calls with a complete response.
     pub latency: LatencySummary,
-    /// The identities of calls whose caller was told of every attempt that it did not run.
+    /// The identities of calls of which every attempt was refused with the outcome `not-run`.
     #[serde(skip)]
-    pub told_not_run: Vec<String>,
-    /// The identities of calls with a whole answer, by traffic share.
+    pub reported_not_run: Vec<String>,
+    /// The identities of calls with a complete response, each with the index of its traffic share.
     #[serde(skip)]
     pub whole_identities: Vec<(usize, String)>,
 }
 
-const HIGHEST_MICROSECONDS: u64 = 600_000_000;
+const MAX_LATENCY_MICROSECONDS: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 pub(super) async fn collect(mut reports: UnboundedReceiver<CallReport>) -> LoadSummary {
     let mut summary = LoadSummary::default();
-    let mut latencies = Histogram::<u64>::new_with_max(HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS).ok();
+    let mut latencies = Histogram::<u64>::new_with_max(MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS).ok();
     while let Some(report) = reports.recv().await {
         if report.end == CallEnd::Whole {
             if let Some(latencies) = &mut latencies {
@@ -127,8 +127,8 @@
     fn add(&mut self, report: CallReport) {
         self.offered += 1;
         self.attempts += report.attempts;
-        if report.told_not_run {
-            self.told_not_run.push(report.identity.clone());
+        if report.reported_not_run {
+            self.reported_not_run.push(report.identity.clone());
         }
         match report.end {
             CallEnd::Whole => {
