--- a/crates/standins/src/load/arrivals.rs
+++ b/crates/standins/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! The planned calls of a load.
+//! Plans the start times of the calls of a load.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 
 use super::options::{Arrivals, LoadOptions};
 
-/// A call that is going to be made.
+/// A call that will be made.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedCall {
-    /// Its number.
+    /// The sequence number of the call.
     pub number: u64,
-    /// Its start, from the start of the load.
+    /// The planned start, relative to the start of the load.
     pub after: Duration,
-    /// The index of its traffic share.
+    /// The index of the call's traffic share.
     pub share: usize,
-    /// A random number for what the call makes up.
+    /// A random number from which the call derives the file that it downloads.
     pub random: u64,
 }
 
-/// All calls of a load, by start.
+/// Returns all calls of a load in order of their start.
 pub fn plan(options: &LoadOptions) -> Vec<PlannedCall> {
     let mut generator = Pcg64::seed_from_u64(options.seed);
     let Ok(shares) = WeightedIndex::new(options.shares.iter().map(|share| share.weight)) else { return Vec::new() };
     let mut calls = Vec::new();
-    let mut start = gap(options, &mut generator);
+    let mut start = next_interval(options, &mut generator);
     while start < options.duration.as_secs_f64() {
         calls.push(PlannedCall {
             number: calls.len() as u64,
@@ -34,13 +34,13 @@
             share: shares.sample(&mut generator),
             random: generator.gen(),
         });
-        start += gap(options, &mut generator);
+        start += next_interval(options, &mut generator);
     }
     calls
 }
 
-/// The seconds between one call and the next; infinite for a load without calls.
-fn gap(options: &LoadOptions, generator: &mut Pcg64) -> f64 {
+/// Returns the seconds until the next call, infinity if the rate allows no calls.
+fn next_interval(options: &LoadOptions, generator: &mut Pcg64) -> f64 {
     if options.rate <= 0.0 {
         return f64::INFINITY;
     }
--- a/crates/standins/src/load/mod.rs
+++ b/crates/standins/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! An open-loop load generator that checks every answer it gets.
+//! An open-loop load generator that checks every response.
 //!
-//! Calls start at their planned time whether earlier ones have ended or not, and latency counts from the planned time, so
-//! that a stall of the system is seen by all calls that it delays (no coordinated omission).
+//! Calls start at their planned time even if earlier ones are still running, and latency is measured from the planned
+//! time, so that a stall of the system shows in the latency of every call that it delays (no coordinated omission).
 
 mod arrivals;
 mod caller;
@@ -20,7 +20,7 @@
 
 use summary::CallReport;
 
-/// Runs a load to its end.
+/// Runs a load until all of its calls have ended.
 ///
 /// # Errors
 ///
@@ -31,14 +31,15 @@
     let (sender, receiver) = mpsc::unbounded_channel();
     let summary = tokio::spawn(summary::collect(receiver));
     let runtime = Handle::current();
-    // The runtime's timer is a millisecond coarse, which would show in every latency; a thread's sleep is finer.
+    // The runtime's timer has a resolution of one millisecond, which would show in every latency; a thread's sleep is
+    // finer.
     let starter = tokio::task::spawn_blocking(move || start_calls(&client, &options, &sender, &runtime));
     let mut calls = starter.await.unwrap_or_default();
     while calls.join_next().await.is_some() {}
     Ok(summary.await.unwrap_or_default())
 }
 
-/// Starts every call at its time.
+/// Starts every call at its planned time.
 fn start_calls(
     client: &reqwest::Client,
     options: &Arc<LoadOptions>,
@@ -49,9 +50,9 @@
     let start = Instant::now();
     let mut calls = JoinSet::new();
     for planned in plan {
-        let begin = start + planned.after;
-        std::thread::sleep(begin.saturating_duration_since(Instant::now()));
-        calls.spawn_on(caller::call(client.clone(), options.clone(), planned, begin, reports.clone()), runtime);
+        let planned_start = start + planned.after;
+        std::thread::sleep(planned_start.saturating_duration_since(Instant::now()));
+        calls.spawn_on(caller::call(client.clone(), options.clone(), planned, planned_start, reports.clone()), runtime);
     }
     calls
 }
--- a/crates/standins/src/load/options.rs
+++ b/crates/standins/src/load/options.rs
@@ -1,4 +1,4 @@
-//! What load to make.
+//! The options of a load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
-    /// At equal distances.
+    /// At equal intervals.
     Steady,
-    /// At random, independently of each other.
+    /// At random and independently of each other, as a Poisson process.
     Poisson,
 }
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestKind {
-    /// A small answer by `GET`.
+    /// A small response to a `GET`.
     Lookup,
-    /// A small answer by `POST` under a key of the caller's.
+    /// A small response to a `POST` with an idempotency key.
     Keyed,
     /// A file of this many bytes.
     Download {
@@ -30,36 +30,36 @@
     },
 }
 
-/// One kind of call and its share.
+/// One kind of call and its share of the load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TrafficShare {
-    /// What it asks for.
+    /// What these calls request.
     pub kind: RequestKind,
     /// The path, with the service's prefix; for a download the prefix only.
     pub path: String,
-    /// Its weight among all shares.
+    /// The weight among all shares.
     pub weight: u32,
 }
 
-/// A load.
+/// The options of a load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Where the calls go, in turn.
+    /// The addresses that are called, in round-robin order.
     pub targets: Vec<SocketAddr>,
     /// Calls per second.
     pub rate: f64,
-    /// For how long.
+    /// The time during which calls start.
     pub duration: Duration,
-    /// How they are spread over time.
+    /// How calls are spread over time.
     pub arrivals: Arrivals,
-    /// What they ask for.
+    /// The kinds of calls.
     pub shares: Vec<TrafficShare>,
-    /// How often a caller tries again after a refusal or a time-out, at once.
+    /// The maximum number of retries of a call. A caller retries at once after a refusal or a timeout.
     pub retries: u32,
-    /// The time after which a caller gives up an attempt.
+    /// The timeout of an attempt.
     pub timeout: Duration,
-    /// Idle connections kept to each target.
+    /// The maximum number of idle connections to each target.
     pub connections: usize,
-    /// The seed from which arrivals and choices follow.
+    /// The seed of the arrival times and of random choices.
     pub seed: u64,
 }
