--- a/crates/standins/src/backend/behaviour.rs
+++ b/crates/standins/src/backend/behaviour.rs
@@ -1,4 +1,4 @@
-//! How a back end behaves: its slots, its service time, and its faults.
+//! The behaviour of a back end: its slots, its service time and its injected faults.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -10,30 +10,30 @@
 use super::record::{RunAnswer, Runs};
 use super::BackendOptions;
 
-/// The header in which a caller names its request; back ends pass it on.
+/// The header with the identity of a request. Back ends send it with their child calls, with the child's path appended.
 pub const IDENTITY_HEADER: &str = "x-request-identity";
 
-/// The opaque header that a back end copies to the calls it makes.
+/// The opaque header that a back end copies to its child calls.
 pub const CONTEXT_HEADER: &str = "quillhatch-context";
 
-/// The longest factor by which contention slows a call down.
-const CONTENTION_LIMIT: f64 = 4.0;
+/// The maximum factor by which contention lengthens the service time.
+const MAX_CONTENTION_FACTOR: f64 = 4.0;
 
-/// How a back end misbehaves.
+/// The faults injected into a back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendFaults {
-    /// The service time is multiplied by this.
+    /// The factor by which the service time is multiplied.
     pub slowdown: f64,
-    /// Every call runs longer by this many milliseconds.
+    /// The service time of every call is longer by this many milliseconds.
     pub delay_milliseconds: u64,
-    /// Every call is answered 503 before it runs.
+    /// Every call is refused with 503 and does not run.
     pub shedding: bool,
-    /// Calls stop in the middle of their answer after this many bytes.
+    /// File downloads are aborted once this many bytes were sent.
     pub break_after_bytes: Option<u64>,
-    /// The health endpoint says healthy whatever happens.
+    /// The health endpoint reports healthy even while calls are shed.
     pub always_healthy: bool,
-    /// The load endpoint answers this instead of the truth.
+    /// The load endpoint returns this value instead of the actual load.
     pub claimed_load: Option<f64>,
 }
 
@@ -50,11 +50,11 @@
     }
 }
 
-/// The state of a back end.
+/// The options and the state of a back end.
 pub struct Behaviour {
-    /// What it is like.
+    /// The options of the back end.
     pub options: BackendOptions,
-    /// What it has run.
+    /// The record of its runs.
     pub runs: Runs,
     slots: Semaphore,
     waiting: AtomicUsize,
@@ -62,20 +62,20 @@
     client: reqwest::Client,
 }
 
-/// A call as the back end sees it.
+/// A call as received by the back end.
 pub struct Arrival {
-    /// The path.
+    /// The path without the service's prefix.
     pub path: String,
-    /// The identity that the caller gave.
+    /// The identity of the request.
     pub identity: String,
-    /// The opaque header of the node, to be copied.
+    /// The opaque context header from the node, which child calls copy.
     pub context: Option<String>,
-    /// When the caller stops waiting, if it said so.
+    /// The time at which the caller stops waiting, if the request states it.
     pub deadline: Option<Instant>,
 }
 
 impl Behaviour {
-    /// A back end as `options` say.
+    /// Creates a back end with `options` and without faults.
     pub fn new(options: BackendOptions) -> Self {
         Behaviour {
             slots: Semaphore::new(options.slots),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     pub fn faults(&self) -> BackendFaults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -97,18 +97,18 @@
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// Running and waiting calls as a share of the slots.
+    /// Returns the number of running and waiting calls divided by the number of slots.
     pub fn load(&self) -> f64 {
         let running = self.options.slots - self.slots.available_permits();
         (running + self.waiting.load(Ordering::Relaxed)) as f64 / self.options.slots as f64
     }
 
-    /// Runs a call to its end, or `None` if the caller's deadline passed while it waited.
+    /// Runs a call to its end, or returns `None` if the caller's deadline passed while the call waited for a slot.
     pub async fn run(&self, arrival: &Arrival) -> Option<RunAnswer> {
         let _slot = self.wait_for_slot(arrival.deadline).await?;
         self.runs.start(&arrival.identity, &arrival.path);
         let service_time = self.service_time();
-        // Even an empty sleep lasts until the next tick of the timer.
+        // Even a sleep of zero lasts until the next tick of the timer.
         if !service_time.is_zero() {
             tokio::time::sleep(service_time).await;
         }
@@ -128,10 +128,11 @@
         slot
     }
 
-    /// Contention: what waits costs the calls that run, as in a real process that thrashes.
+    /// Returns the service time, which grows with the number of waiting calls like that of a real process under
+    /// contention.
     fn service_time(&self) -> Duration {
         let waiting = self.waiting.load(Ordering::Relaxed) as f64;
-        let contention = (1.0 + waiting / self.options.slots as f64 / 4.0).min(CONTENTION_LIMIT);
+        let contention = (1.0 + waiting / self.options.slots as f64 / 4.0).min(MAX_CONTENTION_FACTOR);
         let faults = self.faults();
         let delay = Duration::from_millis(faults.delay_milliseconds);
         self.options.service_time.mul_f64(faults.slowdown * contention) + delay
--- a/crates/standins/src/backend/mod.rs
+++ b/crates/standins/src/backend/mod.rs
@@ -1,8 +1,10 @@
-//! The stand-in for a back end: serves small answers and large files, calls other services, and misbehaves on demand.
+//! The stand-in for a back end: serves small responses and large files, calls other services and injects faults on
+//! request.
 //!
-//! `GET /health`, `GET /load`, `GET /record` and `PUT /faults` are its own. A path that ends in `/files/<seed>/<bytes>` streams
-//! a generated file with a strong entity tag and ranges; every other path runs for the service time and answers a
-//! [`RunAnswer`]. Nodes take the service's prefix off a path, so that it plays no part here.
+//! `GET /health`, `GET /load`, `GET /record` and `PUT /faults` are endpoints of the stand-in. A path that ends in
+//! `/files/<seed>/<bytes>` streams a generated file with a strong entity tag and range support; every other path runs
+//! for the service time and returns a [`RunAnswer`]. Nodes remove the service's prefix from a path before they forward
+//! it.
 
 mod behaviour;
 mod record;
@@ -17,37 +19,37 @@
 
 use crate::server::{start, RunningServer, StartError};
 
-/// A call that a back end makes for each of its own.
+/// A child call that a back end makes for each call that it runs under a path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChildCall {
-    /// The path of the back end's own call that makes it, by prefix, as the back end sees it.
+    /// The path prefix of the calls that make this child call, without the service's prefix.
     pub below: String,
-    /// The method.
+    /// The HTTP method of the child call.
     pub method: String,
-    /// The path called, with the other service's prefix.
+    /// The path of the child call, including the called service's prefix.
     pub path: String,
 }
 
-/// What a back end is like.
+/// The options of a back end.
 #[derive(Clone, Debug)]
 pub struct BackendOptions {
-    /// Its service.
+    /// The service that the back end belongs to.
     pub service: String,
-    /// Its name in answers and records.
+    /// The name that responses report.
     pub name: String,
-    /// Calls that it runs at once; more wait in its own queue.
+    /// The number of calls that run concurrently; further calls wait in the back end's own queue.
     pub slots: usize,
-    /// The time that a call runs.
+    /// The time for which a call runs.
     pub service_time: Duration,
-    /// The caller listener of the node beside it, for its own calls.
+    /// The caller listener of the node on the same machine, to which child calls are sent.
     pub edge: Option<SocketAddr>,
-    /// The calls that it makes.
+    /// The child calls.
     pub children: Vec<ChildCall>,
 }
 
 /// A running stand-in back end.
 pub struct Backend {
-    /// What it does and how it misbehaves.
+    /// The behaviour of the back end, including its faults.
     pub behaviour: Arc<Behaviour>,
     server: RunningServer,
 }
@@ -65,12 +67,12 @@
         Ok(Backend { behaviour, server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the back end listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Stops it at once.
+    /// Stops the back end at once.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/standins/src/backend/record.rs
+++ b/crates/standins/src/backend/record.rs
@@ -1,33 +1,33 @@
-//! What a back end has run: the record that promises are checked against.
+//! The record of the calls that a back end has run, against which tests check the product's guarantees.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use serde::{Deserialize, Serialize};
 
-/// The answer to a call that is no file.
+/// The response to a call other than a file download.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunAnswer {
-    /// The identity that the caller gave its request.
+    /// The identity of the request.
     pub identity: String,
-    /// The back end.
+    /// The name of the back end.
     pub backend: String,
-    /// Answers of the calls made below, in order; a refused one ends the list.
+    /// The responses of the child calls in order; the list ends before the first one that failed.
     pub children: Vec<String>,
 }
 
-/// How often one request was run here.
+/// How often a back end ran one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Runs that began.
+    /// The number of started runs.
     pub started: u32,
-    /// Runs that came to their end.
+    /// The number of finished runs.
     pub finished: u32,
-    /// The class's path.
+    /// The path of the latest run.
     pub path: String,
 }
 
-/// All runs of one back end by the identity of the request.
+/// All runs of one back end by request identity.
 #[derive(Debug, Default)]
 pub struct Runs {
     runs: Mutex<BTreeMap<String, RunRecord>>,
@@ -38,7 +38,7 @@
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a run began.
+    /// Records the start of a run.
     pub fn start(&self, identity: &str, path: &str) {
         let mut runs = self.lock();
         let record = runs.entry(identity.to_owned()).or_default();
@@ -46,19 +46,19 @@
         record.path = path.to_owned();
     }
 
-    /// Notes that a run came to its end.
+    /// Records the end of a run.
     pub fn finish(&self, identity: &str) {
         if let Some(record) = self.lock().get_mut(identity) {
             record.finished += 1;
         }
     }
 
-    /// A copy of all records.
+    /// Returns a copy of all records.
     pub fn all(&self) -> BTreeMap<String, RunRecord> {
         self.lock().clone()
     }
 
-    /// The number of runs that began.
+    /// Returns the number of started runs.
     pub fn started(&self) -> u64 {
         self.lock().values().map(|record| u64::from(record.started)).sum()
     }
--- a/crates/standins/src/backend/routes.rs
+++ b/crates/standins/src/backend/routes.rs
@@ -1,4 +1,4 @@
-//! The stand-in back end's HTTP routes.
+//! The HTTP routes of the stand-in back end.
 
 use std::io;
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 use super::record::RunRecord;
 use crate::content::{GeneratedFile, BLOCK_BYTES};
 
-/// The remaining time of the caller in milliseconds, as the node beside the back end passes it on.
+/// The header with the caller's remaining time in milliseconds, which the node sends to the back end.
 const DEADLINE_HEADER: &str = "quillhatch-deadline-ms";
 
-/// The largest request body that is read.
-const MAXIMUM_BODY: ByteUnit = ByteUnit::Gigabyte(2);
+/// The maximum size of a request body that is read.
+const MAX_BODY_SIZE: ByteUnit = ByteUnit::Gigabyte(2);
 
-/// Bytes per second of one stream, and the pause between its blocks.
+/// The pause before each block of a file, which limits the rate of the stream.
 const BLOCK_PAUSE: Duration = Duration::from_micros(200);
 
 #[derive(Clone)]
-struct Calls {
+struct CallHandler {
     behaviour: Arc<Behaviour>,
 }
 
 #[rocket::async_trait]
-impl Handler for Calls {
+impl Handler for CallHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        // The body is read to its end, as a real back end would.
-        let _ = data.open(MAXIMUM_BODY).stream_to(tokio::io::sink()).await;
+        // A real back end reads the body to its end, too.
+        let _ = data.open(MAX_BODY_SIZE).stream_to(tokio::io::sink()).await;
         if self.behaviour.faults().shedding {
             return Outcome::Success(refusal(Status::ServiceUnavailable));
         }
@@ -49,7 +49,7 @@
     }
 }
 
-impl Calls {
+impl CallHandler {
     async fn answer_run<'r>(&self, arrival: &Arrival) -> Response<'r> {
         let Some(answer) = self.behaviour.run(arrival).await else { return refusal(Status::GatewayTimeout) };
         let body = rocket::serde::json::serde_json::to_vec(&answer).unwrap_or_default();
@@ -92,7 +92,7 @@
     }
 }
 
-/// The file of a path that ends in `/files/<seed>/<bytes>`.
+/// Returns the file of a path that ends in `/files/<seed>/<bytes>`.
 pub(crate) fn requested_file(path: &str) -> Option<GeneratedFile> {
     let mut segments = path.rsplit('/');
     let length = segments.next()?.parse().ok()?;
@@ -165,7 +165,7 @@
 
 pub(super) fn routes(behaviour: Arc<Behaviour>) -> Vec<Route> {
     let methods = [Method::Get, Method::Post, Method::Put, Method::Delete, Method::Patch];
-    let calls = methods.map(|method| Route::new(method, "/<path..>", Calls { behaviour: behaviour.clone() }));
+    let calls = methods.map(|method| Route::new(method, "/<path..>", CallHandler { behaviour: behaviour.clone() }));
     let mut all = routes![health, load, record, put_faults];
     all.extend(calls);
     all
