--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,8 +1,9 @@
-//! The stand-in for the platform: a configuration document and a lagging list of machines, both only for reading.
+//! The stand-in for the platform: a read-only configuration document and a read-only list of machines that may be
+//! outdated.
 //!
-//! `GET /configuration` answers the document with its `ETag`; `GET /machines` answers
-//! `[{"address": "IP:port", "status": "live"}]`. Faults are set by the test that owns the stand-in, or by
-//! `PUT /faults` and `PUT /configuration`, which the real platform does not have.
+//! `GET /configuration` returns the document with its `ETag`; `GET /machines` returns `[{"address": "IP:port",
+//! "status": "live"}]`. The test that owns the stand-in sets its content and faults, directly or by `PUT
+//! /configuration`, `PUT /machines` and `PUT /faults`, which the real platform does not have.
 
 mod routes;
 mod state;
@@ -16,7 +17,7 @@
 
 /// A running stand-in platform.
 pub struct Platform {
-    /// Its state, to be changed by the test.
+    /// The state of the platform, which tests change.
     pub state: Arc<PlatformState>,
     server: RunningServer,
 }
@@ -34,12 +35,12 @@
         Ok(Platform { state, server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the platform listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Stops it.
+    /// Stops the platform at once.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/standins/src/platform/routes.rs
+++ b/crates/standins/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform's HTTP routes.
+//! The HTTP routes of the stand-in platform.
 
 use std::sync::Arc;
 
@@ -29,23 +29,23 @@
 }
 
 #[derive(Responder)]
-enum ConfigurationAnswer {
+enum ConfigurationResponse {
     Document(Box<TaggedDocument>),
-    Unchanged(Custom<()>),
-    Down(Status),
+    NotModified(Custom<()>),
+    Unavailable(Status),
 }
 
 #[get("/configuration")]
-async fn configuration(known: IfNoneMatch, state: &State<Arc<PlatformState>>) -> ConfigurationAnswer {
+async fn configuration(if_none_match: IfNoneMatch, state: &State<Arc<PlatformState>>) -> ConfigurationResponse {
     tokio::time::sleep(state.delay()).await;
     if state.faults().down {
-        return ConfigurationAnswer::Down(Status::ServiceUnavailable);
+        return ConfigurationResponse::Unavailable(Status::ServiceUnavailable);
     }
     let document = state.document();
-    if known.0.as_deref() == Some(document.entity_tag.as_str()) {
-        return ConfigurationAnswer::Unchanged(Custom(Status::NotModified, ()));
+    if if_none_match.0.as_deref() == Some(document.entity_tag.as_str()) {
+        return ConfigurationResponse::NotModified(Custom(Status::NotModified, ()));
     }
-    ConfigurationAnswer::Document(Box::new(TaggedDocument {
+    ConfigurationResponse::Document(Box::new(TaggedDocument {
         text: document.text,
         content_type: ContentType::JSON,
         entity_tag: Header::new("ETag", document.entity_tag),
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the stand-in platform answers, and how it misbehaves.
+//! The content that the stand-in platform serves, and its injected faults.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,7 +13,7 @@
 pub enum MachineStatus {
     /// In use.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
@@ -22,19 +22,19 @@
 pub struct Machine {
     /// The peer address of the machine's node.
     pub address: SocketAddr,
-    /// What the platform says of it.
+    /// The status that the platform reports for the machine.
     pub status: MachineStatus,
 }
 
-/// How the platform misbehaves.
+/// The faults injected into the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every answer is 503.
+    /// Every response is 503.
     pub down: bool,
-    /// Every answer is delayed by this many milliseconds.
+    /// Every response is delayed by this many milliseconds.
     pub delay_milliseconds: u64,
-    /// The first configuration document is answered whatever came later.
+    /// The first configuration document is served, even after newer ones were set.
     pub stale: bool,
 }
 
@@ -45,13 +45,13 @@
     faults: PlatformFaults,
 }
 
-/// The state of the stand-in.
+/// The state of the stand-in platform.
 #[derive(Default)]
 pub struct PlatformState {
     contents: Mutex<Contents>,
 }
 
-/// A configuration document as it is answered.
+/// A configuration document as served.
 pub struct Document {
     /// The text.
     pub text: String,
@@ -60,7 +60,7 @@
 }
 
 impl PlatformState {
-    /// A state with one document and no machines.
+    /// Creates a state with one document and no machines.
     pub fn new(configuration: String) -> Self {
         let state = PlatformState::default();
         state.set_configuration(configuration);
@@ -71,7 +71,7 @@
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces the document; earlier ones are kept for [`PlatformFaults::stale`].
+    /// Replaces the document; earlier ones are retained for [`PlatformFaults::stale`].
     pub fn set_configuration(&self, document: String) {
         self.contents().documents.push(document);
     }
@@ -86,26 +86,26 @@
         self.contents().faults = faults;
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     pub fn faults(&self) -> PlatformFaults {
         self.contents().faults.clone()
     }
 
-    /// The time by which answers are delayed.
+    /// Returns the delay of each response.
     pub fn delay(&self) -> Duration {
         Duration::from_millis(self.contents().faults.delay_milliseconds)
     }
 
-    /// The document answered now.
+    /// Returns the document that is served now.
     pub fn document(&self) -> Document {
         let contents = self.contents();
-        let chosen = if contents.faults.stale { contents.documents.first() } else { contents.documents.last() };
-        let text = chosen.cloned().unwrap_or_default();
+        let selected = if contents.faults.stale { contents.documents.first() } else { contents.documents.last() };
+        let text = selected.cloned().unwrap_or_default();
         let entity_tag = format!("\"{:x}\"", Sha256::digest(&text));
         Document { text, entity_tag }
     }
 
-    /// The machines listed now.
+    /// Returns the current list of machines.
     pub fn machines(&self) -> Vec<Machine> {
         self.contents().machines.clone()
     }
