--- a/crates/standins/src/content.rs
+++ b/crates/standins/src/content.rs
@@ -1,27 +1,27 @@
-//! Content that back ends give and callers check without having stored it.
+//! Generated file content, which back ends serve and callers verify without storing it.
 
 use rand::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// The size of the blocks that content is generated in, in bytes.
+/// The size in bytes of the blocks in which content is generated.
 pub const BLOCK_BYTES: usize = 64 * 1024;
 
-/// A file whose bytes follow from its number, alike at every back end.
+/// A file whose bytes are generated from a seed, so that every back end serves the same content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GeneratedFile {
-    /// The number from which the bytes follow.
+    /// The seed of the content.
     pub seed: u64,
     /// The length in bytes.
     pub length: u64,
 }
 
 impl GeneratedFile {
-    /// The strong entity tag, quotes included.
+    /// Returns the strong entity tag, including the quotes.
     pub fn entity_tag(self) -> String {
         format!("\"{:x}-{:x}\"", self.seed, self.length)
     }
 
-    /// The block with number `index`; empty past the end.
+    /// Returns the block at `index`, which is empty past the end of the file.
     pub fn block(self, index: u64) -> Vec<u8> {
         let start = index.saturating_mul(BLOCK_BYTES as u64);
         let size = self.length.saturating_sub(start).min(BLOCK_BYTES as u64) as usize;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Checks that a stream of bytes is a file's content.
+/// Checks that a stream of bytes equals the content of a file.
 #[derive(Clone, Debug)]
 pub struct ContentChecker {
     file: GeneratedFile,
@@ -42,12 +42,12 @@
 }
 
 impl ContentChecker {
-    /// A checker for the whole of `file`.
+    /// Creates a checker for all of `file`.
     pub fn new(file: GeneratedFile) -> Self {
         ContentChecker { file, position: 0, block: file.block(0), matches: true }
     }
 
-    /// Takes the next bytes of the stream.
+    /// Compares the next bytes of the stream.
     pub fn update(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.matches {
             let offset = (self.position % BLOCK_BYTES as u64) as usize;
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Whether every byte so far was right; a stream may still be cut short.
+    /// Whether every byte so far matches; the stream may still end too early.
     pub fn is_prefix(&self) -> bool {
         self.matches
     }
 
-    /// Whether the whole file was seen.
+    /// Whether the stream contained the whole file.
     pub fn is_whole(&self) -> bool {
         self.matches && self.position == self.file.length
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,8 @@
 //! Stand-ins for the platform and the back ends, and a load generator.
 //!
-//! They take the place of the systems around quillhatch in tests, in the demo and in measurements. The record of what
-//! really happened is kept by the stand-in back ends and by the load generator, never by the product.
+//! They replace the systems around quillhatch in tests, in the demo and in benchmarks. Only the stand-in back ends and
+//! the load generator record which calls ran and how they ended, so that checks don't rely on the product's own
+//! reports.
 
 pub mod backend;
 pub mod content;
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a rocket server on a loopback port.
+//! Starts and stops a Rocket server on a loopback port.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Mutex, PoisonError};
@@ -13,24 +13,24 @@
 /// Why a server did not start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// It stopped before it listened.
+    /// The server stopped before it listened.
     #[display("it stopped while starting")]
     #[from(skip)]
     Stopped,
-    /// Rocket refused the set-up or could not bind.
+    /// Rocket rejected the configuration or could not bind the address.
     #[display("cannot start the server: {_0}")]
     Rocket(Box<rocket::Error>),
 }
 
 /// A server that runs until it is stopped.
 pub struct RunningServer {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     shutdown: Shutdown,
     task: JoinHandle<()>,
 }
 
-/// Starts `rocket` on `address`; a port of zero takes a free one.
+/// Starts `rocket` on `address`; port 0 selects a free port.
 ///
 /// # Errors
 ///
@@ -47,14 +47,15 @@
         shutdown,
         ..Config::default()
     };
-    // Rocket takes a free port itself: one that was looked for before may be taken by another process meanwhile.
-    let (listening, bound) = oneshot::channel();
-    let listening = Mutex::new(Some(listening));
+    // Rocket selects the free port while binding: a port that was found free beforehand may be taken by another process
+    // in the meantime.
+    let (address_sender, bound_address) = oneshot::channel();
+    let address_sender = Mutex::new(Some(address_sender));
     let liftoff = AdHoc::on_liftoff("listening", move |rocket| {
         let address = SocketAddr::new(rocket.config().address, rocket.config().port);
-        if let Some(listening) = listening.lock().unwrap_or_else(PoisonError::into_inner).take() {
-            // The starter waits for it, unless it was dropped.
-            let _ = listening.send(address);
+        if let Some(address_sender) = address_sender.lock().unwrap_or_else(PoisonError::into_inner).take() {
+            // `start` waits for the address, unless its future was dropped.
+            let _ = address_sender.send(address);
         }
         Box::pin(async {})
     });
@@ -62,25 +63,25 @@
     let shutdown = rocket.shutdown();
     let mut launched = Box::pin(rocket.launch());
     let address = tokio::select! {
-        address = bound => address.map_err(|_| StartError::Stopped)?,
+        address = bound_address => address.map_err(|_| StartError::Stopped)?,
         ended = &mut launched => return Err(ended.err().map_or(StartError::Stopped, |error| Box::new(error).into())),
     };
     let task = tokio::spawn(async move {
-        // It ends when it is stopped, with whatever was open.
+        // The server ends when it is stopped; errors of connections that are still open are ignored.
         let _ = launched.await;
     });
     Ok(RunningServer { address, shutdown, task })
 }
 
 impl RunningServer {
-    /// Stops the server at once: open connections are cut, as when its machine fails.
+    /// Stops the server at once and closes open connections, as if its machine had failed.
     pub async fn stop(self) {
         self.shutdown.notify();
         let _ = tokio::time::timeout(std::time::Duration::from_secs(2), self.task).await;
     }
 }
 
-/// The loopback address with a port of the system's choice.
+/// Returns the loopback address with port 0, so that the system selects a port.
 pub fn any_loopback() -> SocketAddr {
     SocketAddr::from((IpAddr::from([127, 0, 0, 1]), 0))
 }
