--- a/crates/standins/tests/standins.rs
+++ b/crates/standins/tests/standins.rs
@@ -1,4 +1,5 @@
-//! The stand-ins answer, misbehave and record as tests rely on, and the load generator notices what is wrong.
+//! Tests that the stand-ins respond, inject faults and record runs as documented, and that the load generator detects
+//! faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,12 +38,12 @@
 async fn load_against(faults: BackendFaults, kind: RequestKind) -> (LoadSummary, u64) {
     let backend = Backend::start(any_loopback(), options()).await.unwrap();
     backend.behaviour.set_faults(faults);
-    let mut summary = load(backend.address(), kind);
-    summary.shares[0].path = "/directory/people".to_owned();
-    if matches!(summary.shares[0].kind, RequestKind::Download { .. }) {
-        summary.shares[0].path = "/directory".to_owned();
+    let mut load = load(backend.address(), kind);
+    load.shares[0].path = "/directory/people".to_owned();
+    if matches!(load.shares[0].kind, RequestKind::Download { .. }) {
+        load.shares[0].path = "/directory".to_owned();
     }
-    let summary = run(summary).await.unwrap();
+    let summary = run(load).await.unwrap();
     (summary, backend.behaviour.runs.started())
 }
 
@@ -52,30 +53,30 @@
 #[test_case(RequestKind::Keyed; "keyed calls")]
 #[test_case(RequestKind::Download { bytes: MEBIBYTE + 17 }; "downloads")]
 #[rocket::async_test]
-async fn every_call_gets_its_whole_answer(kind: RequestKind) {
+async fn every_call_receives_its_complete_response(kind: RequestKind) {
     let (summary, started) = load_against(BackendFaults::default(), kind).await;
     assert!(summary.offered >= 19, "{} calls", summary.offered);
     assert_eq!((summary.whole, started), (summary.offered, summary.offered));
 }
 
 #[rocket::async_test]
-async fn a_download_that_breaks_off_is_seen_as_broken() {
+async fn an_aborted_download_is_reported_as_broken() {
     let faults = BackendFaults { break_after_bytes: Some(300_000), ..BackendFaults::default() };
     let (summary, _) = load_against(faults, RequestKind::Download { bytes: MEBIBYTE }).await;
     assert_eq!((summary.broken, summary.whole), (summary.offered, 0));
 }
 
 #[rocket::async_test]
-async fn a_shed_call_is_seen_as_refused_and_was_not_run() {
+async fn a_shed_call_is_reported_as_refused_and_does_not_run() {
     let faults = BackendFaults { shedding: true, ..BackendFaults::default() };
     let (summary, started) = load_against(faults, RequestKind::Lookup).await;
     assert_eq!(summary.refused.values().sum::<u64>(), summary.offered);
     assert_eq!(started, 0);
 }
 
-/// A planted fault: every caller gets the same answer, or half of a file that ends as if complete.
+/// The server returns the same response to every caller, and half of a file as a complete body.
 #[rocket::async_test]
-async fn a_foreign_and_a_partial_answer_are_noticed() {
+async fn foreign_and_partial_responses_are_detected() {
     #[rocket::get("/directory")]
     fn foreign() -> &'static str {
         r#"{"identity": "somebody else", "backend": "x", "children": []}"#
@@ -92,7 +93,7 @@
 }
 
 #[rocket::async_test]
-async fn the_platform_can_be_down_and_stale() {
+async fn the_platform_can_be_unavailable_and_stale() {
     let platform = Platform::start(any_loopback(), "first".to_owned()).await.unwrap();
     platform.state.set_configuration("second".to_owned());
     let url = format!("http://{}/configuration", platform.address());
