--- a/crates/model/src/claims/world.rs
+++ b/crates/model/src/claims/world.rs
@@ -2,9 +2,9 @@
 //!
 //! A message to a voter stays on the network for ever and may be handed over at any time, any number of times, or
 //! never: that is loss, duplication and reordering. The voter's answer arrives at once or never, except that scenarios
-//! with late record replies let the answers to new claims arrive at any later time too. Every node may be passed over for as long as one likes: that is a
-//! pause, and for ever, a crash. Between an owner's last check and the arrival of the call at the back end any amount
-//! may happen too.
+//! with late record replies let the answers to new claims arrive at any later time too. Every node may be passed over
+//! for as long as one likes: that is a pause, and for ever, a crash. Between an owner's last check and the arrival of
+//! the call at the back end any amount may happen too.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/model/src/retry_tokens/budget.rs
+++ b/crates/model/src/retry_tokens/budget.rs
@@ -1,93 +1,95 @@
-//! The two purses that tokens move between: the edge's budget of a call and the gate's purse of an attempt.
+//! The two holders between which tokens move: the budget of a call at its edge and the account of an attempt at its
+//! gate.
 
 use std::ops::RangeInclusive;
 
 use super::checks::Checks;
 
-/// The tokens of one call at its edge; mirrors `RetryBudget`.
+/// The tokens of one call at its edge; mirrors `RetryBudget` of the calls crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct Budget {
-    /// Tokens at hand.
-    pub kept: u16,
-    /// Tokens that went with the attempt in flight.
+pub(super) struct CallBudget {
+    /// Tokens that are not lent.
+    pub retained: u16,
+    /// Tokens lent to the attempt in flight.
     pub lent: u16,
 }
 
-impl Budget {
+impl CallBudget {
     pub fn new(tokens: u16) -> Self {
-        Budget { kept: tokens, lent: 0 }
+        CallBudget { retained: tokens, lent: 0 }
     }
 
     pub fn allows_retry(self) -> bool {
-        self.kept > 0
+        self.retained > 0
     }
 
     pub fn charge(&mut self, checks: Checks) {
         if checks.charge {
-            self.kept -= 1;
+            self.retained -= 1;
         }
     }
 
-    /// What the call may keep when an attempt is sent: at least one token, else any share, whatever the setting is.
-    pub fn shares(self) -> RangeInclusive<u16> {
-        self.kept.min(1)..=self.kept
+    /// The numbers of tokens that the call may retain when it sends an attempt: at least one if it has any, up to all
+    /// of them, so that every setting of the retained share is covered.
+    pub fn retainable(self) -> RangeInclusive<u16> {
+        self.retained.min(1)..=self.retained
     }
 
-    pub fn lend(&mut self, stays: u16, checks: Checks) -> u16 {
-        self.lent = self.kept - stays;
+    pub fn lend(&mut self, retain: u16, checks: Checks) -> u16 {
+        self.lent = self.retained - retain;
         if checks.share_leaves {
-            self.kept = stays;
+            self.retained = retain;
         }
         self.lent
     }
 
-    pub fn bring_back(&mut self, tokens: u16) {
-        self.kept += tokens.min(self.lent);
+    pub fn return_tokens(&mut self, tokens: u16) {
+        self.retained += tokens.min(self.lent);
         self.lent = 0;
     }
 
-    pub fn bring_back_all(&mut self) {
-        self.bring_back(self.lent);
+    pub fn return_all_tokens(&mut self) {
+        self.return_tokens(self.lent);
     }
 
-    pub fn lose_lent(&mut self, checks: Checks) {
+    pub fn discard_lent(&mut self, checks: Checks) {
         if !checks.lost_share {
-            self.bring_back_all();
+            self.return_all_tokens();
         }
         self.lent = 0;
     }
 
-    /// Empties the budget when the call ends.
-    pub fn end(&mut self) -> u16 {
+    /// Removes and returns the remaining tokens when the call ends.
+    pub fn take_remaining(&mut self) -> u16 {
         self.lent = 0;
-        std::mem::take(&mut self.kept)
+        std::mem::take(&mut self.retained)
     }
 }
 
-/// The tokens of one attempt at its gate; mirrors `TokenAccount`.
+/// The tokens of one attempt at its gate; mirrors `TokenAccount` of the calls crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct Purse {
-    /// Tokens at hand.
+pub(super) struct AttemptAccount {
+    /// Tokens that are not lent.
     pub held: u16,
-    /// Tokens that child calls have.
+    /// Tokens lent to child calls.
     pub lent: u16,
-    /// Whether the answer has gone out.
+    /// Whether the answer was sent.
     pub reported: bool,
 }
 
-impl Purse {
+impl AttemptAccount {
     pub fn new(tokens: u16) -> Self {
-        Purse { held: tokens, lent: 0, reported: false }
+        AttemptAccount { held: tokens, lent: 0, reported: false }
     }
 
     pub fn lend(&mut self, wanted: u16) -> u16 {
-        let given = wanted.min(self.held);
-        self.held -= given;
-        self.lent += given;
-        given
+        let granted = wanted.min(self.held);
+        self.held -= granted;
+        self.lent += granted;
+        granted
     }
 
-    /// Returns the tokens that this purse did not lend.
+    /// Accepts tokens back from a child call, and returns how many of them this account did not lend.
     pub fn take_back(&mut self, tokens: u16) -> u16 {
         let accepted = tokens.min(self.lent);
         self.lent -= accepted;
--- a/crates/model/src/retry_tokens/checks.rs
+++ b/crates/model/src/retry_tokens/checks.rs
@@ -1,21 +1,21 @@
-//! The checks of the token rules that a mutation can take out.
+//! The checks of the token rules, each of which a mutation can disable.
 
-/// Which checks are in force.
+/// The enabled checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Checks {
-    /// A lost answer loses the share that went with the attempt: calls below may still spend it.
+    /// If an answer is lost, the call discards the share lent to the attempt, since child calls may still spend it.
     pub lost_share: bool,
-    /// A call that ends gives its tokens back once.
+    /// A call that ends returns its tokens only once.
     pub return_once: bool,
-    /// A child call starts with what its parent lent, not with a budget of its own.
+    /// A child call starts with the tokens that its parent lent, not with a budget of its own.
     pub one_budget: bool,
     /// A retry consumes a token.
     pub charge: bool,
-    /// What goes along with an attempt leaves the call.
+    /// Tokens lent to an attempt are removed from the call's budget.
     pub share_leaves: bool,
-    /// An answer counts only for the attempt that is in flight.
+    /// An answer counts only if it names the attempt in flight.
     pub attempt_number: bool,
-    /// What an answer reports leaves the gate.
+    /// Tokens reported in an answer are removed from the gate's account.
     pub report_empties: bool,
 }
 
@@ -40,7 +40,7 @@
     pub const NAMES: &'static [&'static str] =
         &["lost_share", "return_once", "one_budget", "charge", "share_leaves", "attempt_number", "report_empties"];
 
-    /// All checks but the one called `name`.
+    /// Returns all checks except the one called `name`.
     pub fn without(name: &str) -> Self {
         match name {
             "lost_share" => Checks { lost_share: false, ..ALL },
--- a/crates/model/src/retry_tokens/mod.rs
+++ b/crates/model/src/retry_tokens/mod.rs
@@ -1,14 +1,15 @@
-//! Models of the retry tokens: one budget over a tree of calls whose answers are lost, late or repeated.
+//! Models of the retry tokens: one budget for a tree of calls whose answers are lost, late or duplicated.
 //!
-//! Use `retry-tokens` for the rule that keeps the bound (tokens only move), `retry-attempts` for the bound itself. The
-//! budgets are small specifications of `edge/budget.rs` and `gate/tokens.rs` of the calls crate, since those types are
-//! private to it; the tests of this module hold the gate's side against the real gate.
+//! `retry-tokens` checks the rule from which the bound follows (tokens are moved or spent, never created), and
+//! `retry-attempts` the bound itself. The edge's budget and the gate's account are small specifications of
+//! `edge/budget.rs` and `gate/tokens.rs` of the calls crate, since those types are private to it. The tests of this
+//! module compare them with the real edge and the real gate.
 
 mod budget;
 mod checks;
-mod moves;
 #[cfg(test)]
 mod tests;
+mod transitions;
 mod tree;
 mod world;
 
@@ -18,9 +19,9 @@
 use checks::Checks;
 use world::TokenWorld;
 
-/// Over a whole tree, no more attempts are sent than its first tries and the root's budget.
+/// In the whole tree, the number of retries is at most the number of the root call's tokens.
 pub(crate) const ATTEMPTS_WITHIN_BUDGET: Property = Property("attempts-within-budget");
-/// The tokens in the tree and those that paid for retries are never more than the root's.
+/// The tokens in the tree and those spent on retries are together at most the root call's tokens.
 pub(crate) const TOKENS_NEVER_GROW: Property = Property("tokens-never-grow");
 
 const BOUNDS: Bounds = Bounds { depth: usize::MAX, states: 2_000_000 };
--- a/crates/model/src/retry_tokens/tests.rs
+++ b/crates/model/src/retry_tokens/tests.rs
@@ -1,4 +1,4 @@
-//! Both sides of the specification do what the real gate and the real edge do.
+//! Compares the specified account and budget with the real gate and the real edge.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 };
 use test_case::test_case;
 
-use super::budget::{Budget, Purse};
+use super::budget::{AttemptAccount, CallBudget};
 use super::checks::Checks;
 
 const NOW: Timestamp = Timestamp::ZERO;
 const TOKENS: u16 = 3;
-const LONG: Duration = Duration::from_secs(60);
-/// Steps of each sequence that is tried.
+const LONG_DURATION: Duration = Duration::from_secs(60);
+/// The length of each tested sequence of steps.
 const STEPS: usize = 5;
 
 #[derive(Clone, Copy, Debug)]
@@ -56,7 +56,7 @@
         path_prefix: "/".to_owned(),
         priority: Priority::Interactive,
         repeatable: true,
-        deadline: LONG,
+        deadline: LONG_DURATION,
         retry_budget: TOKENS,
         retry_ratio_percent: 100,
         large_answers: false,
@@ -66,12 +66,12 @@
         name: service(),
         hosts: Vec::new(),
         slot_count: 1,
-        claim_retention: LONG,
+        claim_retention: LONG_DURATION,
         claim_capacity: 1,
         replay_limit_bytes: 1,
         refused_before_running: Vec::new(),
         minimum_time: Duration::ZERO,
-        queue_timeout: LONG,
+        queue_timeout: LONG_DURATION,
         site_shares: BTreeMap::from([(site.clone(), 100)]),
         minimum_epoch: Epoch(0),
         classes: vec![class],
@@ -101,11 +101,11 @@
         key: None,
         key_from_caller: false,
         digest: None,
-        remaining: LONG,
+        remaining: LONG_DURATION,
     }
 }
 
-/// A real gate at whose back end an attempt runs that holds the tokens.
+/// Returns a real gate with a running attempt that holds `TOKENS` tokens.
 fn running_gate() -> Gate {
     let mechanisms = GateMechanisms { cold_start: false, ..GateMechanisms::default() };
     let mut gate = Gate::new(GateSettings { mechanisms, ..GateSettings::new(service(), node()) }, 1);
@@ -118,38 +118,38 @@
     gate.lend_tokens(NOW, CallId(1), wanted).expect("the attempt runs").tokens
 }
 
-/// Does a step with both and returns what each said.
-fn step(gate: &mut Gate, purse: &mut Purse, step: Step) -> (u16, u16) {
+/// Applies a step to the real gate and to the specified account and returns both results.
+fn step(gate: &mut Gate, account: &mut AttemptAccount, step: Step) -> (u16, u16) {
     match step {
-        Step::Lend(wanted) => (lent_by(gate, wanted), purse.lend(wanted)),
+        Step::Lend(wanted) => (lent_by(gate, wanted), account.lend(wanted)),
         Step::TakeBack(tokens) => {
             gate.return_tokens(CallId(1), tokens);
-            purse.take_back(tokens);
+            account.take_back(tokens);
             (0, 0)
         }
         Step::Report => {
             let reported = gate.feedback(NOW, Some(context().attempt_id())).tokens_left;
-            (reported, purse.report(Checks::default()))
+            (reported, account.report(Checks::default()))
         }
     }
 }
 
 #[test]
-fn the_purse_is_that_of_the_real_gate() {
+fn the_account_matches_the_real_gate() {
     let choices = ALL_STEPS.len();
     for sequence in 0..choices.pow(STEPS as u32) {
         let steps: Vec<Step> =
             (0..STEPS as u32).map(|place| ALL_STEPS[sequence / choices.pow(place) % choices]).collect();
-        let (mut gate, mut purse) = (running_gate(), Purse::new(TOKENS));
+        let (mut gate, mut account) = (running_gate(), AttemptAccount::new(TOKENS));
         for made in &steps {
-            let (real, specified) = step(&mut gate, &mut purse, *made);
+            let (real, specified) = step(&mut gate, &mut account, *made);
             assert_eq!(real, specified, "{made:?} in {steps:?}");
         }
-        assert_eq!(lent_by(&mut gate, u16::MAX), purse.held, "{steps:?}");
+        assert_eq!(lent_by(&mut gate, u16::MAX), account.held, "{steps:?}");
     }
 }
 
-/// How an attempt ends at the edge: never sent, a failure with as many tokens left, or a lost answer.
+/// How an attempt ends at the edge: never sent, a failure that returns this many tokens, or a lost answer.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
     NotSent,
@@ -162,17 +162,17 @@
     Ending::Failed(0),
     Ending::Failed(1),
     Ending::Failed(2),
-    // More than went along.
+    // More than was lent.
     Ending::Failed(u16::MAX),
     Ending::Lost,
 ];
 
-/// The real edge, which sends at once and keeps `kept_percent` of a call's tokens.
-fn edge(kept_percent: u8) -> Edge {
+/// Returns a real edge that retries without backoff and retains `retained_percent` of a call's tokens at each attempt.
+fn edge(retained_percent: u8) -> Edge {
     let off = ["backoff", "retry_ratio", "ejection", "admission_levels", "deadline_check"];
     let mut mechanisms = EdgeMechanisms::default();
     off.iter().for_each(|name| mechanisms.disable(name).expect("a mechanism of the edge"));
-    let retry = RetrySettings { retained_tokens_percent: kept_percent, ..RetrySettings::default() };
+    let retry = RetrySettings { retained_tokens_percent: retained_percent, ..RetrySettings::default() };
     let configuration = configuration();
     let target = &configuration.services[&service()].targets[0];
     let settings = EdgeSettings { mechanisms, retry, ..EdgeSettings::new(target.site.clone(), target.zone.clone()) };
@@ -200,7 +200,7 @@
     }
 }
 
-/// A call below another, with the tokens that it was lent.
+/// A child call with the tokens that its parent lent it.
 fn child_call(tokens: u16) -> CallArrival {
     let parent = ParentContext {
         call: CallId(1),
@@ -209,7 +209,7 @@
         priority: Priority::Interactive,
         retry: false,
         tokens,
-        remaining: LONG,
+        remaining: LONG_DURATION,
     };
     CallArrival {
         call: CallId(2),
@@ -227,7 +227,7 @@
     }
 }
 
-fn input_of(ending: Ending, attempt: AttemptId) -> EdgeInput {
+fn attempt_answered(ending: Ending, attempt: AttemptId) -> EdgeInput {
     let (result, feedback) = match ending {
         Ending::NotSent => (AttemptResult::ConnectFailed, None),
         Ending::Failed(tokens_left) => {
@@ -239,23 +239,23 @@
     EdgeInput::AttemptAnswered { attempt, result, feedback }
 }
 
-fn settle(budget: &mut Budget, ending: Ending) {
+fn end_attempt(budget: &mut CallBudget, ending: Ending) {
     match ending {
-        Ending::NotSent => budget.bring_back_all(),
-        Ending::Failed(tokens) => budget.bring_back(tokens),
-        Ending::Lost => budget.lose_lent(Checks::default()),
+        Ending::NotSent => budget.return_all_tokens(),
+        Ending::Failed(tokens) => budget.return_tokens(tokens),
+        Ending::Lost => budget.discard_lent(Checks::default()),
     }
 }
 
-/// The attempt that was sent and its tokens, if one was.
-fn sent(outputs: &[EdgeOutput]) -> Option<(AttemptId, u16)> {
+/// Returns the attempt that was sent and its tokens, if any.
+fn sent_attempt(outputs: &[EdgeOutput]) -> Option<(AttemptId, u16)> {
     outputs.iter().find_map(|output| match output {
         EdgeOutput::Send { context, .. } => Some((context.attempt_id(), context.tokens)),
         _ => None,
     })
 }
 
-fn returned(outputs: &[EdgeOutput]) -> u16 {
+fn returned_tokens(outputs: &[EdgeOutput]) -> u16 {
     let tokens = |output: &EdgeOutput| match output {
         EdgeOutput::ReturnTokens { tokens, .. } => *tokens,
         _ => 0,
@@ -263,45 +263,45 @@
     outputs.iter().map(tokens).sum()
 }
 
-/// The specification sends an attempt with the tokens that the real edge has sent, if its rules allow that.
-fn launch(budget: &mut Budget, tokens: u16, endings: &[Ending]) {
-    let stays = budget.kept - tokens;
-    assert!(budget.shares().contains(&stays), "{tokens} tokens went along in {endings:?}");
-    assert_eq!(budget.lend(stays, Checks::default()), tokens);
+/// Sends an attempt in the specification with as many tokens as the real edge lent it, and checks that this is allowed.
+fn send_attempt(budget: &mut CallBudget, tokens: u16, endings: &[Ending]) {
+    let retain = budget.retained - tokens;
+    assert!(budget.retainable().contains(&retain), "{tokens} tokens went along in {endings:?}");
+    assert_eq!(budget.lend(retain, Checks::default()), tokens);
 }
 
-fn compare_call(kept_percent: u8, tokens: u16, endings: &[Ending]) {
-    let (mut edge, mut budget, mut outputs) = (edge(kept_percent), Budget::new(tokens), Vec::new());
+fn compare_call(retained_percent: u8, tokens: u16, endings: &[Ending]) {
+    let (mut edge, mut budget, mut outputs) = (edge(retained_percent), CallBudget::new(tokens), Vec::new());
     edge.step(NOW, EdgeInput::Arrived(child_call(tokens)), &mut outputs);
-    let (mut attempt, along) = sent(&outputs).unwrap_or_else(|| panic!("no first try in {outputs:?}"));
-    launch(&mut budget, along, endings);
+    let (mut attempt, lent) = sent_attempt(&outputs).unwrap_or_else(|| panic!("no first try in {outputs:?}"));
+    send_attempt(&mut budget, lent, endings);
     for ending in endings {
         outputs.clear();
-        edge.step(NOW, input_of(*ending, attempt), &mut outputs);
-        settle(&mut budget, *ending);
-        let again = sent(&outputs);
-        assert_eq!(again.is_some(), budget.allows_retry(), "{endings:?}");
-        let Some((next, along)) = again else {
-            assert_eq!(returned(&outputs), budget.end(), "{endings:?}");
+        edge.step(NOW, attempt_answered(*ending, attempt), &mut outputs);
+        end_attempt(&mut budget, *ending);
+        let retry = sent_attempt(&outputs);
+        assert_eq!(retry.is_some(), budget.allows_retry(), "{endings:?}");
+        let Some((next, lent)) = retry else {
+            assert_eq!(returned_tokens(&outputs), budget.take_remaining(), "{endings:?}");
             return;
         };
         budget.charge(Checks::default());
         attempt = next;
-        launch(&mut budget, along, endings);
+        send_attempt(&mut budget, lent, endings);
     }
     outputs.clear();
     edge.step(NOW, EdgeInput::CallerDisconnected { call: CallId(2) }, &mut outputs);
-    budget.lose_lent(Checks::default());
-    assert_eq!(returned(&outputs), budget.end(), "{endings:?}");
+    budget.discard_lent(Checks::default());
+    assert_eq!(returned_tokens(&outputs), budget.take_remaining(), "{endings:?}");
 }
 
 #[test_case(25; "the default share")]
 #[test_case(60; "a larger share")]
-fn the_budget_is_that_of_the_real_edge(kept_percent: u8) {
+fn the_budget_matches_the_real_edge(retained_percent: u8) {
     for tokens in 0..=5 {
         for sequence in 0..ENDINGS.len().pow(3) {
             let endings = [sequence, sequence / 6, sequence / 36].map(|place| ENDINGS[place % ENDINGS.len()]);
-            compare_call(kept_percent, tokens, &endings);
+            compare_call(retained_percent, tokens, &endings);
         }
     }
 }
--- a/crates/model/src/slot_move/leader.rs
+++ b/crates/model/src/slot_move/leader.rs
@@ -1,4 +1,5 @@
-//! The duties of a site's leader, rule by rule as `host/exports.rs` and `host/imports.rs` of the control crate have them.
+//! The duties of a site's leader, rule by rule as `host/exports.rs` and `host/imports.rs` of the control crate have
+//! them.
 
 use quillhatch_control::state::SlotRecord;
 use quillhatch_types::{Epoch, SlotState};
