--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,9 +1,9 @@
 //! The stand-in for the platform: a read-only configuration document and a read-only list of machines that may be
 //! outdated.
 //!
-//! `GET /configuration` returns the document with its `ETag`; `GET /machines` returns `[{"address": "IP:port",
-//! "status": "live"}]`. The test that owns the stand-in sets its content and faults, directly or by `PUT
-//! /configuration`, `PUT /machines` and `PUT /faults`, which the real platform does not have.
+//! `GET /configuration` returns the document with its `ETag`; `GET /machines` returns
+//! `[{"address": "IP:port", "status": "live"}]`. The test that owns the stand-in sets its content and faults, directly
+//! or by `PUT /configuration`, `PUT /machines` and `PUT /faults`, which the real platform does not have.
 
 mod routes;
 mod state;
