--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -1,4 +1,4 @@
-//! The claims of the local gate's attempts: the owner's side, and what must be known of an attempt to end its claim.
+//! Claims of the local gate's attempts: the claim owner, and the state of attempts needed to finish their claims.
 
 use std::collections::BTreeSet;
 
@@ -7,42 +7,44 @@
 use quillhatch_types::hash::slot_of_key;
 use quillhatch_types::{AttemptId, CallContext, Configuration, NodeId, RecordedAnswer, ServiceName, Timestamp};
 
-/// The claim owner of the local gate.
-pub(crate) struct ClaimDesk {
+/// The claim owner of the local gate, with the attempts that have a pending claim.
+pub(crate) struct GateClaims {
     pub(crate) owner: ClaimOwner,
     service: ServiceName,
     slot_count: u16,
-    /// Attempts whose claim was asked for and has not ended.
-    open: BTreeSet<AttemptId>,
-    /// Attempts that ended without anybody knowing whether the back end ran them.
+    /// Attempts whose claim was requested and is not finished.
+    pending: BTreeSet<AttemptId>,
+    /// Attempts with a pending claim whose answer broke off or was cancelled, so that it is unknown whether the back end
+    /// executed them.
     uncertain: BTreeSet<AttemptId>,
 }
 
-impl ClaimDesk {
+impl GateClaims {
     pub(crate) fn new(node: NodeId, service: ServiceName, mechanisms: ClaimMechanisms) -> Self {
         let owner = ClaimOwner::with_mechanisms(node, service.clone(), OwnerSettings::default(), mechanisms);
-        ClaimDesk { owner, service, slot_count: 1, open: BTreeSet::new(), uncertain: BTreeSet::new() }
+        GateClaims { owner, service, slot_count: 1, pending: BTreeSet::new(), uncertain: BTreeSet::new() }
     }
 
     pub(crate) fn next_wake(&self) -> Option<Timestamp> {
         self.owner.next_wake()
     }
 
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn held_claims(&self) -> usize {
         self.owner.held_claims()
     }
 
-    /// Takes the service's settings; returns the owner's input, if the service is configured.
+    /// Applies the service's settings. Returns the input that passes them to the owner, or `None` if the service is not
+    /// configured.
     pub(crate) fn configure(&mut self, configuration: &Configuration) -> Option<OwnerInput> {
         let service = configuration.services.get(&self.service)?;
         self.slot_count = service.slot_count;
         Some(OwnerInput::SettingsChanged(OwnerSettings::from_configuration(service)))
     }
 
-    /// The owner's input for an attempt that needs a claim; `None` for one without a key, which no edge sends.
+    /// Returns the input that requests a claim for an attempt, or `None` if the attempt has no key, which no edge sends.
     pub(crate) fn request(&mut self, context: &CallContext) -> Option<OwnerInput> {
         let key = context.key.clone()?;
-        self.open.insert(context.attempt_id());
+        self.pending.insert(context.attempt_id());
         Some(OwnerInput::Claim {
             ticket: context.attempt_id(),
             slot: slot_of_key(&key, self.slot_count),
@@ -54,31 +56,32 @@
         })
     }
 
-    /// Forgets an attempt whose claim was not granted: the gate says nothing more of its claim.
-    pub(crate) fn not_granted(&mut self, attempt: AttemptId) {
-        self.open.remove(&attempt);
+    /// Removes an attempt whose claim was not granted. The gate emits no further output about such a claim.
+    pub(crate) fn forget_attempt(&mut self, attempt: AttemptId) {
+        self.pending.remove(&attempt);
     }
 
-    /// The number of attempts whose claim was asked for and has not ended.
-    pub(crate) fn open_claims(&self) -> usize {
-        self.open.len()
+    /// The number of attempts whose claim was requested and is not finished.
+    pub(crate) fn pending_claims(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Notes how the back end's part ended, before the gate says what becomes of the claim.
-    pub(crate) fn observe(&mut self, input: &GateInput) {
+    /// Records how the back end's answer ended. Must be called before the gate handles the same input and finishes the
+    /// claim.
+    pub(crate) fn record_answer_end(&mut self, input: &GateInput) {
         let GateInput::AnswerEnded { attempt, end } = input else { return };
-        if matches!(end, AnswerEnd::Broken | AnswerEnd::Cancelled) && self.open.contains(attempt) {
+        if matches!(end, AnswerEnd::Broken | AnswerEnd::Cancelled) && self.pending.contains(attempt) {
             self.uncertain.insert(*attempt);
         }
     }
 
-    /// Whether the attempt may go to the back end now; true for attempts without a claim.
+    /// Whether the attempt may be dispatched to the back end now. True for attempts without a claim.
     pub(crate) fn may_dispatch(&self, now: Timestamp, attempt: AttemptId) -> bool {
-        !self.open.contains(&attempt) || self.owner.may_dispatch(now, attempt)
+        !self.pending.contains(&attempt) || self.owner.may_dispatch(now, attempt)
     }
 
     pub(crate) fn finished(&mut self, attempt: AttemptId, record: Option<RecordedAnswer>) -> OwnerInput {
-        self.open.remove(&attempt);
+        self.pending.remove(&attempt);
         let uncertain = self.uncertain.remove(&attempt);
         if uncertain && record.is_none() {
             return OwnerInput::Abandoned { ticket: attempt };
@@ -87,7 +90,7 @@
     }
 
     pub(crate) fn released(&mut self, attempt: AttemptId) -> OwnerInput {
-        self.open.remove(&attempt);
+        self.pending.remove(&attempt);
         self.uncertain.remove(&attempt);
         OwnerInput::Released { ticket: attempt }
     }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What one part of a node has for another, in the order in which it came up.
+//! The queue of inputs that a node's parts have for each other, first in, first out.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 use quillhatch_membership::MembershipInput;
 use quillhatch_types::NodeId;
 
-/// An input of one part.
+/// An input for one part of the node.
 #[derive(Debug, From)]
 pub(crate) enum PartInput {
     Edge(EdgeInput),
@@ -25,18 +25,18 @@
     Membership(MembershipInput),
 }
 
-/// The inputs that wait for their part.
+/// The queued inputs, in the order in which they were pushed.
 #[derive(Debug, Default)]
 pub(crate) struct Inbox {
-    waiting: VecDeque<PartInput>,
+    queue: VecDeque<PartInput>,
 }
 
 impl Inbox {
     pub(crate) fn push(&mut self, input: impl Into<PartInput>) {
-        self.waiting.push_back(input.into());
+        self.queue.push_back(input.into());
     }
 
     pub(crate) fn pop(&mut self) -> Option<PartInput> {
-        self.waiting.pop_front()
+        self.queue.pop_front()
     }
 }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -11,95 +11,95 @@
 use quillhatch_messages::{Payload, PayloadKind};
 use quillhatch_types::{Incarnation, NodeAddress, NodeId, Revision};
 
-/// What can happen to a node.
+/// An input of a node.
 #[derive(Clone, Debug, From, PartialEq)]
 pub enum NodeInput {
-    /// Something happened at the edge.
+    /// An input for the edge.
     Edge(EdgeInput),
-    /// Something happened at the gate.
+    /// An input for the gate.
     Gate(GateInput),
-    /// The platform's service was read.
+    /// A reading of the platform's service: the configuration and the machines.
     Platform(PlatformReading),
-    /// An operator asks something.
+    /// An operator's request.
     #[from(skip)]
     Operator {
-        /// The number of the request, repeated in the reply.
+        /// The number of the request, copied to the reply.
         request: RequestNumber,
         /// The request.
         body: Box<OperatorRequest>,
     },
-    /// A message of another node arrived; its frame was checked.
+    /// A message arrived from another node; its frame is authenticated.
     #[from(skip)]
     Message {
         /// The sender.
         from: NodeId,
-        /// The configuration revision that the sender has in force.
+        /// The revision of the sender's active configuration.
         revision: Revision,
         /// The message.
         payload: Payload,
     },
-    /// The node is to stop.
+    /// A request to stop the node.
     #[from(skip)]
     Stop {
-        /// The longest time to wait for running calls.
+        /// The maximum time to wait for running calls.
         grace: Duration,
     },
-    /// Time has passed.
+    /// A timer may be due.
     #[from(skip)]
     Tick,
 }
 
-/// What a node wants done.
+/// An output of a node, for the driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeOutput {
-    /// Something the edge wants done.
+    /// An output of the edge.
     Edge(EdgeOutput),
-    /// Something the gate wants done.
+    /// An output of the gate.
     Gate(GateOutput),
     /// Send a message to another node.
     Send {
-        /// Its peer address.
+        /// The receiver's peer address.
         to: NodeAddress,
-        /// The run of the node that is meant; any run if absent.
+        /// The receiver's incarnation; any incarnation if absent.
         incarnation: Option<Incarnation>,
         /// The message.
         payload: Payload,
     },
-    /// Answer an operator.
+    /// Reply to an operator.
     Operator {
         /// The number of the request.
         request: RequestNumber,
         /// The reply.
         reply: Box<OperatorReply>,
     },
-    /// A change of state worth a log line.
+    /// A change of state to log.
     Event(NodeEvent),
-    /// The node takes calls from now on.
+    /// The node is ready and takes calls.
     Ready,
-    /// After a stop: nothing is left to finish, or the grace has passed.
+    /// The node has stopped: all work is finished, or the grace period has passed.
     ReadyToExit,
 }
 
-/// Changes of state, for logs.
+/// A change of state to log.
 #[derive(Clone, Debug, Display, From, PartialEq)]
 pub enum NodeEvent {
-    /// Of configuration, groups, tables and plans.
+    /// A change of the configuration, a group, a table or a plan.
     #[display("{_0}")]
     Control(ControlEvent),
-    /// Of another member.
+    /// A change of another member's status.
     #[display("member {node} is {status}")]
     #[from(skip)]
     Member {
         /// The member.
         node: NodeId,
-        /// What became of it.
+        /// Its new status.
         status: MemberStatus,
     },
-    /// An authenticated message could not be decoded: another release, or a fault of the sender.
+    /// An authenticated message could not be decoded: the sender runs another release, or has a fault.
     #[display("a {kind} message of {sender} could not be decoded")]
     #[from(skip)]
     Undecodable {
-        /// The protocol.
+        /// The protocol of the message.
         kind: PayloadKind,
         /// The sender.
         sender: NodeId,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
-//! The whole node without input and output: edge, gate, claims and control behind one step function.
+//! The node without I/O: edge, gate, claims, membership and control behind one step function.
 //!
-//! The program drives a [`Node`] with sockets and a monotonic clock, the simulation with a virtual clock. The parts know
-//! nothing of each other; this crate routes what one puts out to the input of another.
+//! The program drives a [`Node`] with sockets and a monotonic clock, the simulation with a virtual clock. The parts do not
+//! depend on each other; this crate routes the outputs of one part to the inputs of another.
 
 mod claims;
 mod inbox;
--- a/crates/node/src/mechanisms.rs
+++ b/crates/node/src/mechanisms.rs
@@ -1,4 +1,4 @@
-//! All mechanisms of a node, each to be switched off by name in the simulation.
+//! All mechanisms of a node. Each can be disabled by name.
 
 use derive_more::{Display, Error};
 use quillhatch_calls::edge::EdgeMechanisms;
@@ -8,24 +8,24 @@
 use quillhatch_group::GroupMechanisms;
 use quillhatch_membership::MembershipMechanisms;
 
-/// The mechanisms in force; all are by default.
+/// The enabled mechanisms of all parts; by default all are enabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeMechanisms {
-    /// Of the edge.
+    /// Mechanisms of the edge.
     pub edge: EdgeMechanisms,
-    /// Of the gate.
+    /// Mechanisms of the gate.
     pub gate: GateMechanisms,
-    /// Of claims.
+    /// Mechanisms of claims.
     pub claims: ClaimMechanisms,
-    /// Of the groups.
+    /// Mechanisms of the groups.
     pub group: GroupMechanisms,
-    /// Of control.
+    /// Mechanisms of control.
     pub control: ControlMechanisms,
-    /// Of membership.
+    /// Mechanisms of membership.
     pub membership: MembershipMechanisms,
 }
 
-/// No mechanism has the given name.
+/// The error for a name that no mechanism has.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("there is no such mechanism")]
 pub struct UnknownMechanism;
@@ -36,7 +36,7 @@
             /// The names of all mechanisms, as `part.mechanism`.
             pub const NAMES: &'static [&'static str] = &[$($name),+];
 
-            /// All mechanisms but the one called `name`.
+            /// Returns the mechanisms with all enabled except the one called `name`.
             ///
             /// # Errors
             ///
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its parts, and the loop that hands each part what the others have for it.
+//! The node: its parts, and the loop that passes each part its inputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,27 +16,27 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::claims::ClaimDesk;
+use crate::claims::GateClaims;
 use crate::inbox::{Inbox, PartInput};
 use crate::io::{NodeInput, NodeOutput};
 use crate::options::NodeOptions;
-use crate::refusals::{RefusalEntry, RefusalRing};
+use crate::refusals::{RefusalEntry, RefusalHistory};
 use crate::statistics::Statistic;
 
-/// How often the gate's load is reported to the control part.
+/// The interval at which the gate's load is reported to the control part.
 pub(crate) const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A gate and what the node keeps beside it.
+/// The local gate with its claims and counters.
 pub(crate) struct GatePart {
     pub(crate) service: ServiceName,
     pub(crate) gate: Gate,
-    pub(crate) claims: ClaimDesk,
-    /// Priorities of the attempts in progress, to count protected refusals.
+    pub(crate) claims: GateClaims,
+    /// Priorities of the attempts in progress, to count refusals of protected ones.
     pub(crate) priorities: BTreeMap<AttemptId, Priority>,
     pub(crate) load: LoadCounts,
 }
 
-/// What is counted between two load reports.
+/// Counters between two load reports.
 #[derive(Debug, Default)]
 pub(crate) struct LoadCounts {
     pub(crate) completions: u32,
@@ -44,10 +44,10 @@
     pub(crate) since: Timestamp,
 }
 
-/// One node without input and output.
+/// One node without I/O.
 ///
-/// Hand every event to [`Node::step`] with the time on the monotonic clock, carry out each output, and step with
-/// [`NodeInput::Tick`] at [`Node::next_wake`].
+/// The driver passes every event to [`Node::step`] with the time of a monotonic clock, carries out each output, and steps
+/// with [`NodeInput::Tick`] at [`Node::next_wake`].
 pub struct Node {
     pub(crate) options: NodeOptions,
     pub(crate) edge: Edge,
@@ -56,13 +56,13 @@
     pub(crate) membership: Membership,
     pub(crate) control: ControlNode,
     pub(crate) configuration: Option<Arc<Configuration>>,
-    pub(crate) refusals: RefusalRing,
+    pub(crate) refusals: RefusalHistory,
     pub(crate) undecodable: u64,
-    pub(crate) leaving: bool,
+    pub(crate) exiting: bool,
 }
 
 impl Node {
-    /// A node that knows nothing yet. `seed` drives all its random choices.
+    /// Creates a node without configuration or members. `seed` seeds its random generators.
     pub fn new(options: NodeOptions, seed: u64) -> Self {
         let mut generator = Pcg64::seed_from_u64(seed);
         let mut membership = Membership::new(options.member_info(), options.membership, generator.gen());
@@ -77,24 +77,24 @@
             membership,
             control: ControlNode::new(options.control_settings(), generator.gen()),
             configuration: None,
-            refusals: RefusalRing::default(),
+            refusals: RefusalHistory::default(),
             undecodable: 0,
-            leaving: false,
+            exiting: false,
             options,
         }
     }
 
-    /// Takes one input and appends what is to be done to `outputs`.
+    /// Handles one input and appends the resulting outputs to `outputs`.
     pub fn step(&mut self, now: Timestamp, input: NodeInput, outputs: &mut Vec<NodeOutput>) {
         let mut inbox = Inbox::default();
         self.accept(now, input, &mut inbox, outputs);
-        self.wake_parts(now, &mut inbox);
+        self.push_due_ticks(now, &mut inbox);
         while let Some(input) = inbox.pop() {
             self.step_part(now, input, &mut inbox, outputs);
         }
     }
 
-    /// When to step with [`NodeInput::Tick`] at the latest.
+    /// The latest time for the next step with [`NodeInput::Tick`].
     pub fn next_wake(&self) -> Option<Timestamp> {
         let gate = self.gate.as_ref().into_iter().flat_map(|part| {
             [part.gate.next_wake(), part.claims.next_wake(), Some(part.load.since + LOAD_REPORT_INTERVAL)]
@@ -103,37 +103,39 @@
         gate.chain(others).flatten().min()
     }
 
-    /// What the gate tells the edge with the answer to `attempt`; to be asked when the head of the answer is sent.
+    /// The feedback that the gate sends to the edge with the answer to `attempt`. Call it when the head of the answer is
+    /// sent.
     pub fn feedback(&mut self, now: Timestamp, attempt: Option<AttemptId>) -> Feedback {
         let Some(part) = &mut self.gate else { return Feedback::default() };
         part.gate.feedback(now, attempt)
     }
 
-    /// What a call made below `parent` inherits, with up to `wanted` retry tokens; `None` if no such call is running.
+    /// The context that a nested call inherits from `parent`, with up to `wanted` retry tokens; `None` if `parent` is not
+    /// running.
     pub fn lend_tokens(&mut self, now: Timestamp, parent: CallId, wanted: u16) -> Option<ParentContext> {
         self.gate.as_mut()?.gate.lend_tokens(now, parent, wanted)
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.clone()
     }
 
-    /// Whether the node has finished starting and takes calls.
+    /// Whether the node is ready and takes calls.
     pub fn is_ready(&self) -> bool {
         self.control.is_ready()
     }
 
-    /// The refusal that a caller was given for `call`, if it is remembered.
+    /// The refusal that a caller received for `call`, if it is retained.
     pub fn refusal(&self, call: CallId) -> Option<&RefusalEntry> {
         self.refusals.find(call)
     }
 
-    /// Counts and levels for the metrics page.
+    /// Counters and gauges for the metrics page.
     pub fn statistics(&self) -> Vec<Statistic> {
         let edge = self.edge.statistics();
-        let held = self.gate.as_ref().map_or(0, |part| part.claims.held());
-        let open = self.gate.as_ref().map_or(0, |part| part.claims.open_claims());
+        let held = self.gate.as_ref().map_or(0, |part| part.claims.held_claims());
+        let pending = self.gate.as_ref().map_or(0, |part| part.claims.pending_claims());
         let recorded: usize = self.voters.values().map(ClaimVoter::held_claims).sum();
         vec![
             Statistic::counter("calls_arrived", "Calls that arrived at the edge.", edge.arrived),
@@ -153,7 +155,7 @@
             ),
             Statistic::counter("messages_undecodable", "Messages that could not be decoded.", self.undecodable),
             Statistic::gauge("members", "Members that can be reached.", self.membership.reachable().count() as f64),
-            Statistic::gauge("claims_open", "Attempts whose claim has not ended.", open as f64),
+            Statistic::gauge("claims_open", "Attempts whose claim has not ended.", pending as f64),
             Statistic::gauge("claims_held", "Claims held as owner.", held as f64),
             Statistic::gauge("claims_recorded", "Claims held as voter.", recorded as f64),
             Statistic::gauge("configuration_revision", "Revision in force.", self.control.revision().0 as f64),
@@ -175,7 +177,7 @@
                 if revision != self.control.revision() {
                     inbox.push(ControlInput::PeerRevision { from, revision });
                 }
-                self.accept_payload(from, payload, inbox, outputs);
+                self.route_payload(from, payload, inbox, outputs);
             }
             NodeInput::Stop { grace } => {
                 inbox.push(EdgeInput::Stop);
@@ -206,22 +208,22 @@
         }
     }
 
-    fn wake_parts(&mut self, now: Timestamp, inbox: &mut Inbox) {
-        let due = |wake: Option<Timestamp>| wake.is_some_and(|wake| wake <= now);
-        if due(self.membership.next_wake()) {
+    fn push_due_ticks(&mut self, now: Timestamp, inbox: &mut Inbox) {
+        let is_due = |wake: Option<Timestamp>| wake.is_some_and(|wake| wake <= now);
+        if is_due(self.membership.next_wake()) {
             inbox.push(MembershipInput::Tick);
         }
-        if due(self.control.next_wake()) {
+        if is_due(self.control.next_wake()) {
             inbox.push(ControlInput::Tick);
         }
-        if due(self.edge.next_wake()) {
+        if is_due(self.edge.next_wake()) {
             inbox.push(EdgeInput::Tick);
         }
         let Some(part) = &mut self.gate else { return };
-        if due(part.gate.next_wake()) {
+        if is_due(part.gate.next_wake()) {
             inbox.push(GateInput::Tick);
         }
-        if due(part.claims.next_wake()) {
+        if is_due(part.claims.next_wake()) {
             inbox.push(quillhatch_claims::OwnerInput::Tick);
         }
         if let Some(report) = part.load_report(now) {
@@ -253,7 +255,7 @@
         settings.mechanisms = options.mechanisms.gate;
         GatePart {
             gate: Gate::new(settings, seed),
-            claims: ClaimDesk::new(options.node, service.clone(), options.mechanisms.claims),
+            claims: GateClaims::new(options.node, service.clone(), options.mechanisms.claims),
             service,
             priorities: BTreeMap::new(),
             load: LoadCounts::default(),
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -1,4 +1,4 @@
-//! What a node must be told at its start.
+//! The options of a node.
 
 use quillhatch_control::{ControlSettings, ControlTiming};
 use quillhatch_group::GroupSettings;
@@ -7,10 +7,10 @@
 
 use crate::mechanisms::NodeMechanisms;
 
-/// What a node must be told at its start.
+/// The options with which a node starts.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// This run of the node.
+    /// The address and incarnation of the node.
     pub node: NodeId,
     /// Its site.
     pub site: SiteName,
@@ -18,22 +18,22 @@
     pub zone: ZoneName,
     /// The deployment.
     pub deployment: DeploymentName,
-    /// The service of the back end beside it; a node without one is an edge only.
+    /// The service of the local back end. A node without one is only an edge.
     pub service: Option<ServiceName>,
-    /// Addresses at which members may be found before the platform's list was read.
+    /// Addresses at which members may be found before the platform's list is read.
     pub seeds: Vec<NodeAddress>,
-    /// Times and bounds of failure detection.
+    /// Timeouts and limits of failure detection.
     pub membership: MembershipSettings,
-    /// Times and bounds of the control part.
+    /// Timeouts and limits of the control part.
     pub control: ControlTiming,
-    /// Times and bounds of the groups.
+    /// Timeouts and limits of the groups.
     pub group: GroupSettings,
-    /// The mechanisms in force.
+    /// The enabled mechanisms.
     pub mechanisms: NodeMechanisms,
 }
 
 impl NodeOptions {
-    /// Options with the default times, bounds and mechanisms.
+    /// Creates options with default timeouts, limits and mechanisms.
     pub fn new(
         node: NodeId,
         site: SiteName,
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -1,32 +1,32 @@
-//! The last refusals, so that an operator can ask why a call was refused.
+//! The most recent refusals, so that an operator can query why a call was refused.
 
 use std::collections::VecDeque;
 
 use quillhatch_types::{CallId, Refusal, Timestamp};
 
-/// The number of refusals that are remembered.
-const CAPACITY: usize = 4_096;
+/// The number of refusals that are retained.
+const MAX_REFUSALS: usize = 4_096;
 
-/// A refusal that a caller was given.
+/// A refusal that was sent to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusalEntry {
     /// The call.
     pub call: CallId,
-    /// When, on this node's clock.
+    /// The time of the refusal, on this node's clock.
     pub at: Timestamp,
-    /// What the caller was told.
+    /// The refusal.
     pub refusal: Refusal,
 }
 
-/// A bounded ring of refusals, the oldest forgotten first.
+/// A bounded queue of refusals that drops the oldest when it is full.
 #[derive(Debug, Default)]
-pub(crate) struct RefusalRing {
+pub(crate) struct RefusalHistory {
     entries: VecDeque<RefusalEntry>,
 }
 
-impl RefusalRing {
+impl RefusalHistory {
     pub(crate) fn push(&mut self, entry: RefusalEntry) {
-        if self.entries.len() == CAPACITY {
+        if self.entries.len() == MAX_REFUSALS {
             self.entries.pop_front();
         }
         self.entries.push_back(entry);
--- a/crates/node/src/route.rs
+++ b/crates/node/src/route.rs
@@ -1,4 +1,4 @@
-//! Where the outputs of each part go.
+//! Routing of each part's outputs to other parts or out of the node.
 
 mod calls;
 mod control;
--- a/crates/node/src/route/calls.rs
+++ b/crates/node/src/route/calls.rs
@@ -1,4 +1,4 @@
-//! Outputs of edge and gate.
+//! Routing of the outputs of the edge, the gate and the claim owner.
 
 use quillhatch_calls::edge::{Answer, EdgeInput, EdgeOutput};
 use quillhatch_calls::gate::{AnswerEnd, ClaimResolution, GateInput, GateOutput};
@@ -32,20 +32,20 @@
                 }
                 EdgeOutput::FetchTable { service, site } => inbox.push(ControlInput::FetchTable { service, site }),
                 output => {
-                    self.remember_refusal(now, &output);
+                    self.record_refusal(now, &output);
                     outputs.push(NodeOutput::Edge(output));
                 }
             }
         }
     }
 
-    fn remember_refusal(&mut self, now: Timestamp, output: &EdgeOutput) {
+    fn record_refusal(&mut self, now: Timestamp, output: &EdgeOutput) {
         if let EdgeOutput::Finish { call, answer: Answer::Refuse(refusal) } = output {
             self.refusals.push(RefusalEntry { call: *call, at: now, refusal: *refusal });
         }
     }
 
-    /// The answer to "why was this call refused", if the request names a call whose refusal is remembered.
+    /// The reply to a request to explain a refusal, if the refusal of the call it names is retained.
     pub(crate) fn explain_refusal(&self, now: Timestamp, request: &OperatorRequest) -> Option<OperatorReply> {
         let OperatorRequest::Explain { id } = request else { return None };
         let call = CallId(u128::from_str_radix(id, 16).ok()?);
@@ -61,7 +61,7 @@
         outputs: &mut Vec<NodeOutput>,
     ) {
         let Some(part) = &mut self.gate else { return };
-        part.observe(&input);
+        part.record_answer_end(&input);
         let mut gate_outputs = Vec::new();
         part.gate.step(now, input, &mut gate_outputs);
         for output in gate_outputs {
@@ -81,12 +81,12 @@
         let owner_outputs = part.claims.step(now, input);
         for output in owner_outputs {
             match output {
-                OwnerOutput::Send { to, message } => self.send_claim(to, message, inbox, outputs),
+                OwnerOutput::Send { to, message } => self.send_claim_message(to, message, inbox, outputs),
                 OwnerOutput::Resolved { ticket, resolution } => {
                     if let Some(part) = self.gate.as_mut().filter(|_| resolution != ClaimDecision::Granted) {
-                        part.claims.not_granted(ticket);
+                        part.claims.forget_attempt(ticket);
                     }
-                    let resolution = resolution_of(resolution);
+                    let resolution = to_gate_resolution(resolution);
                     inbox.push(GateInput::ClaimResolved { attempt: ticket, resolution });
                 }
                 OwnerOutput::SlotExported { slot, epoch, claims } => {
@@ -106,7 +106,7 @@
     }
 }
 
-fn resolution_of(decision: ClaimDecision) -> ClaimResolution {
+fn to_gate_resolution(decision: ClaimDecision) -> ClaimResolution {
     match decision {
         ClaimDecision::Granted => ClaimResolution::Granted,
         ClaimDecision::Replay(answer) => ClaimResolution::Replay(answer),
@@ -115,8 +115,8 @@
 }
 
 impl GatePart {
-    fn observe(&mut self, input: &GateInput) {
-        self.claims.observe(input);
+    fn record_answer_end(&mut self, input: &GateInput) {
+        self.claims.record_answer_end(input);
         if let GateInput::AnswerEnded { attempt, end } = input {
             self.priorities.remove(attempt);
             if matches!(end, AnswerEnd::Whole { .. }) {
@@ -134,8 +134,8 @@
                     inbox.push(GateInput::ClaimResolved { attempt: context.attempt_id(), resolution });
                 }
             },
-            // The last look at the monotonic clock before the back end sees the attempt: a process that was paused since
-            // the claim was granted must not act on its old view.
+            // The last check of the monotonic clock before the attempt is sent to the back end: a process that was paused
+            // since the claim was granted must not dispatch after its deadline or lease has expired.
             GateOutput::Dispatch { attempt, .. } if !self.claims.may_dispatch(now, attempt) => {
                 inbox.push(GateInput::AnswerEnded { attempt, end: AnswerEnd::ConnectFailed });
             }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// What the gate measured since the last report, once an interval has passed.
+    /// The gate's load since the last report, or `None` until [`LOAD_REPORT_INTERVAL`] has passed.
     pub(crate) fn load_report(&mut self, now: Timestamp) -> Option<LoadReport> {
         let span = now.since(self.load.since);
         if span < LOAD_REPORT_INTERVAL {
--- a/crates/node/src/route/control.rs
+++ b/crates/node/src/route/control.rs
@@ -1,4 +1,4 @@
-//! Outputs of control and membership.
+//! Routing of the outputs of control and membership.
 
 use std::sync::Arc;
 
@@ -62,13 +62,13 @@
                         let claims = claims.into_iter().flatten().collect();
                         inbox.push(OwnerInput::ImportSlot { slot, epoch, claims });
                     }
-                    // A slot whose claims cannot be read stays sealed: opening it could run a key twice.
+                    // A slot whose claims cannot be decoded stays sealed: opening it could execute a key twice.
                     _ => self.undecodable += 1,
                 }
             }
             ControlOutput::Ready => outputs.push(NodeOutput::Ready),
             ControlOutput::ReadyToExit => {
-                self.leaving = true;
+                self.exiting = true;
                 inbox.push(MembershipInput::Leave);
             }
             ControlOutput::Event(event) => outputs.push(NodeOutput::Event(NodeEvent::Control(event))),
@@ -120,17 +120,17 @@
                     let payload = Payload { kind: PayloadKind::Membership, service: None, bytes: message.encode() };
                     outputs.push(NodeOutput::Send { to, incarnation: None, payload });
                 }
-                MembershipOutput::Changed(change) => report_member(change, inbox, outputs),
+                MembershipOutput::Changed(change) => report_member_change(change, inbox, outputs),
             }
         }
-        // The others are told first, so that nobody takes the exit for a failure.
-        if leaving && self.leaving {
+        // The messages to other members are output first, so that they do not detect the exit as a failure.
+        if leaving && self.exiting {
             outputs.push(NodeOutput::ReadyToExit);
         }
     }
 }
 
-fn report_member(change: MemberChange, inbox: &mut Inbox, outputs: &mut Vec<NodeOutput>) {
+fn report_member_change(change: MemberChange, inbox: &mut Inbox, outputs: &mut Vec<NodeOutput>) {
     let node = change.member.node;
     let status = change.status;
     outputs.push(NodeOutput::Event(NodeEvent::Member { node, status }));
--- a/crates/node/src/route/messages.rs
+++ b/crates/node/src/route/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from other nodes, and messages of claims between the parts of this one.
+//! Routing of messages from other nodes, and of claim messages between the owner and voters of this node.
 
 use quillhatch_claims::{ClaimMessage, ClaimRole, ClaimVoter, OwnerInput, VoterSettings};
 use quillhatch_control::io::GroupFrame;
@@ -13,24 +13,24 @@
 use crate::node::Node;
 
 impl Node {
-    pub(crate) fn accept_payload(
+    pub(crate) fn route_payload(
         &mut self,
         from: NodeId,
         payload: Payload,
         inbox: &mut Inbox,
         outputs: &mut Vec<NodeOutput>,
     ) {
-        if self.try_accept_payload(from, &payload, inbox).is_none() {
+        if self.try_route_payload(from, &payload, inbox).is_none() {
             self.undecodable += 1;
             outputs.push(NodeOutput::Event(NodeEvent::Undecodable { kind: payload.kind, sender: from }));
         }
     }
 
-    fn try_accept_payload(&mut self, from: NodeId, payload: &Payload, inbox: &mut Inbox) -> Option<()> {
+    fn try_route_payload(&mut self, from: NodeId, payload: &Payload, inbox: &mut Inbox) -> Option<()> {
         match payload.kind {
             PayloadKind::Membership => {
                 let message = MembershipMessage::decode(&payload.bytes).ok()?;
-                // A node speaks for itself only: what it says of its own run must match the authenticated frame.
+                // The sender's record of itself must carry the node ID of the authenticated frame.
                 (message.sender.info.node == from).then_some(())?;
                 inbox.push(MembershipInput::Message(Box::new(message)));
             }
@@ -44,13 +44,13 @@
             }
             PayloadKind::Claims => {
                 let message = ClaimMessage::decode(&payload.bytes).ok()?;
-                self.accept_claim(from, message, inbox);
+                self.route_claim_message(from, message, inbox);
             }
         }
         Some(())
     }
 
-    fn accept_claim(&mut self, from: NodeId, message: ClaimMessage, inbox: &mut Inbox) {
+    fn route_claim_message(&mut self, from: NodeId, message: ClaimMessage, inbox: &mut Inbox) {
         match message.role() {
             ClaimRole::Voter => inbox.push(crate::inbox::PartInput::Voter { from, message }),
             ClaimRole::Owner => {
@@ -61,7 +61,7 @@
         }
     }
 
-    pub(crate) fn send_claim(
+    pub(crate) fn send_claim_message(
         &mut self,
         to: NodeId,
         message: ClaimMessage,
@@ -69,7 +69,7 @@
         outputs: &mut Vec<NodeOutput>,
     ) {
         if to == self.options.node {
-            self.accept_claim(to, message, inbox);
+            self.route_claim_message(to, message, inbox);
             return;
         }
         let payload =
@@ -88,11 +88,12 @@
         let mut replies = Vec::new();
         self.voter(&message.service.clone()).handle(now, from, message, &mut replies);
         for (to, reply) in replies {
-            self.send_claim(to, reply, inbox, outputs);
+            self.send_claim_message(to, reply, inbox, outputs);
         }
     }
 
-    /// The voter of a service; owners address it by the run that the group agreed on, so it may begin empty.
+    /// The voter of a service, created empty if missing. That is safe because owners address it by the incarnation that
+    /// the group agreed on.
     fn voter(&mut self, service: &ServiceName) -> &mut ClaimVoter {
         let configured = self.configuration.as_ref().and_then(|configuration| configuration.services.get(service));
         let settings = configured.map(VoterSettings::from_configuration).unwrap_or_default();
--- a/crates/node/src/statistics.rs
+++ b/crates/node/src/statistics.rs
@@ -1,15 +1,15 @@
-//! Counts and levels that the metrics page shows.
+//! Counters and gauges for the metrics page.
 
-/// A number that a node counts.
+/// A counter or gauge of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statistic {
     /// The name, in `snake_case`, without the program's prefix.
     pub name: &'static str,
-    /// What it counts, with its unit.
+    /// The help text.
     pub help: &'static str,
-    /// Its value now.
+    /// The current value.
     pub value: f64,
-    /// Whether it can fall.
+    /// Whether it is a gauge, which can fall, rather than a counter.
     pub gauge: bool,
 }
 
