--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What nodes report of each other under failures, loss, pauses and partitions.
+//! Status changes that nodes report under failures, message loss, pauses and partitions.
 
 mod network;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_failed_member_is_reported_by_all_others_soon() {
+fn a_failed_member_is_reported_by_all_others_within_the_time_limit() {
     let mut network = settled(MembershipMechanisms::default());
     let killed_at = network.now;
     network.stop(address(7));
@@ -44,45 +44,46 @@
 }
 
 #[test]
-fn another_run_at_the_same_address_replaces_the_failed_one() {
+fn a_restarted_node_replaces_its_older_incarnation() {
     let mut network = settled(MembershipMechanisms::default());
     let restarted_at = network.now;
     network.start(address(7), zone("old", "b"), 1_007);
     network.run(SECOND * 5);
     let failed =
         network.reports_of(MemberStatus::Failed, restarted_at).filter(|report| report.subject.incarnation.0 == 7);
-    assert_eq!(failed.count(), 24, "by the 23 others and by the later run itself");
+    assert_eq!(failed.count(), 24, "reported by the 23 others and by the new incarnation itself");
     for node in network.nodes.values() {
-        let runs: Vec<u64> = node
+        let incarnations: Vec<u64> = node
             .reachable()
             .filter(|info| info.node.address == address(7))
             .map(|info| info.node.incarnation.0)
             .collect();
-        assert!(runs == [1_007] || node.own().node.address == address(7));
+        assert!(incarnations == [1_007] || node.own().node.address == address(7));
     }
 }
 
-/// Returns the reports of failure of a member that never failed.
-fn false_failures_when_one_link_is_cut(mechanisms: MembershipMechanisms) -> usize {
+/// Breaks the link between two running members and returns the number of failures reported.
+fn false_failures_with_one_broken_link(mechanisms: MembershipMechanisms) -> usize {
     let mut network = settled(mechanisms);
     let since = network.now;
-    network.cut_pairs.insert((address(5), address(6)));
+    network.broken_links.insert((address(5), address(6)));
     network.run(SECOND * 20);
     network.reports_of(MemberStatus::Failed, since).count()
 }
 
 #[test]
-fn a_cut_between_two_members_accuses_nobody() {
-    assert_eq!(false_failures_when_one_link_is_cut(MembershipMechanisms::default()), 0);
+fn a_broken_link_between_two_members_fails_no_member() {
+    assert_eq!(false_failures_with_one_broken_link(MembershipMechanisms::default()), 0);
 }
 
 #[test]
-fn without_indirect_probes_and_refutation_a_cut_link_accuses() {
+fn without_indirect_probes_and_refutation_a_broken_link_fails_a_member() {
     let off = MembershipMechanisms { indirect_probes: false, refutation: false, ..MembershipMechanisms::default() };
-    assert!(false_failures_when_one_link_is_cut(off) > 0);
+    assert!(false_failures_with_one_broken_link(off) > 0);
 }
 
-/// A node is paused while it suspects a member, which refutes meanwhile; returns how often the node declares it failed.
+/// Pauses a node while it suspects a member, which resumes and refutes during the pause. Returns how often the node
+/// declares the member failed.
 fn failures_declared_after_a_pause(mechanisms: MembershipMechanisms) -> usize {
     let mut network = settled(mechanisms);
     let (node, member) = (address(9), address(10));
@@ -104,18 +105,18 @@
 }
 
 #[test]
-fn a_node_that_was_paused_accuses_nobody() {
+fn a_node_that_was_paused_fails_no_member() {
     assert_eq!(failures_declared_after_a_pause(MembershipMechanisms::default()), 0);
 }
 
 #[test]
-fn without_the_guard_a_paused_node_accuses() {
+fn without_the_pause_guard_a_paused_node_fails_a_member() {
     let off = MembershipMechanisms { pause_guard: false, ..MembershipMechanisms::default() };
     assert!(failures_declared_after_a_pause(off) > 0);
 }
 
 #[test]
-fn a_paused_member_comes_back() {
+fn a_paused_member_becomes_reachable_again() {
     let mut network = settled(MembershipMechanisms::default());
     network.paused.insert(address(9));
     network.run(SECOND * 8);
@@ -128,22 +129,25 @@
 
 #[test_case(&[("old", "a")]; "one zone")]
 #[test_case(&[("old", "a"), ("old", "b"), ("old", "c")]; "a whole site")]
-fn a_cut_is_reported_and_heals(cut_off: &[(&str, &str)]) {
+fn a_partition_is_reported_and_heals(partitioned: &[(&str, &str)]) {
     let mut network = settled(MembershipMechanisms::default());
-    let cut_off: Vec<ZoneId> = cut_off.iter().map(|(site, name)| zone(site, name)).collect();
-    let inside = |candidate: &ZoneId| cut_off.contains(candidate);
-    for left in six_zones().into_iter().filter(|candidate| inside(candidate)) {
-        for right in six_zones().into_iter().filter(|candidate| !inside(candidate)) {
-            network.cut.insert((left.clone(), right));
+    let partitioned: Vec<ZoneId> = partitioned.iter().map(|(site, name)| zone(site, name)).collect();
+    let is_partitioned = |candidate: &ZoneId| partitioned.contains(candidate);
+    for left in six_zones().into_iter().filter(|candidate| is_partitioned(candidate)) {
+        for right in six_zones().into_iter().filter(|candidate| !is_partitioned(candidate)) {
+            network.partitioned_zones.insert((left.clone(), right));
         }
     }
     network.run(SECOND * 12);
     for node in network.nodes.values() {
-        let same_side =
-            six_zones().iter().filter(|candidate| inside(candidate) == inside(&node.own().zone)).count() * 4;
+        let same_side = six_zones()
+            .iter()
+            .filter(|candidate| is_partitioned(candidate) == is_partitioned(&node.own().zone))
+            .count()
+            * 4;
         assert_eq!(node.reachable().count(), same_side - 1, "as {} sees it", node.own().node);
     }
-    network.cut.clear();
+    network.partitioned_zones.clear();
     network.run(SECOND * 12);
     for node in network.nodes.values() {
         assert_eq!(node.reachable().count(), 23, "as {} sees it", node.own().node);
@@ -151,11 +155,11 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_reported_without_a_suspicion() {
+fn a_member_that_leaves_is_reported_without_a_failure() {
     let mut network = settled(MembershipMechanisms::default());
     let since = network.now;
     network.step(address(3), MembershipInput::Leave);
-    assert_eq!(network.nodes[&address(3)].next_wake(), None, "a node that left is not stepped for ever");
+    assert_eq!(network.nodes[&address(3)].next_wake(), None, "a node that left has no timers");
     network.stop(address(3));
     network.run(SECOND * 8);
     assert_eq!(network.reports_of(MemberStatus::Left, since).count(), 23);
@@ -171,8 +175,8 @@
     assert_eq!(network.reports_of(MemberStatus::Failed, since).count(), 0);
 }
 
-/// Bytes per node and second in a quiet fleet, without frames and transport.
-fn quiet_bytes_per_node(per_zone: u16) -> usize {
+/// Bytes sent per node and second in an idle fleet, excluding frame and transport overhead.
+fn idle_bytes_per_node(per_zone: u16) -> usize {
     let mut network = Network::new(&six_zones(), per_zone, MembershipSettings::default(), 1);
     network.run(SECOND * 60);
     network.sent_bytes.clear();
@@ -181,8 +185,8 @@
 }
 
 #[test]
-fn what_a_node_sends_does_not_grow_with_the_fleet() {
-    let (small, large) = (quiet_bytes_per_node(4), quiet_bytes_per_node(12));
+fn bytes_sent_per_node_do_not_grow_with_the_fleet() {
+    let (small, large) = (idle_bytes_per_node(4), idle_bytes_per_node(12));
     assert!(large <= small * 3 / 2, "{small} bytes per second with 24 nodes, {large} with 72");
     assert!(large < 1_500, "{large} bytes per second");
 }
--- a/crates/membership/tests/network/mod.rs
+++ b/crates/membership/tests/network/mod.rs
@@ -11,10 +11,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// The time a message takes.
+/// The delivery delay of a message.
 const LATENCY: Duration = Duration::from_millis(1);
 
-/// A change that a node reported.
+/// A status change reported by a node.
 pub struct Report {
     pub at: Timestamp,
     pub observer: NodeAddress,
@@ -22,19 +22,19 @@
     pub status: MemberStatus,
 }
 
-/// The machines, the messages under way, and what the nodes reported.
+/// The state machines, the messages in flight, and the status changes reported by the nodes.
 pub struct Network {
     pub now: Timestamp,
     pub nodes: BTreeMap<NodeAddress, Membership>,
     pub paused: BTreeSet<NodeAddress>,
-    pub cut: BTreeSet<(ZoneId, ZoneId)>,
-    pub cut_pairs: BTreeSet<(NodeAddress, NodeAddress)>,
+    pub partitioned_zones: BTreeSet<(ZoneId, ZoneId)>,
+    pub broken_links: BTreeSet<(NodeAddress, NodeAddress)>,
     pub loss: f64,
     pub reports: Vec<Report>,
     pub sent_bytes: BTreeMap<NodeAddress, usize>,
     zones: BTreeMap<NodeAddress, ZoneId>,
-    under_way: BTreeMap<(Timestamp, u64), (NodeAddress, Box<MembershipMessage>)>,
-    sent: u64,
+    in_flight: BTreeMap<(Timestamp, u64), (NodeAddress, Box<MembershipMessage>)>,
+    messages_sent: u64,
     generator: Pcg64,
     settings: MembershipSettings,
     seeds: Vec<NodeAddress>,
@@ -49,20 +49,20 @@
 }
 
 impl Network {
-    /// `per_zone` nodes in each zone; every node knows the first two addresses as seeds.
+    /// Starts `per_zone` nodes in each zone. Every node has the first two addresses as seeds.
     pub fn new(zones: &[ZoneId], per_zone: u16, settings: MembershipSettings, seed: u64) -> Self {
         let mut network = Network {
             now: Timestamp::ZERO,
             nodes: BTreeMap::new(),
             paused: BTreeSet::new(),
-            cut: BTreeSet::new(),
-            cut_pairs: BTreeSet::new(),
+            partitioned_zones: BTreeSet::new(),
+            broken_links: BTreeSet::new(),
             loss: 0.0,
             reports: Vec::new(),
             sent_bytes: BTreeMap::new(),
             zones: BTreeMap::new(),
-            under_way: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            messages_sent: 0,
             generator: Pcg64::seed_from_u64(seed),
             settings,
             seeds: vec![address(1), address(2)],
@@ -103,20 +103,20 @@
     fn next_event(&self) -> Option<Timestamp> {
         let awake = |address: &NodeAddress| !self.paused.contains(address);
         let timers = self.nodes.iter().filter(|(address, _)| awake(address)).filter_map(|(_, node)| node.next_wake());
-        let deliveries = self.under_way.iter().filter(|(_, (to, _))| awake(to)).map(|((at, _), _)| *at);
+        let deliveries = self.in_flight.iter().filter(|(_, (to, _))| awake(to)).map(|((at, _), _)| *at);
         timers.min().into_iter().chain(deliveries.min()).min()
     }
 
     fn deliver(&mut self) {
         let due: Vec<(Timestamp, u64)> = self
-            .under_way
+            .in_flight
             .iter()
             .take_while(|((at, _), _)| *at <= self.now)
             .filter(|(_, (to, _))| !self.paused.contains(to))
             .map(|(key, _)| *key)
             .collect();
         for key in due {
-            let Some((to, message)) = self.under_way.remove(&key) else { continue };
+            let Some((to, message)) = self.in_flight.remove(&key) else { continue };
             self.step(to, MembershipInput::Message(message));
         }
     }
@@ -155,23 +155,27 @@
     fn send(&mut self, from: NodeAddress, to: NodeAddress, message: Box<MembershipMessage>) {
         let bytes = message.encode();
         *self.sent_bytes.entry(from).or_default() += bytes.len();
-        let decoded = MembershipMessage::decode(&bytes).expect("what was encoded can be decoded");
+        let decoded = MembershipMessage::decode(&bytes).expect("an encoded message can be decoded");
         assert_eq!(decoded, *message);
-        let lost = self.generator.gen_bool(self.loss) || self.is_cut(from, to);
+        let lost = self.generator.gen_bool(self.loss) || self.is_partitioned(from, to);
         if !lost {
-            self.sent += 1;
-            self.under_way.insert((self.now + LATENCY, self.sent), (to, message));
+            self.messages_sent += 1;
+            self.in_flight.insert((self.now + LATENCY, self.messages_sent), (to, message));
         }
     }
 
-    fn is_cut(&self, from: NodeAddress, to: NodeAddress) -> bool {
+    fn is_partitioned(&self, from: NodeAddress, to: NodeAddress) -> bool {
         let (Some(from_zone), Some(to_zone)) = (self.zones.get(&from), self.zones.get(&to)) else { return true };
-        let between = |left: &ZoneId, right: &ZoneId| self.cut.contains(&(left.clone(), right.clone()));
-        let pair = |left: NodeAddress, right: NodeAddress| self.cut_pairs.contains(&(left, right));
-        between(from_zone, to_zone) || between(to_zone, from_zone) || pair(from, to) || pair(to, from)
+        let zones_partitioned =
+            |left: &ZoneId, right: &ZoneId| self.partitioned_zones.contains(&(left.clone(), right.clone()));
+        let link_broken = |left: NodeAddress, right: NodeAddress| self.broken_links.contains(&(left, right));
+        zones_partitioned(from_zone, to_zone)
+            || zones_partitioned(to_zone, from_zone)
+            || link_broken(from, to)
+            || link_broken(to, from)
     }
 
-    /// The reports of `status` since `since` about `subject`.
+    /// The reports of `status` since `since`.
     pub fn reports_of(&self, status: MemberStatus, since: Timestamp) -> impl Iterator<Item = &Report> {
         self.reports.iter().filter(move |report| report.status == status && report.at >= since)
     }
