--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of nodes with stand-in back ends on a virtual clock, in one process.
+//! A fleet of nodes with simulated back ends on a virtual clock, in one process.
 //!
-//! What ran is recorded by the back ends, what was answered by the callers.
+//! The harness records the executions at the back ends and the outcomes that callers receive.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,10 +28,10 @@
     BackendAnswer(NodeAddress, AttemptId),
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
-    Whole,
+pub enum CallOutcome {
+    Completed,
     Refused(Refusal),
 }
 
@@ -39,18 +39,18 @@
     pub now: Timestamp,
     pub nodes: BTreeMap<NodeAddress, (NodeId, Node)>,
     pub configuration: Arc<Configuration>,
-    /// Runs that back ends began, by key.
-    pub runs: BTreeMap<RequestKey, Vec<NodeAddress>>,
-    pub ends: BTreeMap<CallId, End>,
+    /// The nodes whose back ends executed a call, by key and in order.
+    pub executions: BTreeMap<RequestKey, Vec<NodeAddress>>,
+    pub outcomes: BTreeMap<CallId, CallOutcome>,
     pub replies: BTreeMap<RequestNumber, OperatorReply>,
     pub bytes_sent: u64,
-    /// Nodes that said after a stop that they may exit.
+    /// Nodes that reported after a stop that they are ready to exit.
     pub exited: Vec<NodeAddress>,
     events: BTreeMap<(Timestamp, u64), Event>,
-    edges_of_calls: BTreeMap<AttemptId, NodeAddress>,
-    keys: BTreeMap<AttemptId, RequestKey>,
-    numbers: u64,
-    next_platform: Timestamp,
+    edges_by_attempt: BTreeMap<AttemptId, NodeAddress>,
+    keys_by_attempt: BTreeMap<AttemptId, RequestKey>,
+    last_number: u64,
+    next_platform_reading: Timestamp,
 }
 
 pub fn address(port: u16) -> NodeAddress {
@@ -59,15 +59,15 @@
 
 pub const EDGE: u16 = 7900;
 
-/// The configuration of the examples.
-pub fn prairie() -> Configuration {
+/// The example configuration `prairie.json`.
+pub fn example_configuration() -> Configuration {
     let document = include_str!("../../../../docs/examples/configuration/prairie.json");
     parse_configuration("prairie.json", document).expect("the example is valid").0
 }
 
 impl Fleet {
     pub fn new() -> Self {
-        Self::with(prairie())
+        Self::with(example_configuration())
     }
 
     pub fn with(configuration: Configuration) -> Self {
@@ -75,16 +75,16 @@
             now: Timestamp::ZERO,
             nodes: BTreeMap::new(),
             configuration: Arc::new(configuration),
-            runs: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            executions: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             replies: BTreeMap::new(),
             bytes_sent: 0,
             exited: Vec::new(),
             events: BTreeMap::new(),
-            edges_of_calls: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            numbers: 0,
-            next_platform: Timestamp::ZERO,
+            edges_by_attempt: BTreeMap::new(),
+            keys_by_attempt: BTreeMap::new(),
+            last_number: 0,
+            next_platform_reading: Timestamp::ZERO,
         };
         let targets: Vec<_> = fleet
             .configuration
@@ -107,16 +107,16 @@
         site: SiteName,
         zone: ZoneName,
         service: Option<ServiceName>,
-        run: u64,
+        generation: u64,
     ) {
-        let incarnation = Incarnation(run * 100_000 + u64::from(address.0.port()));
+        let incarnation = Incarnation(generation * 100_000 + u64::from(address.0.port()));
         let node = NodeId { address, incarnation };
         let options = NodeOptions::new(node, site, zone, self.configuration.deployment.clone(), service);
         self.nodes.insert(address, (node, Node::new(options, incarnation.0)));
         self.read_platform(address);
     }
 
-    /// Kills a node and its back end.
+    /// Stops a node and its back end without notice.
     pub fn kill(&mut self, address: NodeAddress) {
         self.nodes.remove(&address);
     }
@@ -135,14 +135,14 @@
     fn next_event(&self) -> Timestamp {
         let wakes = self.nodes.values().filter_map(|(_, node)| node.next_wake());
         let delivery = self.events.keys().next().map(|(at, _)| *at);
-        wakes.chain(delivery).chain([self.next_platform]).min().unwrap_or(self.next_platform)
+        wakes.chain(delivery).chain([self.next_platform_reading]).min().unwrap_or(self.next_platform_reading)
     }
 
     fn read_platform_if_due(&mut self) {
-        if self.now < self.next_platform {
+        if self.now < self.next_platform_reading {
             return;
         }
-        self.next_platform = self.now + PLATFORM_INTERVAL;
+        self.next_platform_reading = self.now + PLATFORM_INTERVAL;
         for address in self.nodes.keys().copied().collect::<Vec<_>>() {
             self.read_platform(address);
         }
@@ -173,19 +173,20 @@
                 Event::Input(to, incarnation, input) => {
                     let input = *input;
                     let current = self.nodes.get(&to).map(|(node, _)| node.incarnation);
-                    let meant = current.is_some_and(|current| incarnation.is_none_or(|meant| meant == current));
-                    if meant {
+                    let is_receiver =
+                        current.is_some_and(|current| incarnation.is_none_or(|addressed| addressed == current));
+                    if is_receiver {
                         self.step(to, input);
                     } else if let NodeInput::Gate(GateInput::Arrived(context)) = input {
                         self.answer(context.attempt_id(), AttemptResult::ConnectFailed, None);
                     }
                 }
-                Event::BackendAnswer(node, attempt) => self.backend_answers(node, attempt),
+                Event::BackendAnswer(node, attempt) => self.complete_at_backend(node, attempt),
             }
         }
     }
 
-    fn backend_answers(&mut self, address: NodeAddress, attempt: AttemptId) {
+    fn complete_at_backend(&mut self, address: NodeAddress, attempt: AttemptId) {
         if !self.nodes.contains_key(&address) {
             self.answer(attempt, AttemptResult::Lost, None);
             return;
@@ -200,26 +201,26 @@
     }
 
     fn answer(&mut self, attempt: AttemptId, result: AttemptResult, feedback: Option<Feedback>) {
-        let Some(edge) = self.edges_of_calls.get(&attempt).copied() else { return };
+        let Some(edge) = self.edges_by_attempt.get(&attempt).copied() else { return };
         let whole = matches!(result, AttemptResult::Answered { .. });
-        self.post(edge, None, EdgeInput::AttemptAnswered { attempt, result, feedback }.into());
+        self.schedule(edge, None, EdgeInput::AttemptAnswered { attempt, result, feedback }.into());
         if whole {
-            self.post(edge, None, EdgeInput::BodyEnded { attempt, incomplete: None }.into());
+            self.schedule(edge, None, EdgeInput::BodyEnded { attempt, incomplete: None }.into());
         }
     }
 
-    fn post(&mut self, to: NodeAddress, incarnation: Option<Incarnation>, input: NodeInput) {
-        self.numbers += 1;
-        self.events.insert((self.now + LATENCY, self.numbers), Event::Input(to, incarnation, Box::new(input)));
+    fn schedule(&mut self, to: NodeAddress, incarnation: Option<Incarnation>, input: NodeInput) {
+        self.last_number += 1;
+        self.events.insert((self.now + LATENCY, self.last_number), Event::Input(to, incarnation, Box::new(input)));
     }
 
     pub fn step(&mut self, address: NodeAddress, input: NodeInput) {
         let mut outputs = Vec::new();
-        let Some((node, machine)) = self.nodes.get_mut(&address) else { return };
-        let node = *node;
-        machine.step(self.now, input, &mut outputs);
+        let Some((id, node)) = self.nodes.get_mut(&address) else { return };
+        let id = *id;
+        node.step(self.now, input, &mut outputs);
         for output in outputs {
-            self.carry_out(node, output);
+            self.carry_out(id, output);
         }
     }
 
@@ -239,22 +240,22 @@
     fn send(&mut self, from: NodeId, to: NodeAddress, incarnation: Option<Incarnation>, payload: Payload) {
         self.bytes_sent += payload.bytes.len() as u64;
         let revision = Revision(self.configuration.revision.0);
-        self.post(to, incarnation, NodeInput::Message { from, revision, payload });
+        self.schedule(to, incarnation, NodeInput::Message { from, revision, payload });
     }
 
     fn carry_out_edge(&mut self, node: NodeId, output: EdgeOutput) {
         match output {
             EdgeOutput::Send { target, context } => {
-                self.edges_of_calls.insert(context.attempt_id(), node.address);
+                self.edges_by_attempt.insert(context.attempt_id(), node.address);
                 let incarnation = Some(target.incarnation).filter(|incarnation| incarnation.0 != 0);
-                self.post(target.address, incarnation, GateInput::Arrived(context).into());
+                self.schedule(target.address, incarnation, GateInput::Arrived(context).into());
             }
             EdgeOutput::Finish { call, answer } => {
-                let end = match answer {
-                    Answer::Relay(_) => End::Whole,
-                    Answer::Refuse(refusal) => End::Refused(refusal),
+                let outcome = match answer {
+                    Answer::Relay(_) => CallOutcome::Completed,
+                    Answer::Refuse(refusal) => CallOutcome::Refused(refusal),
                 };
-                assert!(self.ends.insert(call, end).is_none(), "a call has one answer");
+                assert!(self.outcomes.insert(call, outcome).is_none(), "a call has one answer");
             }
             _ => {}
         }
@@ -263,12 +264,12 @@
     fn carry_out_gate(&mut self, node: NodeId, output: GateOutput) {
         match output {
             GateOutput::Dispatch { attempt, .. } => {
-                if let Some(key) = self.keys.get(&attempt) {
-                    self.runs.entry(key.clone()).or_default().push(node.address);
+                if let Some(key) = self.keys_by_attempt.get(&attempt) {
+                    self.executions.entry(key.clone()).or_default().push(node.address);
                 }
-                self.numbers += 1;
+                self.last_number += 1;
                 let answer = Event::BackendAnswer(node.address, attempt);
-                self.events.insert((self.now + SERVICE_TIME, self.numbers), answer);
+                self.events.insert((self.now + SERVICE_TIME, self.last_number), answer);
             }
             GateOutput::Refuse { attempt, refusal, feedback } => {
                 self.answer(attempt, AttemptResult::Refused(refusal), Some(feedback));
@@ -280,15 +281,15 @@
         }
     }
 
-    /// A call from an outside caller.
+    /// Sends a call from an external caller to the edge.
     pub fn call(&mut self, service: &str, class: &str, key: Option<&str>) -> CallId {
-        self.numbers += 1;
-        let call = CallId(u128::from(self.numbers));
+        self.last_number += 1;
+        let call = CallId(u128::from(self.last_number));
         let key = key.map(|key| RequestKey::new(key).unwrap());
-        let generated_key = RequestKey::new(&format!("drawn-{}", self.numbers)).unwrap();
-        let used = key.clone().unwrap_or_else(|| generated_key.clone());
+        let generated_key = RequestKey::new(&format!("drawn-{}", self.last_number)).unwrap();
+        let used_key = key.clone().unwrap_or_else(|| generated_key.clone());
         for attempt in 0..16 {
-            self.keys.insert(AttemptId { call, attempt }, used.clone());
+            self.keys_by_attempt.insert(AttemptId { call, attempt }, used_key.clone());
         }
         let arrival = CallArrival {
             call,
@@ -309,14 +310,14 @@
     }
 
     pub fn ask(&mut self, node: NodeAddress, request: OperatorRequest) -> OperatorReply {
-        self.numbers += 1;
-        let number = RequestNumber(self.numbers);
+        self.last_number += 1;
+        let number = RequestNumber(self.last_number);
         self.step(node, NodeInput::Operator { request: number, body: Box::new(request) });
         self.run(Duration::from_secs(6));
         self.replies.remove(&number).expect("each request gets a reply")
     }
 
-    pub fn doubled_keys(&self) -> usize {
-        self.runs.values().filter(|runs| runs.len() > 1).count()
+    pub fn keys_executed_twice(&self) -> usize {
+        self.executions.values().filter(|executions| executions.len() > 1).count()
     }
 }
