--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -76,7 +76,7 @@
     Event(NodeEvent),
     /// The node is ready and takes calls.
     Ready,
-    /// The node has stopped: all work is finished, or the grace period has passed.
+    /// The node may exit after a stop: all work is finished, or the grace period has passed.
     ReadyToExit,
 }
 
--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -49,7 +49,8 @@
     events: BTreeMap<(Timestamp, u64), Event>,
     edges_by_attempt: BTreeMap<AttemptId, NodeAddress>,
     keys_by_attempt: BTreeMap<AttemptId, RequestKey>,
-    last_number: u64,
+    /// The last number used for a call, an operator request or a scheduled event.
+    last_sequence: u64,
     next_platform_reading: Timestamp,
 }
 
@@ -83,7 +84,7 @@
             events: BTreeMap::new(),
             edges_by_attempt: BTreeMap::new(),
             keys_by_attempt: BTreeMap::new(),
-            last_number: 0,
+            last_sequence: 0,
             next_platform_reading: Timestamp::ZERO,
         };
         let targets: Vec<_> = fleet
@@ -107,9 +108,9 @@
         site: SiteName,
         zone: ZoneName,
         service: Option<ServiceName>,
-        generation: u64,
+        incarnation_base: u64,
     ) {
-        let incarnation = Incarnation(generation * 100_000 + u64::from(address.0.port()));
+        let incarnation = Incarnation(incarnation_base * 100_000 + u64::from(address.0.port()));
         let node = NodeId { address, incarnation };
         let options = NodeOptions::new(node, site, zone, self.configuration.deployment.clone(), service);
         self.nodes.insert(address, (node, Node::new(options, incarnation.0)));
@@ -210,8 +211,8 @@
     }
 
     fn schedule(&mut self, to: NodeAddress, incarnation: Option<Incarnation>, input: NodeInput) {
-        self.last_number += 1;
-        self.events.insert((self.now + LATENCY, self.last_number), Event::Input(to, incarnation, Box::new(input)));
+        self.last_sequence += 1;
+        self.events.insert((self.now + LATENCY, self.last_sequence), Event::Input(to, incarnation, Box::new(input)));
     }
 
     pub fn step(&mut self, address: NodeAddress, input: NodeInput) {
@@ -267,9 +268,9 @@
                 if let Some(key) = self.keys_by_attempt.get(&attempt) {
                     self.executions.entry(key.clone()).or_default().push(node.address);
                 }
-                self.last_number += 1;
+                self.last_sequence += 1;
                 let answer = Event::BackendAnswer(node.address, attempt);
-                self.events.insert((self.now + SERVICE_TIME, self.last_number), answer);
+                self.events.insert((self.now + SERVICE_TIME, self.last_sequence), answer);
             }
             GateOutput::Refuse { attempt, refusal, feedback } => {
                 self.answer(attempt, AttemptResult::Refused(refusal), Some(feedback));
@@ -283,10 +284,10 @@
 
     /// Sends a call from an external caller to the edge.
     pub fn call(&mut self, service: &str, class: &str, key: Option<&str>) -> CallId {
-        self.last_number += 1;
-        let call = CallId(u128::from(self.last_number));
+        self.last_sequence += 1;
+        let call = CallId(u128::from(self.last_sequence));
         let key = key.map(|key| RequestKey::new(key).unwrap());
-        let generated_key = RequestKey::new(&format!("drawn-{}", self.last_number)).unwrap();
+        let generated_key = RequestKey::new(&format!("drawn-{}", self.last_sequence)).unwrap();
         let used_key = key.clone().unwrap_or_else(|| generated_key.clone());
         for attempt in 0..16 {
             self.keys_by_attempt.insert(AttemptId { call, attempt }, used_key.clone());
@@ -310,8 +311,8 @@
     }
 
     pub fn ask(&mut self, node: NodeAddress, request: OperatorRequest) -> OperatorReply {
-        self.last_number += 1;
-        let number = RequestNumber(self.last_number);
+        self.last_sequence += 1;
+        let number = RequestNumber(self.last_sequence);
         self.step(node, NodeInput::Operator { request: number, body: Box::new(request) });
         self.run(Duration::from_secs(6));
         self.replies.remove(&number).expect("each request gets a reply")
--- a/crates/node/tests/fleet_tests.rs
+++ b/crates/node/tests/fleet_tests.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_only_gate_of_a_group_stops_within_its_grace_period() {
+fn the_only_gate_of_a_group_stops_in_bounded_time() {
     let mut configuration = example_configuration();
     for service in configuration.services.values_mut() {
         let first = service.targets[0].clone();
