--- a/crates/group/src/change.rs
+++ b/crates/group/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of voters: one at a time, agreed by the old voters and by the new.
+//! Changes of voters: one at a time, committed by quorums of the old and of the new voters.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::settings::MAX_VOTERS;
 use crate::voters::VoterSet;
 
-/// A node may be taken in for so many inquiry intervals after it last proved to be alive.
+/// A joiner may be added for this many inquiry intervals after it last answered an inquiry.
 const JOINER_FRESHNESS_INTERVALS: u32 = 8;
 
 impl Group {
@@ -31,7 +31,8 @@
     }
 
     fn append_voters(&mut self, now: Timestamp, voters: VoterSet, outputs: &mut Vec<GroupOutput>) -> ProposalResult {
-        // Later answers are of a round that began after the change, so that they say something about the new voters.
+        // Starts a new round, so that the answers counted from now on were given after the change and hold for the new
+        // voters.
         self.survey.start_round(now + self.settings.formation_retry);
         self.append_and_replicate(now, Payload::Voters(voters), outputs)
     }
@@ -53,7 +54,7 @@
         }
         if let Some(node) = add {
             self.check_joiner(now, member, node)?;
-            // The run that asks to be taken in proves that earlier runs at its address are dead.
+            // The run that asks to join proves that earlier runs at its address have ended.
             next.voters.retain(|voter| voter.address != node.address);
             next.voters.insert(node);
         }
@@ -66,7 +67,8 @@
         Ok(next)
     }
 
-    /// A node that does not run must not be taken in: a group of one would then wait for it for ever.
+    /// Accepts only a node that recently answered. If a group of one added a node that is not running, it would wait
+    /// for that node's vote forever.
     fn check_joiner(&self, now: Timestamp, member: &Member, node: NodeId) -> Result<(), ProposalRefusal> {
         if member.is_voter(&node) {
             return Ok(());
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Brings the electorate one address closer to the configured one, so that majorities of both always meet.
+    /// Changes the electorate by one address toward the configured one, so that majorities before and after intersect.
     pub(crate) fn step_electorate(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(requirements) = &self.requirements else {
             return;
