--- a/crates/group/src/election.rs
+++ b/crates/group/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, and handing leadership on.
+//! Elections: pre-vote, votes and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -117,7 +117,7 @@
         true
     }
 
-    /// Whether this node is in contact with a leader and therefore helps no other, which the leader's lease rests on.
+    /// Whether this node is in contact with a leader and therefore grants no vote. The leader's lease depends on this.
     fn has_leader_contact(&self, now: Timestamp) -> bool {
         let Some(member) = &self.member else {
             return false;
@@ -126,7 +126,7 @@
         self.settings.mechanisms.check_quorum && recent && member.leader.is_some()
     }
 
-    /// Goes to a higher term as a follower without a vote.
+    /// Moves to a higher term as a follower that has not voted.
     pub(crate) fn follow_term(&mut self, now: Timestamp, term: u64) {
         if self.member.as_ref().is_some_and(Member::is_leader) {
             self.rearm_election(now);
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Takes up leadership of the current term.
+    /// Becomes the leader of the current term.
     pub(crate) fn lead(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.survey.start_round(now + self.settings.formation_retry);
         let node = self.node;
@@ -203,13 +203,13 @@
             transfer: None,
             joiners: BTreeMap::new(),
         });
-        // In a group that has agreed on nothing yet the others most likely have an empty log.
+        // If the group has committed nothing yet, the other logs are probably empty.
         let next_index = if member.commit == 0 { 1 } else { opening };
         self.align_progress(next_index);
         self.replicate_to_all(now, outputs);
     }
 
-    /// Keeps one progress record per other node that must get the log.
+    /// Updates the progress records to one per other node that the log is replicated to.
     pub(crate) fn align_progress(&mut self, next_index: u64) {
         let node = self.node;
         let Some(member) = &self.member else {
@@ -232,12 +232,13 @@
     pub(crate) fn on_stop(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.stopping = true;
         self.attempt = None;
-        // The others campaign first; but if this node alone has all that was agreed, only it can win, and hand over.
+        // The delay lets the other voters start an election first. If only this node has all committed entries, only it
+        // can win; it then transfers leadership.
         self.rearm_election(now);
         self.continue_transfer(now, outputs);
     }
 
-    /// While stopping, hands leadership to the voter that is furthest; asks another if that one does not take it.
+    /// While stopping, transfers leadership to an up-to-date voter; tries another one if the transfer times out.
     pub(crate) fn continue_transfer(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         if !self.stopping {
             return;
@@ -262,7 +263,7 @@
         let Some(to) = best.or(tried) else {
             return;
         };
-        // Voters may elect the receiver at once, whatever lease they granted, so the lease ends here.
+        // Voters may elect the receiver immediately despite the lease that they granted, so the lease ends here.
         leadership.lease_until = None;
         leadership.transfer = Some(Transfer { to, since: now });
         self.send(to, GroupMessage::ElectNow { identity, term }, outputs);
