--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's side of replication, and handing agreed entries to the host.
+//! The follower's side of replication, passing committed entries to the host, and leaving a group.
 
 use quillhatch_types::{NodeId, Timestamp};
 
@@ -16,14 +16,14 @@
         };
         let taken = match accepted {
             true => append_entries(member, &append),
-            // The answer's higher term tells the sender that it leads no more; in the same term there is no other leader.
+            // The higher term in the reply makes the sender step down; the same term has no other leader.
             false if append.term < member.term => AppendOutcome::Mismatch { retry_at: 0 },
             false => AppendOutcome::Conflict,
         };
         let (success, index) = match taken {
             AppendOutcome::Matched { up_to } => (true, up_to),
             AppendOutcome::Mismatch { retry_at } => (false, retry_at),
-            // The sender would only send the same again.
+            // A reply would only make the sender send the same entries again.
             AppendOutcome::Conflict => return,
         };
         let reply =
@@ -31,7 +31,7 @@
         self.send(from, GroupMessage::AppendReply(reply), outputs);
     }
 
-    /// Follows `from` as the leader of `term`, unless the term is over.
+    /// Follows `from` as the leader of `term`. Returns false if the term is over or this node leads it.
     pub(crate) fn accept_leader(
         &mut self,
         now: Timestamp,
@@ -55,14 +55,14 @@
         };
         member.position = Position::Follower;
         member.leader = Some(from);
-        // A node that was told of the leader never votes for another in the same term, also if it never voted.
+        // A node that knows the leader of a term must not vote for another candidate in it, even if it has not voted.
         member.vote = Some(from);
         member.contact = now;
         outputs.push(GroupOutput::LeaseGranted { until: now + lease });
         true
     }
 
-    /// Hands out what is agreed and not handed out yet, and leaves if the agreed voters exclude this node.
+    /// Passes newly committed entries to the host, and leaves the group if the committed voters exclude this node.
     pub(crate) fn apply_committed(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(member) = &mut self.member else {
             return;
@@ -86,7 +86,8 @@
         self.leave_if_removed(now, outputs);
     }
 
-    /// Leaves when the agreed voters no longer name this node; a newcomer whose log does not name it yet stays.
+    /// Leaves the group when the committed voters no longer include this node. A new node whose log does not include it
+    /// yet stays.
     fn leave_if_removed(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let node = self.node;
         let Some(member) = &mut self.member else {
@@ -107,7 +108,8 @@
         self.retire(now, outputs);
     }
 
-    /// Leaves but remembers: this run may be taken in again, and must then know what it voted for and answered.
+    /// Leaves the group but retains the state: if this run is added again, it must know its votes and the entries that
+    /// it acknowledged.
     pub(crate) fn retire(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(mut member) = self.member.take() else {
             return;
@@ -119,7 +121,8 @@
         self.after_leaving(now, outputs);
     }
 
-    /// Forgets the group's state for good, and with it the right to ever answer that group again.
+    /// Discards the group's state. Without it this run must never answer that group again, so the group is recorded as
+    /// abandoned.
     pub(crate) fn abandon_membership(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         if let Some(retired) = self.retired.take() {
             self.abandon_group(retired.record.identity);
@@ -137,7 +140,7 @@
         outputs.push(GroupOutput::Removed);
     }
 
-    /// Takes the memory of an earlier membership up again; the host gets all of its state anew.
+    /// Rejoins a group with the retained state of an earlier membership; the host receives the whole state again.
     pub(crate) fn resume(&mut self, now: Timestamp, mut member: Member, outputs: &mut Vec<GroupOutput>) {
         let record = member.record;
         let index = member.log.base_index();
@@ -156,17 +159,17 @@
     }
 }
 
-/// What became of the entries of an append.
+/// Result of comparing an append with the follower's log.
 enum AppendOutcome {
-    /// Both logs agree up to there.
+    /// Both logs match up to this index.
     Matched { up_to: u64 },
-    /// The entry before the first one is another; the leader should try after this index.
+    /// The entry before the first one differs; the leader should retry after this index.
     Mismatch { retry_at: u64 },
-    /// An agreed entry would have to be replaced, which no leader can rightly ask.
+    /// A committed entry would have to be replaced, which no correct leader requests.
     Conflict,
 }
 
-/// Takes the entries if they fit.
+/// Appends the entries if the logs match before the first one.
 fn append_entries(member: &mut Member, append: &Append) -> AppendOutcome {
     let base = member.log.base_index();
     let last = member.log.last_index();
