--- a/crates/group/src/forming.rs
+++ b/crates/group/src/forming.rs
@@ -1,4 +1,4 @@
-//! Forming a group when nobody has one, and the fence between an older group and a newer.
+//! Formation of a group when none exists, and the fence that stops members of a new group from answering an older one.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -12,16 +12,16 @@
 use crate::message::{Answer, FormReply, FormRequest, FormationRecord, GroupIdentity, GroupMessage};
 use crate::voters::VoterSet;
 
-/// Generations are raised by a random step up to this when memory may have been lost.
+/// Maximum random step by which the generation grows when state may have been lost.
 ///
-/// Two formings that do not know of each other then hardly ever get the same generation. If they do, the founder still
-/// tells the groups apart.
+/// The random step makes it unlikely that two formations that do not know of each other get the same generation. If
+/// they do, the founder still distinguishes the groups.
 const GENERATION_STRIDE: u64 = 1 << 16;
 
-/// How many given-up groups are remembered by name.
+/// Maximum number of abandoned groups that are remembered; the lowest identity is dropped first.
 const MAX_ABANDONED_GROUPS: usize = 16;
 
-/// A forming that this node tries.
+/// This node's own attempt to form a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Attempt {
     pub request: FormRequest,
@@ -30,17 +30,17 @@
     pub ends_at: Timestamp,
 }
 
-/// The newest group that this node consented to or joined.
+/// The last group that this node consented to or joined.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Promise {
     pub record: FormationRecord,
     pub at: Timestamp,
-    /// Until then the node helps no other founder, so that a forming can come to its end.
+    /// Until then the node consents to no other founder, so that the formation can complete.
     pub engaged_until: Timestamp,
     pub joined: bool,
 }
 
-/// A node that answered that it would take part in a forming.
+/// A node that would consent to a formation.
 struct ReadyNode {
     node: NodeId,
     blank: bool,
@@ -59,14 +59,15 @@
         if first && self.member.is_none() {
             self.waiting_since = now;
             self.ask_peers(now, outputs);
-            // A node alone in the electorate has nobody to wait for.
+            // If this node is the whole electorate, there is no answer to wait for.
             self.form_if_complete(now, outputs);
         }
     }
 
-    /// Whether this node would consent to a forming now.
+    /// Whether this node would consent to a formation now.
     ///
-    /// A node that has just started waits as long as a promise to a leader that it may have forgotten could last.
+    /// A node that has just started waits for the minimum election timeout, because its earlier run may have extended a
+    /// leader's lease that is still valid.
     pub(crate) fn is_free(&self, now: Timestamp) -> bool {
         let started = self.started.unwrap_or(now);
         let settled = now.since(started) >= self.settings.election_timeout_minimum;
@@ -87,7 +88,7 @@
         let others = self.survey.answers.values().map(|(node, answer)| (*node, answer));
         let answers = own.chain(others).filter(|(node, answer)| answer.free && electorate.contains(&node.address));
         let mut ready: Vec<ReadyNode> = answers.map(|(node, answer)| ready_from(node, answer)).collect();
-        // Whoever kept most of an older group's state founds, so that its host can propose what it still knows.
+        // The node with the most state of an older group comes first, so that its host can propose what it still has.
         ready.sort_by_key(|ready| (Reverse(ready.state), ready.node));
         ready
     }
@@ -101,7 +102,7 @@
         electorate.contains(&self.node.address) && self.is_free(now) && !involved && !self.group_exists()
     }
 
-    /// Whether a recent consent to another founder is still open.
+    /// Whether a recent consent to a founder other than `founder` is still in effect.
     pub(crate) fn is_engaged(&self, now: Timestamp, founder: NodeId) -> bool {
         self.promise.as_ref().is_some_and(|promise| {
             let open = !promise.joined && now < promise.engaged_until;
@@ -109,7 +110,7 @@
         })
     }
 
-    /// Forms at once when all of the electorate have answered that they are free.
+    /// Starts a formation immediately if the whole electorate is free and this node is first in the order.
     pub(crate) fn form_if_complete(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some((electorate, ready)) = self.electorate_and_ready(now) else {
             return;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// At the end of a round: forms with a majority once the rest has been waited for.
+    /// At the end of a round, starts a formation with a majority if `formation_wait` has passed without the others.
     pub(crate) fn end_round(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some((electorate, ready)) = self.electorate_and_ready(now) else {
             self.eligible_since = None;
@@ -132,7 +133,7 @@
         }
         let eligible_since = *self.eligible_since.get_or_insert(now);
         let rank = ready.iter().position(|ready| ready.node == self.node).unwrap_or(ready.len());
-        // The first in order founds; the next ones only if nothing came of it.
+        // The first node in the order starts; each later one only if the nodes before it have not formed a group.
         let turn = eligible_since + self.settings.formation_wait * u32::try_from(rank).unwrap_or(u32::MAX);
         if now >= turn {
             self.start_attempt(now, electorate, ready, outputs);
@@ -202,9 +203,9 @@
         }
     }
 
-    /// Gives an attempt up: this node may help another founder now, and tries again only after a while.
+    /// Ends this node's attempt. The node may then consent to another founder, and retries after a random pause.
     ///
-    /// Without the pause two founders could refuse each other for ever.
+    /// Without the pause two founders could refuse each other forever.
     fn end_attempt(&mut self, now: Timestamp) {
         let settings = &self.settings;
         let pause = self.random.span(settings.formation_retry, settings.formation_wait);
@@ -246,7 +247,7 @@
         if self.has_consented(identity) {
             return !self.abandoned_groups.contains(&identity);
         }
-        // Two nodes with different configurations must not form a group that only one of them would have formed.
+        // Nodes with different configured electorates must not form a group that only one of the configurations allows.
         let same_electorate = self.requirements.as_ref().is_none_or(|requirements| {
             let own: BTreeSet<NodeAddress> = requirements.electorate.iter().copied().collect();
             own == request.voters.electorate
@@ -277,7 +278,7 @@
         self.found_if_granted(now, outputs);
     }
 
-    /// With the consent of every first voter, leads the new group's first term.
+    /// Once every initial voter has consented, joins the new group and leads its first term.
     fn found_if_granted(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let complete = self.attempt.as_ref().is_some_and(|attempt| {
             let voters = &attempt.request.voters;
@@ -297,7 +298,9 @@
         self.lead(now, outputs);
     }
 
-    /// Becomes a member with an empty log. The founder leads the first term, so everybody else's vote in it is spent.
+    /// Becomes a member with an empty log, or resumes retained state of the same group.
+    ///
+    /// The founder leads the first term, so the member's vote in that term is set to the founder.
     pub(crate) fn join(&mut self, now: Timestamp, record: FormationRecord, outputs: &mut Vec<GroupOutput>) {
         let identity = record.identity;
         if let Some(retired) = self.retired.take_if(|retired| retired.record.identity == identity) {
@@ -319,7 +322,7 @@
         outputs.push(GroupOutput::Formed { generation: identity.generation, claims_lost, epoch });
     }
 
-    /// Decides whether a message within a group concerns this node, joining the sender's group if it may.
+    /// Decides whether to process a message of a group; joins the sender's group if that is allowed.
     pub(crate) fn enter_group_of(
         &mut self,
         now: Timestamp,
@@ -346,7 +349,8 @@
         false
     }
 
-    /// A first voter that consented may vote before the founder's first message has reached it.
+    /// The record to join with on a vote request: an initial voter that consented may vote before it has received the
+    /// founder's first message.
     fn record_for_vote(&self, identity: GroupIdentity, message: &GroupMessage) -> Option<FormationRecord> {
         if !matches!(message, GroupMessage::VoteRequest(_)) || self.member.is_some() {
             return None;
@@ -358,7 +362,7 @@
         (promise.record.identity == identity && !promise.joined).then_some(promise.record)
     }
 
-    /// The fence: having consented to a group, a node answers no older one, unless it gives the newer up for good.
+    /// The fence: a node that consented to a group joins no older one, unless it abandons the newer group.
     fn may_join(&mut self, now: Timestamp, identity: GroupIdentity) -> bool {
         if !self.settings.mechanisms.forming_fence {
             return true;
@@ -390,7 +394,7 @@
     }
 }
 
-/// The term that a group starts in.
+/// The first term of every group.
 const FIRST_TERM: u64 = 1;
 
 fn ready_from(node: NodeId, answer: &Answer) -> ReadyNode {
