--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -1,4 +1,4 @@
-//! The group's state machine: entry point, accessors and what all parts of it share.
+//! The group's state machine: entry point, accessors and helpers that the other modules share.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,12 +15,13 @@
 use crate::survey::Survey;
 use crate::voters::{ActiveSets, VoterSet};
 
-/// For how many of the longest election timeouts a stopping node leaves it to the others to be elected.
+/// Number of maximum election timeouts by which a stopping node delays its own election, so that another voter wins.
 const STOPPING_ELECTION_DELAY_FACTOR: u32 = 2;
 
-/// One node's part in the agreement of a small group.
+/// One node's consensus state machine.
 ///
-/// It keeps everything in memory. A restarted node starts as an outsider under a new incarnation, and is taken in anew.
+/// It keeps its state in memory only. A restarted node starts as an outsider with a new incarnation and has to join
+/// again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Group {
     pub(crate) node: NodeId,
@@ -30,31 +31,31 @@
     pub(crate) started: Option<Timestamp>,
     pub(crate) stopping: bool,
     pub(crate) member: Option<Member>,
-    /// What a node keeps of a group that removed it.
+    /// Retained state of a group that removed this node.
     pub(crate) retired: Option<Member>,
     pub(crate) requirements: Option<FormRequirements>,
-    /// Since when this node waits for a group or for the rest of the electorate.
+    /// When this node started to wait for a group or for the rest of the electorate.
     pub(crate) waiting_since: Timestamp,
-    /// Since when a majority of the electorate was found free.
+    /// When a majority of the electorate was first found free.
     pub(crate) eligible_since: Option<Timestamp>,
-    /// Not before then does this node try to form a group again.
+    /// Earliest time at which this node may try again to form a group.
     pub(crate) next_attempt_after: Timestamp,
     pub(crate) survey: Survey,
     pub(crate) attempt: Option<Attempt>,
     pub(crate) promise: Option<Promise>,
-    /// Groups that this node has given up and will never answer again.
+    /// Groups whose state this node has discarded and that it must never answer again.
     pub(crate) abandoned_groups: BTreeSet<GroupIdentity>,
-    /// A group seen elsewhere.
+    /// The newest group that a peer has reported.
     pub(crate) known: Option<GroupView>,
     pub(crate) remembered_generation: Generation,
     pub(crate) remembered_epoch: Epoch,
 }
 
-/// Role, term and leader, compared before and after a step.
+/// Role, term and leader, compared before and after a step to detect a change.
 type RoleState = (Role, u64, Option<NodeId>);
 
 impl Group {
-    /// A node without memory. `seed` drives the random spread of its timeouts.
+    /// A node without state. `seed` determines its random timeouts and generation steps.
     pub fn new(node: NodeId, settings: GroupSettings, seed: u64) -> Self {
         let node = effective_node_id(node, &settings.mechanisms);
         Self {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes one input and appends what must be done to `outputs`.
+    /// Processes one input and appends the resulting outputs to `outputs`.
     pub fn step(&mut self, now: Timestamp, input: GroupInput, outputs: &mut Vec<GroupOutput>) {
         let now = now.max(self.last_step);
         if self.started.is_none() {
@@ -162,10 +163,11 @@
         }
     }
 
-    /// Refuses to act on a view that ended while the process was paused.
+    /// Invalidates leadership and election deadlines that expired while the process was paused.
     ///
-    /// A leader that no majority answered within the shortest election timeout may have been replaced. A follower that wakes
-    /// long after its deadline has the leader's heartbeats still waiting in its sockets, so it waits once more.
+    /// A leader that no quorum answered within the minimum election timeout may have been replaced. A follower that
+    /// resumes long after its deadline may have unread heartbeats in its sockets, so it waits for another election
+    /// timeout.
     fn expire_state_after_pause(&mut self, now: Timestamp) {
         let timeout = self.settings.election_timeout_minimum;
         let mechanisms = self.settings.mechanisms;
@@ -186,7 +188,7 @@
         }
     }
 
-    /// When the driver should step with [`GroupInput::Tick`], if at any time.
+    /// When the driver should next call [`step`](Self::step) with [`GroupInput::Tick`], if a timer is set.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let Some(member) = &self.member else {
             return self.requirements.as_ref().map(|_| self.next_outsider_wake());
@@ -215,12 +217,12 @@
         self.node
     }
 
-    /// Whether the node was told to stop.
+    /// Whether the node has received [`GroupInput::Stop`].
     pub fn is_stopping(&self) -> bool {
         self.stopping
     }
 
-    /// The part that the node plays.
+    /// The node's role.
     pub fn role(&self) -> Role {
         match self.member.as_ref().map(|member| &member.position) {
             None => Role::Outsider,
@@ -240,17 +242,17 @@
         self.member.as_ref().and_then(|member| member.leader)
     }
 
-    /// A leader to turn to, also while this node is an outsider.
+    /// The leader as far as known; an outsider reports the leader of the newest group that it has seen.
     pub fn leader_hint(&self) -> Option<NodeId> {
         self.leader().or_else(|| self.known.as_ref().and_then(|view| view.leader))
     }
 
-    /// Up to where this node knows the log to be agreed.
+    /// The node's commit index.
     pub fn commit_index(&self) -> u64 {
         self.member.as_ref().map_or(0, |member| member.commit)
     }
 
-    /// The latest voters in the node's log, agreed or not.
+    /// The latest voters in the node's log, committed or not.
     pub fn voters(&self) -> VoterSet {
         self.member.as_ref().map(Member::latest_voters).unwrap_or_default()
     }
@@ -265,27 +267,27 @@
         self.member.as_ref().map(|member| member.record.identity)
     }
 
-    /// Whether the group was formed without proof that nothing agreed earlier was lost.
+    /// Whether the group was formed without proof that no earlier committed command was lost.
     pub fn claims_lost(&self) -> bool {
         self.member.as_ref().is_some_and(|member| member.record.claims_lost)
     }
 
-    /// The highest generation that this node has heard of.
+    /// The highest generation that this node knows of.
     pub fn remembered_generation(&self) -> Generation {
         self.remembered_generation
     }
 
-    /// Whether a member's group can never decide again, because too many of its voters lost their memory.
+    /// Whether the node's group has permanently lost its quorum, because too many of its voters lost their state.
     pub fn is_lost(&self) -> bool {
         self.member.as_ref().is_some_and(|member| self.has_lost_quorum(member))
     }
 
-    /// Up to when this node as a leader may act alone.
+    /// End of this node's lease, if it leads and has one.
     pub fn lease_until(&self) -> Option<Timestamp> {
         self.member.as_ref().and_then(Member::leadership).and_then(|leadership| leadership.lease_until)
     }
 
-    /// The index up to which the agreed state may be read as current, if this node leads under a lease.
+    /// The index up to which committed state may be read as current, if this node leads and holds a lease.
     pub fn readable_index(&self, now: Timestamp) -> Option<u64> {
         let member = self.member.as_ref()?;
         let leadership = member.leadership()?;
@@ -294,23 +296,23 @@
         (leased && opened).then_some(member.commit)
     }
 
-    /// The entry at `index`, if this node knows it to be agreed and still has it.
+    /// The entry at `index`, if it is committed and not compacted.
     pub fn agreed_entry(&self, index: u64) -> Option<&Entry> {
         let member = self.member.as_ref()?;
         member.log.get(index).filter(|_| index <= member.commit)
     }
 
-    /// Index of the last entry in the log, agreed or not.
+    /// Index of the last entry in the log, committed or not.
     pub fn last_index(&self) -> u64 {
         self.member.as_ref().map_or(0, |member| member.log.last_index())
     }
 
-    /// Entries in the log, for metrics.
+    /// Number of entries in the log, for metrics.
     pub fn log_length(&self) -> usize {
         self.member.as_ref().map_or(0, |member| member.log.len())
     }
 
-    /// The sets whose agreement counts for `member` now.
+    /// The voter sets that must each have a quorum for `member` now.
     pub(crate) fn active_sets<'a>(&self, member: &'a Member) -> Option<ActiveSets<'a>> {
         let mechanisms = self.settings.mechanisms;
         member.active_sets(mechanisms.one_at_a_time, mechanisms.electorate_quorum)
@@ -342,7 +344,7 @@
     }
 }
 
-/// Drops the incarnation when a test takes identity by incarnation out.
+/// Clears the incarnation if a test disables identity by incarnation.
 fn effective_node_id(node: NodeId, mechanisms: &GroupMechanisms) -> NodeId {
     if mechanisms.incarnation_identity {
         return node;
