--- a/crates/group/src/io.rs
+++ b/crates/group/src/io.rs
@@ -1,4 +1,4 @@
-//! What the host hands to a group and what the group asks of its host.
+//! Inputs that the host passes to a group, and outputs that the host must execute.
 
 use derive_more::{Display, Error};
 use quillhatch_types::{Epoch, Formation, Generation, NodeAddress, NodeId, Timestamp};
@@ -6,23 +6,23 @@
 use crate::message::GroupMessage;
 use crate::voters::VoterSet;
 
-/// The part that a node plays in its group.
+/// The role of a node in its group.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Without state: no vote, nothing replicated.
+    /// Not a member: has no vote and no replicated log.
     Outsider,
     /// Follows a leader or waits for one.
     Follower,
-    /// Asks for votes.
+    /// Requests votes or pre-votes.
     Candidate,
-    /// Leads.
+    /// Leads the group in the current term.
     Leader,
 }
 
-/// From which nodes a group may be formed, and what the host remembers of earlier ones.
+/// The nodes that may form a group, and what the host remembers of earlier groups.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FormRequirements {
-    /// The configured addresses; a majority of them must take part. Best three or five.
+    /// The configured addresses, preferably three or five. A majority of them must take part in the formation.
     pub electorate: Vec<NodeAddress>,
     /// Whether the service has ever served calls.
     pub formation: Formation,
@@ -35,41 +35,41 @@
 /// An input to [`Group::step`](crate::Group::step).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum GroupInput {
-    /// Time has passed.
+    /// Runs the timers that are due.
     Tick,
-    /// A message arrived that was meant for this run of the node or for any run at its address.
+    /// A message that was addressed to this run of the node or to any run at its address.
     Message {
         /// The authenticated sender.
         from: NodeId,
-        /// What it says.
+        /// The message.
         message: GroupMessage,
     },
-    /// Agree on a command.
+    /// Proposes a command.
     Propose {
         /// Given back with the result.
         ticket: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// Take a voter in, out, or both in one change.
+    /// Adds a voter, removes one, or both in one change.
     ChangeVoters {
         /// Given back with the result.
         ticket: u64,
-        /// The node to take in; an older run at its address is taken out along with it.
+        /// The node to add; an older run at its address is removed in the same change.
         add: Option<NodeId>,
-        /// The node to take out.
+        /// The node to remove.
         remove: Option<NodeId>,
     },
-    /// The host's state after the command at `index`, so that the log before it can go.
+    /// The host's state after the command at `index`; the log up to it can be compacted.
     Snapshot {
         /// Up to and with this index.
         index: u64,
         /// The state.
         bytes: Vec<u8>,
     },
-    /// From which nodes a group may be formed. May be given again when the configuration changes.
+    /// The nodes that may form a group. Sent again when the configuration changes.
     Form(FormRequirements),
-    /// The node will stop: hand leadership on and campaign no more.
+    /// The node will stop: it transfers leadership and starts an election only if the other voters elect no leader.
     Stop,
 }
 
@@ -83,113 +83,113 @@
         /// The message.
         message: GroupMessage,
     },
-    /// A command is agreed; handed out once, in the order of the log.
+    /// A committed command; emitted once, in the order of the log.
     Committed {
-        /// Its place in the log.
+        /// Its log index.
         index: u64,
-        /// The term that it was proposed in.
+        /// The term in which it was proposed.
         term: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// A proposal or change was taken into the log or refused. Being in the log is not being agreed.
+    /// A proposal or a change of voters was appended to the log or refused. An appended entry is not committed yet.
     Proposed {
-        /// Of the proposal.
+        /// The ticket of the proposal.
         ticket: u64,
-        /// What became of it.
+        /// Whether it was appended.
         result: ProposalResult,
     },
-    /// Role, term or leader are others than before.
+    /// The role, the term or the leader changed.
     RoleChanged {
-        /// The role now.
+        /// The new role.
         role: Role,
-        /// The term now.
+        /// The new term.
         term: u64,
-        /// The leader now, if known.
+        /// The new leader, if known.
         leader: Option<NodeId>,
     },
-    /// Replace the state by a snapshot of it.
+    /// Replaces the host's state with a snapshot.
     InstallSnapshot {
         /// Up to and with this index.
         index: u64,
         /// The state.
         bytes: Vec<u8>,
     },
-    /// The log has grown past its bound: hand in a snapshot at this index or later.
+    /// The log has reached its limit: the host should send [`GroupInput::Snapshot`] at this index or later.
     NeedSnapshot {
-        /// Up to where everything is committed.
+        /// The last index that was emitted to the host.
         index: u64,
     },
-    /// The node is a member of a group now; its log starts anew.
+    /// The node became a member of a group; the host must discard its state.
     Formed {
         /// The generation of the group.
         generation: Generation,
-        /// Whether an earlier group's agreements may have been lost.
+        /// Whether commands that an earlier group committed may be lost.
         claims_lost: bool,
-        /// The highest epoch that anyone asked during the forming remembered.
+        /// The highest epoch that any node reported during the formation.
         epoch: Epoch,
     },
-    /// The voters that are agreed from now on.
+    /// A change of voters was committed, or came with a snapshot.
     VotersChanged {
-        /// The set.
+        /// The new voters.
         voters: VoterSet,
     },
-    /// To the leader: a node without state asks to be taken in; it was alive after the last change of voters.
+    /// On the leader: a node that is not a member asks to join. It was alive after the last change of voters.
     JoinRequested {
         /// The node.
         node: NodeId,
     },
-    /// The node left its group, by removal or for a newer group, and is without state.
+    /// The node left its group, because it was removed or because of a newer group, and is an outsider.
     Removed,
-    /// The leader may act alone until then; a follower will help no other leader until then.
+    /// On a leader: its lease lasts until then. On a follower: it grants no vote to another candidate until then.
     LeaseGranted {
-        /// On this node's clock.
+        /// End of the lease on this node's clock.
         until: Timestamp,
     },
 }
 
-/// What became of a proposal or of a change of voters.
+/// The result of a proposal or of a change of voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalResult {
-    /// It is in the leader's log; it is agreed when it is handed out with the same index and term.
+    /// It was appended to the leader's log; it is committed if it is emitted with the same index and term.
     Accepted {
-        /// Its place in the log.
+        /// Its log index.
         index: u64,
         /// The leader's term.
         term: u64,
     },
-    /// It is not in the log and never will be.
+    /// It was not appended and never will be.
     Refused(ProposalRefusal),
 }
 
 /// Why a proposal or a change of voters was refused.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Hash)]
 pub enum ProposalRefusal {
-    /// Another node leads, or none.
+    /// This node does not lead the group.
     #[display("this node does not lead the group")]
     NotLeader {
         /// The leader, if known.
         leader: Option<NodeId>,
     },
-    /// The leader is handing leadership on.
+    /// The leader is stopping and transfers its leadership.
     #[display("the leader is handing leadership on")]
     HandingOver,
     /// The command is above the size limit.
     #[display("the command is too large")]
     CommandTooLarge,
-    /// The log is full until the host has handed in a snapshot.
+    /// The log is full until the host sends a snapshot.
     #[display("the log is full")]
     LogFull,
-    /// An earlier change of voters is not agreed yet.
+    /// An earlier change of voters is not committed yet.
     #[display("an earlier change of voters is not agreed yet")]
     ChangePending,
     /// The change would alter nothing.
     #[display("the change would alter nothing")]
     NothingToChange,
-    /// The node to be added has not asked to be taken in lately.
+    /// The node to be added has not recently asked to join.
     #[display("the node has not asked to be taken in")]
     NotAsking,
-    /// The voters left would not be a majority of the electorate, or there would be too many.
+    /// The new voters would cover no majority of the electorate, or there would be none or too many of them.
     #[display("the voters left could not decide")]
     CannotDecide,
 }
