--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,14 +1,17 @@
-//! Agreement of a small group of nodes that keep no disk.
+//! Consensus among a small group of nodes that keep their state in memory only.
 //!
-//! Use it where a handful of nodes must agree on a sequence of commands although every one of them forgets everything
-//! when its process ends. It is a replicated log with terms, votes and majorities as in Raft (Ongaro and Ousterhout, "In
-//! Search of an Understandable Consensus Algorithm", 2014; Ongaro's dissertation for pre-vote, check-quorum, leases
-//! and leadership transfer), changed in three ways: a voter is one run of a node, so a restarted node is another
-//! voter; a change of voters is agreed by a majority of the old voters and of the new; and a group can be formed from
-//! nothing by a majority of configured addresses, which says so when agreements of an earlier group may be lost.
+//! Use it where a few nodes must agree on a sequence of commands although each of them loses its state when its process
+//! ends. It is a replicated log with terms, votes and majorities as in Raft (Ongaro and Ousterhout, "In Search of an
+//! Understandable Consensus Algorithm", 2014; Ongaro's dissertation for pre-vote, check-quorum, leases and leadership
+//! transfer), with three differences:
 //!
-//! [`Group`] is sans-I/O: the driver hands in messages and time and carries out the outputs. It must deliver a message
-//! only to the run that it is addressed to; an incarnation of zero stands for any run at the address.
+//! - A voter is one run of a node (an incarnation), so a restarted node is a different voter.
+//! - A change of voters is committed by a majority of the old voters and a majority of the new voters.
+//! - A majority of the configured addresses can form a group without prior state. The new group sets a flag if commands
+//!   that an earlier group committed may be lost.
+//!
+//! [`Group`] does no I/O: the driver passes in messages and the time, and executes the outputs. The driver must deliver
+//! a message only to the run that it is addressed to; incarnation zero addresses any run at that address.
 
 mod change;
 mod election;
