--- a/crates/group/src/log.rs
+++ b/crates/group/src/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log in memory: a snapshot of what lies before it and the entries since.
+//! The replicated log in memory: a snapshot and the entries after it.
 
 use crate::voters::VoterSet;
 
@@ -7,26 +7,26 @@
 pub struct Entry {
     /// The term of the leader that appended it.
     pub term: u64,
-    /// What is agreed with it.
+    /// The content.
     pub payload: Payload,
 }
 
-/// What an entry agrees on.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Payload {
-    /// Opens a leader's term, so that it can count what earlier leaders left.
+    /// First entry of a leader's term; once it commits, the entries of earlier terms are committed too.
     Opening,
     /// A command of the host.
     Command(Vec<u8>),
-    /// The voters from this entry on.
+    /// The voters from this entry onward.
     Voters(VoterSet),
 }
 
-/// Bytes that an entry takes besides its command, in the log's own count.
+/// Bytes that the log counts per entry in addition to its payload, and per address in a voter set.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 impl Entry {
-    /// Approximate size in bytes, for the bounds of log and messages.
+    /// Approximate size in bytes, for the size limits of the log and of messages.
     pub fn size(&self) -> usize {
         let payload = match &self.payload {
             Payload::Opening => 0,
@@ -45,7 +45,7 @@
     snapshot: Vec<u8>,
     entries: Vec<Entry>,
     bytes: usize,
-    /// Voter sets by the index that they are in force from, oldest first.
+    /// Voter sets and the index from which each is in effect, oldest first.
     voters: Vec<(u64, VoterSet)>,
 }
 
@@ -84,7 +84,7 @@
         self.bytes
     }
 
-    /// The term of the entry at `index`, if it or the snapshot's end is still here.
+    /// The term at `index`, if the entry is in the log or is the last one in the snapshot.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -107,7 +107,7 @@
         index
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` onward.
     pub fn truncate_from(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base_index + 1) as usize;
         for entry in self.entries.drain(keep..) {
@@ -116,7 +116,7 @@
         self.voters.retain(|(since, _)| *since < index);
     }
 
-    /// Entries from `index` on, at most `budget` bytes but at least one.
+    /// The entries from `index` onward, at most `budget` bytes, but at least one entry if there is any.
     pub fn batch_from(&self, index: u64, budget: usize) -> Vec<Entry> {
         let offset = index.saturating_sub(self.base_index + 1) as usize;
         let mut size = 0;
@@ -131,7 +131,7 @@
         batch
     }
 
-    /// Replaces the entries up to `index` by the host's snapshot.
+    /// Replaces the entries up to `index` with the host's snapshot.
     pub fn compact(&mut self, index: u64, snapshot: Vec<u8>) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -147,18 +147,18 @@
         self.voters.drain(..newest_before);
     }
 
-    /// The voters at the snapshot's end.
+    /// The voters in effect at the last index of the snapshot.
     pub fn base_voters(&self) -> VoterSet {
         let at_base = self.voters.iter().rev().find(|(since, _)| *since <= self.base_index);
         at_base.map(|(_, set)| set.clone()).unwrap_or_default()
     }
 
-    /// The latest voters and the index that they are in force from.
+    /// The latest voters and the index from which they are in effect.
     pub fn latest_voters(&self) -> Option<(u64, &VoterSet)> {
         self.voters.last().map(|(since, set)| (*since, set))
     }
 
-    /// The voters before the latest.
+    /// The voter set before the latest one.
     pub fn previous_voters(&self) -> Option<&VoterSet> {
         let position = self.voters.len().checked_sub(2)?;
         self.voters.get(position).map(|(_, set)| set)
