--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -8,7 +8,7 @@
 use crate::message::FormationRecord;
 use crate::voters::{ActiveSets, VoterSet};
 
-/// What a member remembers; gone with the process.
+/// The state of a member, lost when the process ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Member {
     pub record: FormationRecord,
@@ -20,13 +20,13 @@
     pub last_applied: u64,
     pub position: Position,
     pub election_deadline: Timestamp,
-    /// When a leader was last heard, or when this node as a leader last had a majority's answer.
+    /// When this node last received a leader's message; on a leader, the send time that a quorum last acknowledged.
     pub contact: Timestamp,
-    /// Whether agreed voters have named this node.
+    /// Whether a committed voter set has included this node.
     pub was_voter: bool,
     pub incoming: Option<IncomingSnapshot>,
     pub snapshot_requested: Option<u64>,
-    /// Voters of which a later run has answered, so that they will never vote again.
+    /// Voters whose address answered as another run, so that they will never vote again.
     pub dead: BTreeSet<NodeId>,
 }
 
@@ -43,10 +43,10 @@
     pub progress: BTreeMap<NodeId, Progress>,
     pub heartbeat_due: Timestamp,
     pub lease_until: Option<Timestamp>,
-    /// Index of the entry that opened the term; reads wait for it.
+    /// Index of the first entry of the term; reads are served only once it is committed.
     pub opening: u64,
     pub transfer: Option<Transfer>,
-    /// Nodes without state that asked to be taken in, and when they last proved to be alive.
+    /// Nodes that asked to join, and when they last answered an inquiry.
     pub joiners: BTreeMap<NodeId, Timestamp>,
 }
 
@@ -56,16 +56,16 @@
     pub since: Timestamp,
 }
 
-/// How far a follower has got.
+/// Replication progress of a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Progress {
     pub match_index: u64,
     pub next_index: u64,
-    /// Send time of the newest message that was answered.
+    /// Send time of the latest message that the follower answered.
     pub answered: Option<Timestamp>,
-    /// Whether the follower's log did not fit; until it does, nothing is sent ahead of its answers.
+    /// Whether the follower's log did not match; until it does, sending does not advance `next_index`.
     pub probing: bool,
-    /// Whether an answer came since the last heartbeat.
+    /// Whether the follower answered since the last heartbeat.
     pub answered_since_heartbeat: bool,
     pub snapshot: Option<OutgoingSnapshot>,
 }
@@ -143,12 +143,12 @@
         self.log.latest_voters().is_some_and(|(_, set)| set.voters.contains(node))
     }
 
-    /// Whether the latest change of voters is not known to be agreed.
+    /// Whether the latest change of voters is not known to be committed.
     pub fn change_pending(&self) -> bool {
         self.log.latest_voters().is_some_and(|(since, _)| since > self.commit)
     }
 
-    /// The sets that must agree now.
+    /// The voter sets that must each have a quorum now; with `both`, the previous set counts until a change commits.
     pub fn active_sets(&self, both: bool, cover_electorate: bool) -> Option<ActiveSets<'_>> {
         let (since, latest) = self.log.latest_voters()?;
         let pending = both && since > self.commit;
