--- a/crates/group/src/message.rs
+++ b/crates/group/src/message.rs
@@ -5,29 +5,30 @@
 use crate::log::Entry;
 use crate::voters::VoterSet;
 
-/// One forming of a group.
+/// Identifies a group by its formation.
 ///
-/// The generation orders formings; the founder tells apart two that forgotten memory gave the same generation.
+/// The generation orders formations. Two formations can have the same generation if nodes lost their memory in between;
+/// the founder then distinguishes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupIdentity {
-    /// Rises with every forming that its founder could know of.
+    /// Higher than that of every earlier formation that the founder knew of.
     pub generation: Generation,
     /// The node that formed the group.
     pub founder: NodeId,
 }
 
-/// What every member knows of the forming of its group.
+/// What every member knows of the formation of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FormationRecord {
     /// The group.
     pub identity: GroupIdentity,
-    /// Whether an earlier group's agreements may have been lost.
+    /// Whether commands that an earlier group committed may be lost.
     pub claims_lost: bool,
-    /// The highest epoch that anyone asked during the forming remembered.
+    /// The highest epoch that any node reported during the formation.
     pub epoch: Epoch,
 }
 
-/// What a node with state knows of its group.
+/// What a member knows of its group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupView {
     /// The group.
@@ -38,28 +39,28 @@
     pub leader: Option<NodeId>,
     /// The latest voters in the node's log.
     pub voters: VoterSet,
-    /// Up to where the node knows the log to be committed.
+    /// The node's commit index.
     pub commit_index: u64,
 }
 
-/// What a node answers when asked whether a group exists.
+/// The answer to an inquiry whether a group exists.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Answer {
-    /// The round of the inquiry that is answered; zero if nobody asked.
+    /// The round of the inquiry that is answered; zero if the answer was sent without an inquiry.
     pub round: u64,
-    /// Whether the node would take part in forming a group now.
+    /// Whether the node would currently consent to the formation of a group.
     pub free: bool,
-    /// Whether the node remembers no group, no forming and no epoch, and its configuration calls the service new.
+    /// Whether the node remembers no group, no formation and no epoch, and its configuration marks the service as new.
     pub blank: bool,
     /// The highest generation that the node remembers.
     pub generation: Generation,
     /// The highest epoch that the node's host remembers.
     pub epoch: Epoch,
-    /// The node's group, if it has state.
+    /// The node's group, if it is a member of one.
     pub view: Option<GroupView>,
 }
 
-/// A request to consent to a forming.
+/// A request to consent to the formation of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FormRequest {
     /// The group to be formed.
@@ -84,15 +85,15 @@
 pub struct VoteRequest {
     /// The group.
     pub identity: GroupIdentity,
-    /// The term that the candidate stands for.
+    /// The term in which the candidate wants to lead.
     pub term: u64,
     /// Index of the candidate's last entry.
     pub last_index: u64,
     /// Term of the candidate's last entry.
     pub last_term: u64,
-    /// Whether only asked beforehand.
+    /// Whether this is a pre-vote.
     pub pre_vote: bool,
-    /// Whether the leader itself asked for the election.
+    /// Whether the leader requested the election to transfer its leadership.
     pub transfer: bool,
 }
 
@@ -101,56 +102,56 @@
 pub struct VoteReply {
     /// The group.
     pub identity: GroupIdentity,
-    /// The term voted in, or the voter's higher term.
+    /// The term of the request if the vote was granted, otherwise the voter's term.
     pub term: u64,
-    /// Whether the vote was given.
+    /// Whether the vote was granted.
     pub granted: bool,
-    /// Whether it answers a question beforehand.
+    /// Whether it answers a pre-vote.
     pub pre_vote: bool,
 }
 
-/// Entries, or none for a heartbeat, from a leader.
+/// Entries from a leader; without entries it is a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Append {
     /// The group.
     pub record: FormationRecord,
     /// The leader's term.
     pub term: u64,
-    /// Microseconds on the leader's clock when it was sent; only the leader may read it.
+    /// Send time in microseconds on the leader's clock; only the leader may interpret it.
     pub sent: u64,
     /// Index of the entry before the first one sent.
     pub previous_index: u64,
     /// Term of that entry.
     pub previous_term: u64,
-    /// Up to where the leader's log is committed.
+    /// The leader's commit index.
     pub commit_index: u64,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
-/// The answer to an append.
+/// The reply to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AppendReply {
     /// The group.
     pub identity: GroupIdentity,
     /// The follower's term.
     pub term: u64,
-    /// The leader's own time stamp, given back.
+    /// The `sent` time of the append.
     pub sent: u64,
-    /// Whether the entries fitted.
+    /// Whether the follower's log matches the leader's up to `index`.
     pub success: bool,
-    /// On success the index up to which both logs agree, otherwise where the leader should try.
+    /// On success the index up to which both logs match, otherwise the index after which the leader should retry.
     pub index: u64,
 }
 
-/// A piece of the leader's snapshot.
+/// A chunk of the leader's snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SnapshotChunk {
     /// The group.
     pub record: FormationRecord,
     /// The leader's term.
     pub term: u64,
-    /// Microseconds on the leader's clock when it was sent.
+    /// Send time in microseconds on the leader's clock; only the leader may interpret it.
     pub sent: u64,
     /// Index of the last entry in the snapshot.
     pub index: u64,
@@ -158,56 +159,56 @@
     pub index_term: u64,
     /// The voters at that entry.
     pub voters: VoterSet,
-    /// Where the piece starts, in bytes.
+    /// Offset of the chunk in bytes.
     pub offset: u64,
     /// Size of the whole snapshot in bytes.
     pub total: u64,
-    /// The piece.
+    /// The chunk.
     pub bytes: Vec<u8>,
 }
 
-/// The answer to a piece of a snapshot.
+/// The reply to a chunk of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SnapshotReply {
     /// The group.
     pub identity: GroupIdentity,
     /// The follower's term.
     pub term: u64,
-    /// The leader's own time stamp, given back.
+    /// The `sent` time of the chunk.
     pub sent: u64,
-    /// Which snapshot.
+    /// Index of the last entry in the snapshot.
     pub index: u64,
-    /// Bytes held of it.
+    /// Number of bytes of the snapshot that the follower has received.
     pub received: u64,
 }
 
 /// A message between two nodes of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GroupMessage {
-    /// Asks whether a group exists; the round is given back.
+    /// Asks whether a group exists.
     Inquiry {
-        /// Names the question.
+        /// Returned in the answer, to match it with the current round of inquiries.
         round: u64,
     },
-    /// What the node knows.
+    /// Answers an inquiry.
     Answer(Answer),
-    /// Asks for consent to form a group.
+    /// Requests consent to the formation of a group.
     FormRequest(FormRequest),
-    /// Gives or refuses it.
+    /// Grants or refuses the consent.
     FormReply(FormReply),
-    /// Asks for a vote.
+    /// Requests a vote or pre-vote.
     VoteRequest(VoteRequest),
-    /// Gives or refuses it.
+    /// Grants or refuses the vote.
     VoteReply(VoteReply),
-    /// Replicates.
+    /// Replicates log entries, or serves as a heartbeat.
     Append(Append),
     /// Answers an append.
     AppendReply(AppendReply),
-    /// Brings a newcomer up to date.
+    /// Sends a chunk of a snapshot to a follower whose missing entries are already compacted.
     SnapshotChunk(SnapshotChunk),
-    /// Answers a piece of a snapshot.
+    /// Answers a chunk of a snapshot.
     SnapshotReply(SnapshotReply),
-    /// The leader hands leadership on to the receiver.
+    /// Transfers leadership: the receiver starts an election immediately.
     ElectNow {
         /// The group.
         identity: GroupIdentity,
@@ -217,7 +218,7 @@
 }
 
 impl GroupMessage {
-    /// The group that the message belongs to, unless it is about finding or forming one.
+    /// The group that the message belongs to; `None` for inquiries and formation messages.
     pub(crate) fn identity(&self) -> Option<GroupIdentity> {
         match self {
             Self::Inquiry { .. } | Self::Answer(_) | Self::FormRequest(_) | Self::FormReply(_) => None,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// The record that a leader sends along.
+    /// The formation record in a leader's message.
     pub(crate) fn leader_record(&self) -> Option<FormationRecord> {
         match self {
             Self::Append(append) => Some(append.record),
