--- a/crates/group/src/random.rs
+++ b/crates/group/src/random.rs
@@ -1,4 +1,4 @@
-//! The group's seeded random source.
+//! The group's seeded random number generator.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A generator that takes part in comparisons, so that a whole group can be a state of the model.
+/// A generator that implements `Eq` and `Hash`, so that a whole group can be a state in the model checker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Random(Pcg64);
 
@@ -15,7 +15,8 @@
         Self(Pcg64::seed_from_u64(seed))
     }
 
-    /// A span within the range; draws nothing if it is a single value, which keeps model states few.
+    /// A random duration in the range. Does not advance the generator if the range is a single value, which keeps the
+    /// number of model states low.
     pub fn span(&mut self, minimum: Duration, maximum: Duration) -> Duration {
         if minimum >= maximum {
             return minimum;
@@ -33,6 +34,6 @@
 
 impl Hash for Random {
     fn hash<H: Hasher>(&self, _: &mut H) {
-        // The generator has no cheap digest; equal values still hash alike, which is all that is asked.
+        // The generator has no cheap hash. Hashing nothing satisfies the contract that equal values have equal hashes.
     }
 }
