--- a/crates/group/src/replication.rs
+++ b/crates/group/src/replication.rs
@@ -1,4 +1,4 @@
-//! The leader's side of replication: proposals, appends, heartbeats, commit and lease.
+//! The leader's side of replication: proposals, appends, heartbeats, commit index and lease.
 
 use quillhatch_types::{NodeId, Timestamp};
 
@@ -9,10 +9,10 @@
 use crate::message::{Append, AppendReply, GroupMessage};
 use crate::settings::MAX_BATCH_BYTES;
 
-/// How many entries may be on their way to one follower without an answer.
+/// Maximum number of entries in flight to one follower.
 const REPLICATION_WINDOW: u64 = 512;
 
-/// The log may grow to this multiple of its bound before proposals are refused.
+/// Proposals are refused once the log reaches this multiple of the limit at which a snapshot is requested.
 const LOG_HARD_LIMIT_FACTOR: usize = 2;
 
 impl Group {
@@ -75,7 +75,7 @@
         }
         leadership.heartbeat_due = now + heartbeat;
         for progress in leadership.progress.values_mut() {
-            // Nothing was answered since the last heartbeat: what was sent may be lost, so begin again where both agree.
+            // Without an answer since the last heartbeat, sent entries may be lost: resend from where both logs match.
             if !progress.answered_since_heartbeat {
                 progress.next_index = progress.next_index.min(progress.match_index + 1);
             }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sends what comes next to one follower, or a heartbeat if nothing does.
+    /// Sends the next entries or snapshot chunk to one follower, or a heartbeat if there is nothing to send.
     pub(crate) fn replicate_to(&mut self, now: Timestamp, peer: NodeId, outputs: &mut Vec<GroupOutput>) {
         let Some(member) = &self.member else {
             return;
@@ -160,10 +160,10 @@
         } else if reply.index >= progress.match_index {
             progress.next_index = (reply.index + 1).min(last_index + 1);
         } else {
-            // An answer from before the follower got further; nothing that it answered since can be taken back.
+            // A delayed reply from before the follower advanced; `match_index` must never decrease.
             return;
         }
-        // An answer that leads nowhere new waits for the next heartbeat, or two nodes could talk without end.
+        // Without progress the next heartbeat retries; an immediate resend could loop endlessly between two nodes.
         let behind = progress.next_index <= last_index;
         let moved = reply.success || progress.next_index != tried;
         if behind && moved {
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Notes that a follower of this term answered; false if the answer says or shows that this node does not lead it.
+    /// Records an answer from a follower. Returns false if the answer is of another term, or this node is not the
+    /// leader or does not replicate to the sender.
     pub(crate) fn accept_answer(
         &mut self,
         now: Timestamp,
@@ -200,7 +201,7 @@
         true
     }
 
-    /// The latest time at which this leader's messages still reached a quorum.
+    /// The latest send time up to which a quorum has answered this leader's messages.
     pub(crate) fn quorum_contact(&self, now: Timestamp) -> Timestamp {
         let Some(member) = &self.member else {
             return now;
@@ -219,7 +220,8 @@
         })
     }
 
-    /// A majority answered messages sent at some time: from that time on none of it elects another for the lease's span.
+    /// Extends the lease from the send time that a quorum has answered: for the lease's duration after it, that quorum
+    /// elects no other leader.
     pub(crate) fn extend_lease(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let lease = self.settings.lease;
         let Some(member) = &self.member else {
@@ -245,7 +247,7 @@
         }
     }
 
-    /// A leader's commit index: what a quorum holds, if the newest of it is of this leader's term.
+    /// Advances the leader's commit index to the last entry that a quorum stores, if that entry is of the current term.
     pub(crate) fn advance_commit(&mut self) {
         let Some(member) = &self.member else {
             return;
@@ -266,7 +268,7 @@
         let Some(held) = held.filter(|held| *held > member.commit) else {
             return;
         };
-        // Copies of an earlier leader's entries may still be replaced until an entry of this term covers them.
+        // Entries of earlier terms may still be replaced until an entry of this term is committed after them.
         if member.log.term_at(held) != Some(member.term) {
             return;
         }
