--- a/crates/group/src/settings.rs
+++ b/crates/group/src/settings.rs
@@ -1,41 +1,43 @@
-//! Settings of a group and the switches that take one mechanism out for a test.
+//! Settings of a group, and switches that disable single mechanisms in tests.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// Largest size in bytes of one command and of the entries of one append message.
+/// Maximum size in bytes of one command, and of all entries in one append message.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 
-/// Largest number of voters that a message may name.
+/// Maximum number of voters in a message.
 pub const MAX_VOTERS: usize = 32;
 
-/// Times and bounds of a group; all nodes of a group must use the same times.
+/// Timeouts and limits of a group. All nodes of a group must use the same timeouts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GroupSettings {
-    /// How often a leader shows itself to its followers.
+    /// Interval between a leader's heartbeats to its followers.
     pub heartbeat: Duration,
-    /// Shortest time without a leader after which a voter campaigns. A follower helps no other candidate for this time.
+    /// Minimum time without contact to a leader before a voter starts an election.
+    ///
+    /// For this time after its last contact to a leader, a follower grants no vote to another candidate.
     pub election_timeout_minimum: Duration,
-    /// Longest time without a leader after which a voter campaigns.
+    /// Maximum time without contact to a leader before a voter starts an election.
     pub election_timeout_maximum: Duration,
-    /// How long a leader may rely on a majority's answer, from the moment that it sent the question.
+    /// Duration of a leader's lease, counted from when it sent the messages that a quorum acknowledged.
     ///
-    /// It must be shorter than `election_timeout_minimum`; the difference is the allowance for clocks of unequal rate.
+    /// It must be shorter than `election_timeout_minimum`; the difference is the allowance for clock drift.
     pub lease: Duration,
-    /// How long a node waits for all of the electorate before a majority of it may form a group.
+    /// How long a node waits for the whole electorate before a majority of it may form a group.
     pub formation_wait: Duration,
-    /// How often a node without a leader asks its peers.
+    /// Interval at which a node without a leader sends inquiries to its peers.
     pub formation_retry: Duration,
-    /// After how long without a leader a member gives its group up when a majority wants to form a new one.
+    /// Time without a leader after which a member abandons its group if a majority wants to form a new one.
     pub abandon_after: Duration,
-    /// Entries kept in the log before the host is asked for a snapshot; proposals are refused at twice this number.
+    /// Number of log entries at which the host is asked for a snapshot; proposals are refused at twice this number.
     pub log_entries: usize,
-    /// Bytes kept in the log before the host is asked for a snapshot; proposals are refused at twice this number.
+    /// Log size in bytes at which the host is asked for a snapshot; proposals are refused at twice this size.
     pub log_bytes: usize,
-    /// Largest snapshot that is taken in, in bytes.
+    /// Maximum size in bytes of a snapshot, from the host or from a leader.
     pub snapshot_bytes: usize,
-    /// The mechanisms in force; all of them outside tests.
+    /// The enabled mechanisms; all of them outside tests.
     pub mechanisms: GroupMechanisms,
 }
 
@@ -58,11 +60,11 @@
 }
 
 impl GroupSettings {
-    /// Checks that the times fit each other.
+    /// Checks that the timeouts are consistent with each other.
     ///
     /// # Errors
     ///
-    /// Says which pair of settings contradicts the other.
+    /// Returns the first pair of settings that contradict each other.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.lease >= self.election_timeout_minimum {
             return Err(SettingsError::LeaseOutlastsElection);
@@ -77,7 +79,7 @@
     }
 }
 
-/// Why a set of times cannot be used.
+/// Why the timeouts are rejected.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// A new leader could be elected while the old one still holds its lease.
@@ -91,26 +93,28 @@
     HeartbeatTooSlow,
 }
 
-/// Switches that take one mechanism out, so that a test can show what it is for.
+/// Switches for single mechanisms, so that a test can show which failure each of them prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GroupMechanisms {
-    /// A voter asks whether it could win before it raises the term.
+    /// A voter runs a pre-vote to check that it could win before it increments the term.
     pub pre_vote: bool,
-    /// A leader without contact to a majority steps down, and voters in contact with a leader elect no other.
+    /// A leader without contact to a quorum steps down, and a voter in contact with a leader grants no vote to another
+    /// candidate.
     pub check_quorum: bool,
-    /// A restarted node is another voter than the one that it was.
+    /// A restarted node is a different voter from its earlier run.
     pub incarnation_identity: bool,
-    /// One change of voters at a time, agreed by a majority of the old and of the new voters.
+    /// Only one change of voters is pending at a time, and it needs a majority of the old and of the new voters.
     pub one_at_a_time: bool,
-    /// Every quorum covers a majority of the electorate's addresses, so that it meets every forming.
+    /// Every quorum covers a majority of the electorate's addresses, so that it intersects the voters of every
+    /// formation.
     pub electorate_quorum: bool,
-    /// A vote goes only to a candidate whose log is at least as complete.
+    /// A voter grants its vote only to a candidate whose log is at least as up to date as its own.
     pub complete_log_vote: bool,
-    /// A voter votes once in a term.
+    /// A voter votes for at most one candidate per term.
     pub single_vote: bool,
-    /// A node that takes part in a forming takes no part in an older group any more.
+    /// A node that consented to the formation of a group no longer takes part in an older group.
     pub forming_fence: bool,
-    /// A group formed without proof that nothing was lost says so.
+    /// A group that was formed without proof that nothing was lost sets `claims_lost`.
     pub loss_statement: bool,
 }
 
