--- a/crates/group/src/snapshot.rs
+++ b/crates/group/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Compaction of the log and snapshots for nodes that are too far behind.
+//! Log compaction, and snapshots for followers whose missing entries are already compacted.
 
 use quillhatch_types::{NodeId, Timestamp};
 
@@ -10,7 +10,7 @@
 use crate::settings::MAX_BATCH_BYTES;
 
 impl Group {
-    /// Asks the host once per bound's worth of agreed entries.
+    /// Requests a snapshot from the host when the log has reached its limit and no earlier request is open.
     pub(crate) fn request_snapshot(&mut self, outputs: &mut Vec<GroupOutput>) {
         let (entries, bytes) = (self.settings.log_entries, self.settings.log_bytes);
         let Some(member) = &mut self.member else {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes the host's state; an index that is not agreed or already compacted is ignored.
+    /// Compacts the log with the host's snapshot; ignores an index that is already compacted or not yet applied.
     pub(crate) fn on_host_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
         let limit = self.settings.snapshot_bytes;
         let Some(member) = &mut self.member else {
@@ -77,7 +77,7 @@
         let Some(member) = &mut self.member else {
             return;
         };
-        // In a term there is no second leader to answer to; an older term's leader learns of the newer one.
+        // A term has only one leader, so another sender gets no reply. A leader of an older term gets the newer term.
         if !accepted && chunk.term >= member.term {
             return;
         }
@@ -122,19 +122,19 @@
         } else if reply.received > outgoing.offset || reply.received == 0 {
             progress.snapshot = Some(OutgoingSnapshot { index: reply.index, offset: reply.received });
         } else {
-            // An answer to a piece that was sent twice; the next heartbeat sends on.
+            // A reply to a duplicate chunk; the next heartbeat continues the transfer.
             return;
         }
         self.replicate_to(now, from, outputs);
     }
 }
 
-/// Adds a piece in order and installs the snapshot when it is whole; returns the bytes held.
+/// Appends the next chunk and installs the snapshot once it is complete; returns the number of bytes received.
 fn append_chunk(member: &mut Member, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
     if chunk.index <= member.commit {
         return chunk.total;
     }
-    // Two leaders may encode the same state differently, so pieces of both must never be put together.
+    // Two leaders may encode the same state differently, so chunks of both must never be combined.
     let same = member.incoming.as_ref().is_some_and(|incoming| {
         incoming.index == chunk.index && incoming.leader_term == chunk.term && incoming.total == chunk.total
     });
