--- a/crates/group/src/survey.rs
+++ b/crates/group/src/survey.rs
@@ -1,4 +1,4 @@
-//! Asking peers whether a group exists, who is free to form one, and which voters are dead for certain.
+//! Inquiries to peers: whether a group exists, which nodes are free to form one, and which voters are proven dead.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,14 @@
 use crate::member::Member;
 use crate::message::{Answer, GroupMessage, GroupView};
 
-/// How many nodes that ask to be taken in a leader keeps in mind.
+/// Maximum number of joining nodes that a leader remembers.
 const MAX_JOINERS: usize = 64;
 
 /// The answers of the current round of inquiries.
 ///
-/// An answer counts only in the round that it was asked in. So an answer of another run at a voter's address, in a round
-/// that began after the voter was known, proves that the voter is dead, however late messages of earlier runs arrive.
+/// An answer counts only in the round of its inquiry. An answer from another run at a voter's address, in a round that
+/// began after the voter was known, therefore proves that the voter is dead, even if messages of earlier runs are
+/// delayed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Survey {
     pub round: u64,
@@ -32,7 +33,7 @@
 }
 
 impl Group {
-    /// When a member without a leader asks its peers next.
+    /// When a member without a leader next sends inquiries to its peers.
     pub(crate) fn survey_due(&self, member: &Member) -> Timestamp {
         self.survey.next.max(member.contact + self.settings.election_timeout_maximum)
     }
@@ -82,7 +83,8 @@
         let Some(member) = self.member.as_ref().filter(|member| member.is_leader()) else {
             return;
         };
-        // An inquiry may be a late one of a dead run, so the leader asks back before it offers the node to the host.
+        // The inquiry may be a delayed one from a dead run, so the leader checks with an inquiry of its own before it
+        // proposes the node to the host.
         if !member.is_voter(&from) {
             self.send(from, GroupMessage::Inquiry { round: self.survey.round }, outputs);
         }
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Whether nothing speaks against this being the first group: no memory of one, and the configuration says so too.
+    /// Whether this node knows of no earlier group: it remembers none and the configuration marks the service as new.
     pub(crate) fn is_blank(&self) -> bool {
         let new = self.requirements.as_ref().is_some_and(|requirements| requirements.formation == Formation::New);
         let nothing_remembered = self.remembered_generation.0 == 0 && self.remembered_epoch.0 == 0;
@@ -126,7 +128,7 @@
         self.form_if_complete(now, outputs);
     }
 
-    /// Leaves a group that a newer one has replaced, or that has removed this node.
+    /// Records a peer's view; leaves a group that a newer one has replaced or that has removed this node.
     fn learn_view(&mut self, now: Timestamp, view: &GroupView, outputs: &mut Vec<GroupOutput>) {
         let newer = self.known.as_ref().is_none_or(|known| {
             (view.identity.generation, view.term, view.leader.is_some())
@@ -181,7 +183,7 @@
         member.dead.extend(sets.into_iter().filter(replaced));
     }
 
-    /// An outsider asks the leader itself, which may be none of the configured nodes.
+    /// As an outsider, sends an inquiry to the leader if it is not among the known peers.
     fn ask_leader_to_join(&self, answer: &Answer, outputs: &mut Vec<GroupOutput>) {
         let leader = answer.view.as_ref().and_then(|view| view.leader);
         let Some(leader) = leader.filter(|leader| self.member.is_none() && *leader != self.node) else {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Whether the group can never decide again: of the voters that may still live no quorum is left.
+    /// Whether the group has permanently lost its quorum: the voters not proven dead are no quorum.
     pub(crate) fn has_lost_quorum(&self, member: &Member) -> bool {
         let sets = self.active_sets(member);
         sets.is_some_and(|sets| !sets.is_quorum(|voter| !member.dead.contains(voter)))
