--- a/crates/group/src/voters.rs
+++ b/crates/group/src/voters.rs
@@ -1,13 +1,13 @@
-//! The voters of a group and what counts as a quorum of them.
+//! The voters of a group and their quorums.
 
 use std::collections::BTreeSet;
 
 use quillhatch_types::{NodeAddress, NodeId};
 
-/// The voters, and the addresses whose majority every quorum must cover.
+/// The voters, and the electorate: addresses of which every quorum must cover a majority.
 ///
 /// A group is formed by a majority of the electorate's addresses. Since every later quorum covers such a majority too,
-/// a quorum of an older group always meets the forming of a newer one in at least one machine.
+/// a quorum of an older group always shares at least one address with the founding voters of a newer group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterSet {
     /// The runs of nodes that vote.
@@ -17,7 +17,8 @@
 }
 
 impl VoterSet {
-    /// Whether the voters for which `counts` holds decide, with or without cover of the electorate.
+    /// Whether the voters for which `counts` holds are a quorum; `cover_electorate` also requires a majority of the
+    /// electorate.
     pub fn is_quorum(&self, cover_electorate: bool, counts: impl Fn(&NodeId) -> bool) -> bool {
         let counted: Vec<&NodeId> = self.voters.iter().filter(|voter| counts(voter)).collect();
         let majority_of_voters = counted.len() * 2 > self.voters.len();
@@ -28,13 +29,13 @@
         majority_of_voters && self.covers_electorate(&covered)
     }
 
-    /// Whether `addresses` hold a majority of the electorate; an empty electorate asks for nothing.
+    /// Whether `addresses` include a majority of the electorate; an empty electorate is always covered.
     pub fn covers_electorate(&self, addresses: &BTreeSet<NodeAddress>) -> bool {
         let covered = self.electorate.intersection(addresses).count();
         self.electorate.is_empty() || covered * 2 > self.electorate.len()
     }
 
-    /// Whether the voters together could ever be a quorum.
+    /// Whether all voters together are a quorum.
     pub fn can_decide(&self) -> bool {
         self.is_quorum(true, |_| true)
     }
@@ -44,9 +45,9 @@
         self.voters.iter().find(|voter| voter.address == address).copied()
     }
 
-    /// The set after one step towards `wanted` electorate, if a step is possible now.
+    /// The set after adding or removing one address on the way to the electorate `wanted`, if a step is possible now.
     ///
-    /// Addresses without a voter are taken in only once a voter runs there, so that a step never costs the quorum.
+    /// An address is added only once it has a voter, so that a step never loses the quorum.
     pub fn step_toward_electorate(&self, wanted: &BTreeSet<NodeAddress>) -> Option<VoterSet> {
         let additions = wanted.difference(&self.electorate).filter(|address| self.at(**address).is_some());
         let removals = self.electorate.difference(wanted);
@@ -64,7 +65,7 @@
     }
 }
 
-/// The sets that must agree at a moment: the latest and, until it is committed, the one before it.
+/// The voter sets that must each have a quorum: the latest and, until it is committed, the one before it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ActiveSets<'a> {
     pub latest: &'a VoterSet,
@@ -78,7 +79,7 @@
         latest && self.previous.is_none_or(|previous| previous.is_quorum(self.cover_electorate, &counts))
     }
 
-    /// The largest value that a quorum has reached.
+    /// The largest value that every voter of some quorum has reached.
     pub fn quorum_value<V: Ord + Copy>(&self, value: impl Fn(&NodeId) -> V) -> Option<V> {
         let members = self.members();
         let mut values: Vec<V> = members.iter().map(&value).collect();
