--- a/crates/group/src/wire.rs
+++ b/crates/group/src/wire.rs
@@ -17,31 +17,31 @@
 use crate::settings::{MAX_BATCH_BYTES, MAX_VOTERS};
 use crate::voters::VoterSet;
 
-/// Most entries in one append; with at least their overhead each they would pass the size limit anyway.
+/// Maximum number of entries in one append. Each counts at least 64 bytes, so more would exceed `MAX_BATCH_BYTES`.
 const MAX_ENTRIES: usize = 1_024;
 
-/// Why bytes are no group message.
+/// Why bytes cannot be decoded as a group message.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum GroupDecodeError {
     /// The bytes do not follow the schema.
     #[display("the bytes do not follow the schema")]
     Malformed,
-    /// The message has no body, or one of a later release.
+    /// The message has no body, or one that only a later release knows.
     #[display("the message has no known body")]
     UnknownBody,
     /// A field that must be present is absent.
     #[display("the field {field} is absent")]
     Missing {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
     /// An address is not an IP address with a port.
     #[display("an address is not an IP address with a port")]
     BadAddress,
-    /// A list or a byte string is above its bound.
+    /// A list or a byte string exceeds its limit.
     #[display("the field {field} is too large")]
     TooLarge {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
 }
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the first part that is wrong; nothing of such a message may be used.
+    /// Returns the first error found; no part of such a message may be used.
     pub fn decode(bytes: &[u8]) -> Result<Self, GroupDecodeError> {
         let message: generated::GroupMessage = wire::decode(bytes).map_err(|_| GroupDecodeError::Malformed)?;
         message_from(message.body)
