--- a/crates/group/src/change.rs
+++ b/crates/group/src/change.rs
@@ -7,7 +7,7 @@
 use crate::group::Group;
 use crate::io::{GroupOutput, ProposalRefusal, ProposalResult};
 use crate::log::Payload;
-use crate::member::Member;
+use crate::member::GroupMember;
 use crate::settings::MAX_VOTERS;
 use crate::voters::VoterSet;
 
@@ -69,7 +69,7 @@
 
     /// Accepts only a node that recently answered. If a group of one added a node that is not running, it would wait
     /// for that node's vote forever.
-    fn check_joiner(&self, now: Timestamp, member: &Member, node: NodeId) -> Result<(), ProposalRefusal> {
+    fn check_joiner(&self, now: Timestamp, member: &GroupMember, node: NodeId) -> Result<(), ProposalRefusal> {
         if member.is_voter(&node) {
             return Ok(());
         }
--- a/crates/group/src/election.rs
+++ b/crates/group/src/election.rs
@@ -7,7 +7,7 @@
 use crate::group::Group;
 use crate::io::GroupOutput;
 use crate::log::{Entry, Payload};
-use crate::member::{Leadership, Member, Position, Progress, Transfer};
+use crate::member::{FollowerProgress, GroupMember, Leadership, LeadershipTransfer, MemberRole};
 use crate::message::{GroupMessage, VoteReply, VoteRequest};
 
 impl Group {
@@ -31,7 +31,7 @@
             return;
         };
         member.leader = None;
-        member.position = Position::PreCandidate { granted: BTreeSet::from([self.node]) };
+        member.role = MemberRole::PreCandidate { granted: BTreeSet::from([self.node]) };
         let term = member.term + 1;
         self.request_votes(term, true, false, outputs);
         self.count_votes(now, outputs);
@@ -45,7 +45,7 @@
         member.term += 1;
         member.vote = Some(self.node);
         member.leader = None;
-        member.position = Position::Candidate { granted: BTreeSet::from([self.node]) };
+        member.role = MemberRole::Candidate { granted: BTreeSet::from([self.node]) };
         let term = member.term;
         self.request_votes(term, false, transfer, outputs);
         self.count_votes(now, outputs);
@@ -128,14 +128,14 @@
 
     /// Moves to a higher term as a follower that has not voted.
     pub(crate) fn follow_term(&mut self, now: Timestamp, term: u64) {
-        if self.member.as_ref().is_some_and(Member::is_leader) {
+        if self.member.as_ref().is_some_and(GroupMember::is_leader) {
             self.rearm_election(now);
         }
         if let Some(member) = &mut self.member {
             member.term = term;
             member.vote = None;
             member.leader = None;
-            member.position = Position::Follower;
+            member.role = MemberRole::Follower;
         }
     }
 
@@ -159,9 +159,9 @@
         if reply.term != expected {
             return;
         }
-        match &mut member.position {
-            Position::PreCandidate { granted } if reply.pre_vote => granted.insert(from),
-            Position::Candidate { granted } if !reply.pre_vote => granted.insert(from),
+        match &mut member.role {
+            MemberRole::PreCandidate { granted } if reply.pre_vote => granted.insert(from),
+            MemberRole::Candidate { granted } if !reply.pre_vote => granted.insert(from),
             _ => return,
         };
         self.count_votes(now, outputs);
@@ -174,11 +174,11 @@
         let Some(sets) = self.active_sets(member) else {
             return;
         };
-        match &member.position {
-            Position::PreCandidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
+        match &member.role {
+            MemberRole::PreCandidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
                 self.campaign(now, false, outputs);
             }
-            Position::Candidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
+            MemberRole::Candidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
                 self.lead(now, outputs);
             }
             _ => {}
@@ -195,7 +195,7 @@
         let opening = member.log.append(Entry { term: member.term, payload: Payload::Opening });
         member.leader = Some(node);
         member.contact = now;
-        member.position = Position::Leader(Leadership {
+        member.role = MemberRole::Leader(Leadership {
             progress: BTreeMap::new(),
             heartbeat_due: now + self.settings.heartbeat,
             lease_until: None,
@@ -205,12 +205,12 @@
         });
         // If the group has committed nothing yet, the other logs are probably empty.
         let next_index = if member.commit == 0 { 1 } else { opening };
-        self.align_progress(next_index);
+        self.sync_progress(next_index);
         self.replicate_to_all(now, outputs);
     }
 
     /// Updates the progress records to one per other node that the log is replicated to.
-    pub(crate) fn align_progress(&mut self, next_index: u64) {
+    pub(crate) fn sync_progress(&mut self, next_index: u64) {
         let node = self.node;
         let Some(member) = &self.member else {
             return;
@@ -220,12 +220,12 @@
         };
         let mut members = sets.members();
         members.remove(&node);
-        let Some(leadership) = self.member.as_mut().and_then(Member::leadership_mut) else {
+        let Some(leadership) = self.member.as_mut().and_then(GroupMember::leadership_mut) else {
             return;
         };
         leadership.progress.retain(|peer, _| members.contains(peer));
         for peer in members {
-            leadership.progress.entry(peer).or_insert_with(|| Progress::starting_at(next_index));
+            leadership.progress.entry(peer).or_insert_with(|| FollowerProgress::starting_at(next_index));
         }
     }
 
@@ -265,7 +265,7 @@
         };
         // Voters may elect the receiver immediately despite the lease that they granted, so the lease ends here.
         leadership.lease_until = None;
-        leadership.transfer = Some(Transfer { to, since: now });
+        leadership.transfer = Some(LeadershipTransfer { to, since: now });
         self.send(to, GroupMessage::ElectNow { identity, term }, outputs);
     }
 
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -5,7 +5,7 @@
 use crate::group::Group;
 use crate::io::GroupOutput;
 use crate::log::Payload;
-use crate::member::{Member, Position};
+use crate::member::{GroupMember, MemberRole};
 use crate::message::{Append, AppendReply, GroupMessage};
 
 impl Group {
@@ -53,7 +53,7 @@
         let Some(member) = &mut self.member else {
             return false;
         };
-        member.position = Position::Follower;
+        member.role = MemberRole::Follower;
         member.leader = Some(from);
         // A node that knows the leader of a term must not vote for another candidate in it, even if it has not voted.
         member.vote = Some(from);
@@ -114,7 +114,7 @@
         let Some(mut member) = self.member.take() else {
             return;
         };
-        member.position = Position::Follower;
+        member.role = MemberRole::Follower;
         member.leader = None;
         member.was_voter = false;
         self.retired = Some(member);
@@ -141,7 +141,7 @@
     }
 
     /// Rejoins a group with the retained state of an earlier membership; the host receives the whole state again.
-    pub(crate) fn resume(&mut self, now: Timestamp, mut member: Member, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn resume(&mut self, now: Timestamp, mut member: GroupMember, outputs: &mut Vec<GroupOutput>) {
         let record = member.record;
         let index = member.log.base_index();
         member.last_applied = index;
@@ -170,7 +170,7 @@
 }
 
 /// Appends the entries if the logs match before the first one.
-fn append_entries(member: &mut Member, append: &Append) -> AppendOutcome {
+fn append_entries(member: &mut GroupMember, append: &Append) -> AppendOutcome {
     let base = member.log.base_index();
     let last = member.log.last_index();
     let known = append.previous_index < base || member.log.term_at(append.previous_index) == Some(append.previous_term);
--- a/crates/group/src/forming.rs
+++ b/crates/group/src/formation.rs
@@ -8,7 +8,7 @@
 use crate::group::Group;
 use crate::io::{FormRequirements, GroupOutput};
 use crate::log::{Entry, Payload};
-use crate::member::Member;
+use crate::member::GroupMember;
 use crate::message::{Answer, FormReply, FormRequest, FormationRecord, GroupIdentity, GroupMessage};
 use crate::voters::VoterSet;
 
@@ -23,7 +23,7 @@
 
 /// This node's own attempt to form a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Attempt {
+pub(crate) struct FormationAttempt {
     pub request: FormRequest,
     pub granted: BTreeSet<NodeId>,
     pub resend_at: Timestamp,
@@ -32,7 +32,7 @@
 
 /// The last group that this node consented to or joined.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Promise {
+pub(crate) struct FormationPromise {
     pub record: FormationRecord,
     pub at: Timestamp,
     /// Until then the node consents to no other founder, so that the formation can complete.
@@ -87,7 +87,7 @@
         let own = std::iter::once((self.node, &own));
         let others = self.survey.answers.values().map(|(node, answer)| (*node, answer));
         let answers = own.chain(others).filter(|(node, answer)| answer.free && electorate.contains(&node.address));
-        let mut ready: Vec<ReadyNode> = answers.map(|(node, answer)| ready_from(node, answer)).collect();
+        let mut ready: Vec<ReadyNode> = answers.map(|(node, answer)| ready_node(node, answer)).collect();
         // The node with the most state of an older group comes first, so that its host can propose what it still has.
         ready.sort_by_key(|ready| (Reverse(ready.state), ready.node));
         ready
@@ -97,7 +97,7 @@
         self.survey.answers.values().any(|(_, answer)| answer.view.is_some() && !answer.free)
     }
 
-    fn may_found(&self, now: Timestamp, electorate: &BTreeSet<NodeAddress>) -> bool {
+    fn may_start_formation(&self, now: Timestamp, electorate: &BTreeSet<NodeAddress>) -> bool {
         let involved = self.attempt.is_some() || self.is_engaged(now, self.node) || now < self.next_attempt_after;
         electorate.contains(&self.node.address) && self.is_free(now) && !involved && !self.group_exists()
     }
@@ -143,7 +143,7 @@
     fn electorate_and_ready(&self, now: Timestamp) -> Option<(BTreeSet<NodeAddress>, Vec<ReadyNode>)> {
         let requirements = self.requirements.as_ref()?;
         let electorate: BTreeSet<NodeAddress> = requirements.electorate.iter().copied().collect();
-        if !self.may_found(now, &electorate) {
+        if !self.may_start_formation(now, &electorate) {
             return None;
         }
         let ready = self.ready_nodes(now, &electorate);
@@ -160,7 +160,7 @@
         let complete = ready.len() == electorate.len();
         let proven_new = complete && ready.iter().all(|ready| ready.blank);
         let claims_lost = !proven_new && self.settings.mechanisms.loss_statement;
-        let step = if proven_new { 1 } else { self.random.stride(GENERATION_STRIDE) };
+        let step = if proven_new { 1 } else { self.random.step_up_to(GENERATION_STRIDE) };
         let generation = Generation(self.remembered_generation.0 + step);
         let identity = GroupIdentity { generation, founder: self.node };
         let record = FormationRecord { identity, claims_lost, epoch: self.remembered_epoch };
@@ -168,20 +168,20 @@
         let request = FormRequest { record, voters: VoterSet { voters, electorate } };
         self.abandon_membership(now, outputs);
         self.consent(now, record);
-        self.attempt = Some(Attempt {
+        self.attempt = Some(FormationAttempt {
             request,
             granted: BTreeSet::from([self.node]),
             resend_at: now,
             ends_at: now + self.settings.formation_wait,
         });
         self.resend_attempt(now, outputs);
-        self.found_if_granted(now, outputs);
+        self.lead_if_granted(now, outputs);
     }
 
     fn consent(&mut self, now: Timestamp, record: FormationRecord) {
         self.remembered_generation = self.remembered_generation.max(record.identity.generation);
         let engaged_until = now + self.settings.formation_wait;
-        self.promise = Some(Promise { record, at: now, engaged_until, joined: false });
+        self.promise = Some(FormationPromise { record, at: now, engaged_until, joined: false });
     }
 
     pub(crate) fn resend_attempt(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
@@ -208,7 +208,7 @@
     /// Without the pause two founders could refuse each other forever.
     fn end_attempt(&mut self, now: Timestamp) {
         let settings = &self.settings;
-        let pause = self.random.span(settings.formation_retry, settings.formation_wait);
+        let pause = self.random.duration_between(settings.formation_retry, settings.formation_wait);
         self.attempt = None;
         self.eligible_since = None;
         self.next_attempt_after = now + pause;
@@ -225,7 +225,7 @@
         outputs: &mut Vec<GroupOutput>,
     ) {
         let identity = request.record.identity;
-        let granted = self.consider_forming(now, from, &request);
+        let granted = self.accepts_formation(now, from, &request);
         if granted && !self.has_consented(identity) {
             self.abandon_membership(now, outputs);
             self.attempt = None;
@@ -239,7 +239,7 @@
         self.promise.as_ref().is_some_and(|promise| promise.record.identity == identity)
     }
 
-    fn consider_forming(&self, now: Timestamp, from: NodeId, request: &FormRequest) -> bool {
+    fn accepts_formation(&self, now: Timestamp, from: NodeId, request: &FormRequest) -> bool {
         let identity = request.record.identity;
         if identity.founder != from || !request.voters.voters.contains(&self.node) {
             return false;
@@ -275,11 +275,11 @@
             return;
         }
         attempt.granted.insert(from);
-        self.found_if_granted(now, outputs);
+        self.lead_if_granted(now, outputs);
     }
 
     /// Once every initial voter has consented, joins the new group and leads its first term.
-    fn found_if_granted(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    fn lead_if_granted(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let complete = self.attempt.as_ref().is_some_and(|attempt| {
             let voters = &attempt.request.voters;
             voters.voters.is_subset(&attempt.granted)
@@ -308,7 +308,7 @@
             return;
         }
         self.abandon_membership(now, outputs);
-        let mut member = Member::follower(record, now, now);
+        let mut member = GroupMember::follower(record, now, now);
         member.term = FIRST_TERM;
         member.vote = Some(identity.founder);
         self.member = Some(member);
@@ -317,7 +317,7 @@
         self.eligible_since = None;
         self.remembered_generation = self.remembered_generation.max(identity.generation);
         self.remembered_epoch = self.remembered_epoch.max(record.epoch);
-        self.promise = Some(Promise { record, at: now, engaged_until: now, joined: true });
+        self.promise = Some(FormationPromise { record, at: now, engaged_until: now, joined: true });
         let (claims_lost, epoch) = (record.claims_lost, record.epoch);
         outputs.push(GroupOutput::Formed { generation: identity.generation, claims_lost, epoch });
     }
@@ -397,7 +397,7 @@
 /// The first term of every group.
 const FIRST_TERM: u64 = 1;
 
-fn ready_from(node: NodeId, answer: &Answer) -> ReadyNode {
+fn ready_node(node: NodeId, answer: &Answer) -> ReadyNode {
     let state = answer.view.as_ref().map(|view| (view.identity.generation, view.commit_index));
     ReadyNode { node, blank: answer.blank, state: state.unwrap_or_default() }
 }
--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -5,14 +5,14 @@
 
 use quillhatch_types::{Epoch, Generation, Incarnation, NodeId, Timestamp};
 
-use crate::forming::{Attempt, Promise};
+use crate::formation::{FormationAttempt, FormationPromise};
 use crate::io::{FormRequirements, GroupInput, GroupOutput, Role};
 use crate::log::Entry;
-use crate::member::{Member, Position};
+use crate::member::{GroupMember, MemberRole};
 use crate::message::{GroupIdentity, GroupMessage, GroupView};
-use crate::random::Random;
+use crate::random::SeededRandom;
 use crate::settings::{GroupMechanisms, GroupSettings};
-use crate::survey::Survey;
+use crate::survey::PeerSurvey;
 use crate::voters::{ActiveSets, VoterSet};
 
 /// Number of maximum election timeouts by which a stopping node delays its own election, so that another voter wins.
@@ -26,13 +26,13 @@
 pub struct Group {
     pub(crate) node: NodeId,
     pub(crate) settings: GroupSettings,
-    pub(crate) random: Random,
+    pub(crate) random: SeededRandom,
     pub(crate) last_step: Timestamp,
     pub(crate) started: Option<Timestamp>,
     pub(crate) stopping: bool,
-    pub(crate) member: Option<Member>,
+    pub(crate) member: Option<GroupMember>,
     /// Retained state of a group that removed this node.
-    pub(crate) retired: Option<Member>,
+    pub(crate) retired: Option<GroupMember>,
     pub(crate) requirements: Option<FormRequirements>,
     /// When this node started to wait for a group or for the rest of the electorate.
     pub(crate) waiting_since: Timestamp,
@@ -40,9 +40,9 @@
     pub(crate) eligible_since: Option<Timestamp>,
     /// Earliest time at which this node may try again to form a group.
     pub(crate) next_attempt_after: Timestamp,
-    pub(crate) survey: Survey,
-    pub(crate) attempt: Option<Attempt>,
-    pub(crate) promise: Option<Promise>,
+    pub(crate) survey: PeerSurvey,
+    pub(crate) attempt: Option<FormationAttempt>,
+    pub(crate) promise: Option<FormationPromise>,
     /// Groups whose state this node has discarded and that it must never answer again.
     pub(crate) abandoned_groups: BTreeSet<GroupIdentity>,
     /// The newest group that a peer has reported.
@@ -61,7 +61,7 @@
         Self {
             node,
             settings,
-            random: Random::from_seed(seed),
+            random: SeededRandom::from_seed(seed),
             last_step: Timestamp::ZERO,
             started: None,
             stopping: false,
@@ -71,7 +71,7 @@
             waiting_since: Timestamp::ZERO,
             eligible_since: None,
             next_attempt_after: Timestamp::ZERO,
-            survey: Survey::default(),
+            survey: PeerSurvey::default(),
             attempt: None,
             promise: None,
             abandoned_groups: BTreeSet::new(),
@@ -119,7 +119,7 @@
     }
 
     fn on_tick(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
-        if self.member.as_ref().is_some_and(Member::is_leader) {
+        if self.member.as_ref().is_some_and(GroupMember::is_leader) {
             self.lead_on_tick(now, outputs);
             return;
         }
@@ -224,11 +224,11 @@
 
     /// The node's role.
     pub fn role(&self) -> Role {
-        match self.member.as_ref().map(|member| &member.position) {
+        match self.member.as_ref().map(|member| &member.role) {
             None => Role::Outsider,
-            Some(Position::Follower) => Role::Follower,
-            Some(Position::PreCandidate { .. } | Position::Candidate { .. }) => Role::Candidate,
-            Some(Position::Leader(_)) => Role::Leader,
+            Some(MemberRole::Follower) => Role::Follower,
+            Some(MemberRole::PreCandidate { .. } | MemberRole::Candidate { .. }) => Role::Candidate,
+            Some(MemberRole::Leader(_)) => Role::Leader,
         }
     }
 
@@ -254,7 +254,7 @@
 
     /// The latest voters in the node's log, committed or not.
     pub fn voters(&self) -> VoterSet {
-        self.member.as_ref().map(Member::latest_voters).unwrap_or_default()
+        self.member.as_ref().map(GroupMember::latest_voters).unwrap_or_default()
     }
 
     /// The group's generation, zero for an outsider.
@@ -284,7 +284,7 @@
 
     /// End of this node's lease, if it leads and has one.
     pub fn lease_until(&self) -> Option<Timestamp> {
-        self.member.as_ref().and_then(Member::leadership).and_then(|leadership| leadership.lease_until)
+        self.member.as_ref().and_then(GroupMember::leadership).and_then(|leadership| leadership.lease_until)
     }
 
     /// The index up to which committed state may be read as current, if this node leads and holds a lease.
@@ -313,7 +313,7 @@
     }
 
     /// The voter sets that must each have a quorum for `member` now.
-    pub(crate) fn active_sets<'a>(&self, member: &'a Member) -> Option<ActiveSets<'a>> {
+    pub(crate) fn active_sets<'a>(&self, member: &'a GroupMember) -> Option<ActiveSets<'a>> {
         let mechanisms = self.settings.mechanisms;
         member.active_sets(mechanisms.one_at_a_time, mechanisms.electorate_quorum)
     }
@@ -324,7 +324,7 @@
 
     pub(crate) fn rearm_election(&mut self, now: Timestamp) {
         let settings = &self.settings;
-        let span = self.random.span(settings.election_timeout_minimum, settings.election_timeout_maximum);
+        let span = self.random.duration_between(settings.election_timeout_minimum, settings.election_timeout_maximum);
         let extra_delay = if self.stopping {
             settings.election_timeout_maximum * STOPPING_ELECTION_DELAY_FACTOR
         } else {
@@ -337,7 +337,7 @@
 
     pub(crate) fn step_down(&mut self, now: Timestamp) {
         if let Some(member) = &mut self.member {
-            member.position = Position::Follower;
+            member.role = MemberRole::Follower;
             member.leader = None;
         }
         self.rearm_election(now);
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -16,7 +16,7 @@
 mod change;
 mod election;
 mod follower;
-mod forming;
+mod formation;
 mod group;
 mod io;
 mod log;
--- a/crates/group/src/log.rs
+++ b/crates/group/src/log.rs
@@ -39,7 +39,7 @@
 
 /// The log; indices start at one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Log {
+pub(crate) struct ReplicatedLog {
     base_index: u64,
     base_term: u64,
     snapshot: Vec<u8>,
@@ -49,7 +49,7 @@
     voters: Vec<(u64, VoterSet)>,
 }
 
-impl Log {
+impl ReplicatedLog {
     /// A log that starts after a snapshot.
     pub fn from_snapshot(index: u64, term: u64, voters: VoterSet, snapshot: Vec<u8>) -> Self {
         let voters = vec![(index, voters)];
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -4,21 +4,21 @@
 
 use quillhatch_types::{NodeId, Timestamp};
 
-use crate::log::Log;
+use crate::log::ReplicatedLog;
 use crate::message::FormationRecord;
 use crate::voters::{ActiveSets, VoterSet};
 
 /// The state of a member, lost when the process ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Member {
+pub(crate) struct GroupMember {
     pub record: FormationRecord,
     pub term: u64,
     pub vote: Option<NodeId>,
     pub leader: Option<NodeId>,
-    pub log: Log,
+    pub log: ReplicatedLog,
     pub commit: u64,
     pub last_applied: u64,
-    pub position: Position,
+    pub role: MemberRole,
     pub election_deadline: Timestamp,
     /// When this node last received a leader's message; on a leader, the send time that a quorum last acknowledged.
     pub contact: Timestamp,
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Position {
+pub(crate) enum MemberRole {
     Follower,
     PreCandidate { granted: BTreeSet<NodeId> },
     Candidate { granted: BTreeSet<NodeId> },
@@ -40,25 +40,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Leadership {
-    pub progress: BTreeMap<NodeId, Progress>,
+    pub progress: BTreeMap<NodeId, FollowerProgress>,
     pub heartbeat_due: Timestamp,
     pub lease_until: Option<Timestamp>,
     /// Index of the first entry of the term; reads are served only once it is committed.
     pub opening: u64,
-    pub transfer: Option<Transfer>,
+    pub transfer: Option<LeadershipTransfer>,
     /// Nodes that asked to join, and when they last answered an inquiry.
     pub joiners: BTreeMap<NodeId, Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Transfer {
+pub(crate) struct LeadershipTransfer {
     pub to: NodeId,
     pub since: Timestamp,
 }
 
 /// Replication progress of a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Progress {
+pub(crate) struct FollowerProgress {
     pub match_index: u64,
     pub next_index: u64,
     /// Send time of the latest message that the follower answered.
@@ -84,7 +84,7 @@
     pub bytes: Vec<u8>,
 }
 
-impl Progress {
+impl FollowerProgress {
     pub fn starting_at(next_index: u64) -> Self {
         Self {
             match_index: 0,
@@ -97,17 +97,17 @@
     }
 }
 
-impl Member {
+impl GroupMember {
     pub fn follower(record: FormationRecord, now: Timestamp, election_deadline: Timestamp) -> Self {
         Self {
             record,
             term: 0,
             vote: None,
             leader: None,
-            log: Log::default(),
+            log: ReplicatedLog::default(),
             commit: 0,
             last_applied: 0,
-            position: Position::Follower,
+            role: MemberRole::Follower,
             election_deadline,
             contact: now,
             was_voter: false,
@@ -118,15 +118,15 @@
     }
 
     pub fn leadership(&self) -> Option<&Leadership> {
-        match &self.position {
-            Position::Leader(leadership) => Some(leadership),
+        match &self.role {
+            MemberRole::Leader(leadership) => Some(leadership),
             _ => None,
         }
     }
 
     pub fn leadership_mut(&mut self) -> Option<&mut Leadership> {
-        match &mut self.position {
-            Position::Leader(leadership) => Some(leadership),
+        match &mut self.role {
+            MemberRole::Leader(leadership) => Some(leadership),
             _ => None,
         }
     }
--- a/crates/group/src/random.rs
+++ b/crates/group/src/random.rs
@@ -8,23 +8,23 @@
 
 /// A generator that implements `Eq` and `Hash`, so that a whole group can be a state in the model checker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Random(Pcg64);
+pub(crate) struct SeededRandom(Pcg64);
 
-impl Random {
+impl SeededRandom {
     pub fn from_seed(seed: u64) -> Self {
         Self(Pcg64::seed_from_u64(seed))
     }
 
     /// A random duration in the range. Does not advance the generator if the range is a single value, which keeps the
     /// number of model states low.
-    pub fn span(&mut self, minimum: Duration, maximum: Duration) -> Duration {
+    pub fn duration_between(&mut self, minimum: Duration, maximum: Duration) -> Duration {
         if minimum >= maximum {
             return minimum;
         }
         self.0.gen_range(minimum..=maximum)
     }
 
-    pub fn stride(&mut self, maximum: u64) -> u64 {
+    pub fn step_up_to(&mut self, maximum: u64) -> u64 {
         if maximum <= 1 {
             return 1;
         }
@@ -32,7 +32,7 @@
     }
 }
 
-impl Hash for Random {
+impl Hash for SeededRandom {
     fn hash<H: Hasher>(&self, _: &mut H) {
         // The generator has no cheap hash. Hashing nothing satisfies the contract that equal values have equal hashes.
     }
--- a/crates/group/src/replication.rs
+++ b/crates/group/src/replication.rs
@@ -5,7 +5,7 @@
 use crate::group::Group;
 use crate::io::{GroupOutput, ProposalRefusal, ProposalResult};
 use crate::log::{Entry, Payload};
-use crate::member::Member;
+use crate::member::GroupMember;
 use crate::message::{Append, AppendReply, GroupMessage};
 use crate::settings::MAX_BATCH_BYTES;
 
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    pub(crate) fn require_leader(&self) -> Result<&Member, ProposalRefusal> {
+    pub(crate) fn require_leader(&self) -> Result<&GroupMember, ProposalRefusal> {
         let refusal = ProposalRefusal::NotLeader { leader: self.leader_hint() };
         let member = self.member.as_ref().ok_or(refusal)?;
         if !member.is_leader() {
@@ -60,14 +60,14 @@
         };
         let term = member.term;
         let index = member.log.append(Entry { term, payload });
-        self.align_progress(index);
+        self.sync_progress(index);
         self.replicate_to_all(now, outputs);
         ProposalResult::Accepted { index, term }
     }
 
     pub(crate) fn lead_on_tick(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let heartbeat = self.settings.heartbeat;
-        let Some(leadership) = self.member.as_mut().and_then(Member::leadership_mut) else {
+        let Some(leadership) = self.member.as_mut().and_then(GroupMember::leadership_mut) else {
             return;
         };
         if now < leadership.heartbeat_due {
@@ -88,7 +88,7 @@
     }
 
     pub(crate) fn replicate_to_all(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
-        let Some(leadership) = self.member.as_ref().and_then(Member::leadership) else {
+        let Some(leadership) = self.member.as_ref().and_then(GroupMember::leadership) else {
             return;
         };
         let peers: Vec<NodeId> = leadership.progress.keys().copied().collect();
@@ -131,8 +131,8 @@
         }
     }
 
-    pub(crate) fn progress_mut(&mut self, peer: NodeId) -> Option<&mut crate::member::Progress> {
-        self.member.as_mut().and_then(Member::leadership_mut)?.progress.get_mut(&peer)
+    pub(crate) fn progress_mut(&mut self, peer: NodeId) -> Option<&mut crate::member::FollowerProgress> {
+        self.member.as_mut().and_then(GroupMember::leadership_mut)?.progress.get_mut(&peer)
     }
 
     pub(crate) fn on_append_reply(
@@ -209,7 +209,7 @@
         self.quorum_answered(member, now).flatten().map_or(member.contact, |answered| answered.max(member.contact))
     }
 
-    fn quorum_answered(&self, member: &Member, now: Timestamp) -> Option<Option<Timestamp>> {
+    fn quorum_answered(&self, member: &GroupMember, now: Timestamp) -> Option<Option<Timestamp>> {
         let leadership = member.leadership()?;
         let sets = self.active_sets(member)?;
         sets.quorum_value(|voter| {
--- a/crates/group/src/snapshot.rs
+++ b/crates/group/src/snapshot.rs
@@ -4,8 +4,8 @@
 
 use crate::group::Group;
 use crate::io::GroupOutput;
-use crate::log::Log;
-use crate::member::{IncomingSnapshot, Member, OutgoingSnapshot};
+use crate::log::ReplicatedLog;
+use crate::member::{GroupMember, IncomingSnapshot, OutgoingSnapshot};
 use crate::message::{GroupMessage, SnapshotChunk, SnapshotReply};
 use crate::settings::MAX_BATCH_BYTES;
 
@@ -130,7 +130,7 @@
 }
 
 /// Appends the next chunk and installs the snapshot once it is complete; returns the number of bytes received.
-fn append_chunk(member: &mut Member, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
+fn append_chunk(member: &mut GroupMember, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
     if chunk.index <= member.commit {
         return chunk.total;
     }
@@ -162,12 +162,12 @@
     chunk.total
 }
 
-fn install(member: &mut Member, chunk: &SnapshotChunk, bytes: Vec<u8>, outputs: &mut Vec<GroupOutput>) {
+fn install(member: &mut GroupMember, chunk: &SnapshotChunk, bytes: Vec<u8>, outputs: &mut Vec<GroupOutput>) {
     let fits = member.log.term_at(chunk.index) == Some(chunk.index_term);
     if fits {
         member.log.compact(chunk.index, bytes.clone());
     } else {
-        member.log = Log::from_snapshot(chunk.index, chunk.index_term, chunk.voters.clone(), bytes.clone());
+        member.log = ReplicatedLog::from_snapshot(chunk.index, chunk.index_term, chunk.voters.clone(), bytes.clone());
     }
     member.commit = chunk.index;
     member.last_applied = chunk.index;
--- a/crates/group/src/survey.rs
+++ b/crates/group/src/survey.rs
@@ -6,7 +6,7 @@
 
 use crate::group::Group;
 use crate::io::GroupOutput;
-use crate::member::Member;
+use crate::member::GroupMember;
 use crate::message::{Answer, GroupMessage, GroupView};
 
 /// Maximum number of joining nodes that a leader remembers.
@@ -18,13 +18,13 @@
 /// began after the voter was known, therefore proves that the voter is dead, even if messages of earlier runs are
 /// delayed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Survey {
+pub(crate) struct PeerSurvey {
     pub round: u64,
     pub next: Timestamp,
     pub answers: BTreeMap<NodeAddress, (NodeId, Answer)>,
 }
 
-impl Survey {
+impl PeerSurvey {
     pub fn start_round(&mut self, next: Timestamp) {
         self.round += 1;
         self.next = next;
@@ -34,7 +34,7 @@
 
 impl Group {
     /// When a member without a leader next sends inquiries to its peers.
-    pub(crate) fn survey_due(&self, member: &Member) -> Timestamp {
+    pub(crate) fn survey_due(&self, member: &GroupMember) -> Timestamp {
         self.survey.next.max(member.contact + self.settings.election_timeout_maximum)
     }
 
@@ -97,7 +97,7 @@
             blank: self.is_blank(),
             generation: self.remembered_generation,
             epoch: self.remembered_epoch,
-            view: self.member.as_ref().map(view_of),
+            view: self.member.as_ref().map(group_view),
         }
     }
 
@@ -118,7 +118,7 @@
         if answer.round != self.survey.round {
             return;
         }
-        if self.member.as_ref().is_some_and(Member::is_leader) {
+        if self.member.as_ref().is_some_and(GroupMember::is_leader) {
             self.record_joiner(now, from, &answer, outputs);
             return;
         }
@@ -195,13 +195,13 @@
     }
 
     /// Whether the group has permanently lost its quorum: the voters not proven dead are no quorum.
-    pub(crate) fn has_lost_quorum(&self, member: &Member) -> bool {
+    pub(crate) fn has_lost_quorum(&self, member: &GroupMember) -> bool {
         let sets = self.active_sets(member);
         sets.is_some_and(|sets| !sets.is_quorum(|voter| !member.dead.contains(voter)))
     }
 }
 
-pub(crate) fn view_of(member: &Member) -> GroupView {
+pub(crate) fn group_view(member: &GroupMember) -> GroupView {
     GroupView {
         identity: member.record.identity,
         term: member.term,
