--- a/crates/group/src/election.rs
+++ b/crates/group/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, and handing leadership on.
+//! Elections: pre-vote, votes and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use crate::group::Group;
 use crate::io::GroupOutput;
 use crate::log::{Entry, Payload};
-use crate::member::{Leadership, Member, Position, Progress, Transfer};
+use crate::member::{FollowerProgress, GroupMember, Leadership, LeadershipTransfer, MemberRole};
 use crate::message::{GroupMessage, VoteReply, VoteRequest};
 
 impl Group {
@@ -19,19 +19,19 @@
             return;
         }
         if self.settings.mechanisms.pre_vote {
-            self.ask_beforehand(now, outputs);
+            self.start_pre_vote(now, outputs);
         } else {
             self.campaign(now, false, outputs);
         }
     }
 
-    fn ask_beforehand(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    fn start_pre_vote(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.rearm_election(now);
         let Some(member) = &mut self.member else {
             return;
         };
         member.leader = None;
-        member.position = Position::PreCandidate { granted: BTreeSet::from([self.node]) };
+        member.role = MemberRole::PreCandidate { granted: BTreeSet::from([self.node]) };
         let term = member.term + 1;
         self.request_votes(term, true, false, outputs);
         self.count_votes(now, outputs);
@@ -45,7 +45,7 @@
         member.term += 1;
         member.vote = Some(self.node);
         member.leader = None;
-        member.position = Position::Candidate { granted: BTreeSet::from([self.node]) };
+        member.role = MemberRole::Candidate { granted: BTreeSet::from([self.node]) };
         let term = member.term;
         self.request_votes(term, false, transfer, outputs);
         self.count_votes(now, outputs);
@@ -91,7 +91,7 @@
 
     fn consider_vote(&mut self, now: Timestamp, from: NodeId, request: VoteRequest) -> bool {
         let mechanisms = self.settings.mechanisms;
-        if self.hears_leader(now) && !request.transfer {
+        if self.has_leader_contact(now) && !request.transfer {
             return false;
         }
         let Some(member) = &self.member else {
@@ -108,8 +108,8 @@
         let Some(member) = &mut self.member else {
             return false;
         };
-        let unspent = member.vote.is_none() || member.vote == Some(from) || !mechanisms.single_vote;
-        if request.term < member.term || !unspent || !complete {
+        let vote_available = member.vote.is_none() || member.vote == Some(from) || !mechanisms.single_vote;
+        if request.term < member.term || !vote_available || !complete {
             return false;
         }
         member.vote = Some(from);
@@ -117,8 +117,8 @@
         true
     }
 
-    /// Whether this node is in contact with a leader and therefore helps no other, which the leader's lease rests on.
-    fn hears_leader(&self, now: Timestamp) -> bool {
+    /// Whether this node is in contact with a leader and therefore grants no vote. The leader's lease depends on this.
+    fn has_leader_contact(&self, now: Timestamp) -> bool {
         let Some(member) = &self.member else {
             return false;
         };
@@ -126,16 +126,16 @@
         self.settings.mechanisms.check_quorum && recent && member.leader.is_some()
     }
 
-    /// Goes to a higher term as a follower without a vote.
+    /// Moves to a higher term as a follower that has not voted.
     pub(crate) fn follow_term(&mut self, now: Timestamp, term: u64) {
-        if self.member.as_ref().is_some_and(Member::is_leader) {
+        if self.member.as_ref().is_some_and(GroupMember::is_leader) {
             self.rearm_election(now);
         }
         if let Some(member) = &mut self.member {
             member.term = term;
             member.vote = None;
             member.leader = None;
-            member.position = Position::Follower;
+            member.role = MemberRole::Follower;
         }
     }
 
@@ -159,9 +159,9 @@
         if reply.term != expected {
             return;
         }
-        match &mut member.position {
-            Position::PreCandidate { granted } if reply.pre_vote => granted.insert(from),
-            Position::Candidate { granted } if !reply.pre_vote => granted.insert(from),
+        match &mut member.role {
+            MemberRole::PreCandidate { granted } if reply.pre_vote => granted.insert(from),
+            MemberRole::Candidate { granted } if !reply.pre_vote => granted.insert(from),
             _ => return,
         };
         self.count_votes(now, outputs);
@@ -174,18 +174,18 @@
         let Some(sets) = self.active_sets(member) else {
             return;
         };
-        match &member.position {
-            Position::PreCandidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
+        match &member.role {
+            MemberRole::PreCandidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
                 self.campaign(now, false, outputs);
             }
-            Position::Candidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
+            MemberRole::Candidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
                 self.lead(now, outputs);
             }
             _ => {}
         }
     }
 
-    /// Takes up leadership of the current term.
+    /// Becomes the leader of the current term.
     pub(crate) fn lead(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.survey.start_round(now + self.settings.formation_retry);
         let node = self.node;
@@ -195,7 +195,7 @@
         let opening = member.log.append(Entry { term: member.term, payload: Payload::Opening });
         member.leader = Some(node);
         member.contact = now;
-        member.position = Position::Leader(Leadership {
+        member.role = MemberRole::Leader(Leadership {
             progress: BTreeMap::new(),
             heartbeat_due: now + self.settings.heartbeat,
             lease_until: None,
@@ -203,14 +203,14 @@
             transfer: None,
             joiners: BTreeMap::new(),
         });
-        // In a group that has agreed on nothing yet the others most likely have an empty log.
+        // If the group has committed nothing yet, the other logs are probably empty.
         let next_index = if member.commit == 0 { 1 } else { opening };
-        self.align_progress(next_index);
+        self.sync_progress(next_index);
         self.replicate_to_all(now, outputs);
     }
 
-    /// Keeps one progress record per other node that must get the log.
-    pub(crate) fn align_progress(&mut self, next_index: u64) {
+    /// Updates the progress records to one per other node that the log is replicated to.
+    pub(crate) fn sync_progress(&mut self, next_index: u64) {
         let node = self.node;
         let Some(member) = &self.member else {
             return;
@@ -220,29 +220,30 @@
         };
         let mut members = sets.members();
         members.remove(&node);
-        let Some(leadership) = self.member.as_mut().and_then(Member::leadership_mut) else {
+        let Some(leadership) = self.member.as_mut().and_then(GroupMember::leadership_mut) else {
             return;
         };
         leadership.progress.retain(|peer, _| members.contains(peer));
         for peer in members {
-            leadership.progress.entry(peer).or_insert_with(|| Progress::starting_at(next_index));
+            leadership.progress.entry(peer).or_insert_with(|| FollowerProgress::starting_at(next_index));
         }
     }
 
     pub(crate) fn on_stop(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.stopping = true;
         self.attempt = None;
-        // The others campaign first; but if this node alone has all that was agreed, only it can win, and hand over.
+        // The delay lets the other voters start an election first. If only this node has all committed entries, only it
+        // can win; it then transfers leadership.
         self.rearm_election(now);
         self.continue_transfer(now, outputs);
     }
 
-    /// While stopping, hands leadership to the voter that is furthest; asks another if that one does not take it.
+    /// While stopping, transfers leadership to an up-to-date voter; tries another one if the transfer times out.
     pub(crate) fn continue_transfer(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         if !self.stopping {
             return;
         }
-        let patience = self.settings.election_timeout_minimum;
+        let timeout = self.settings.election_timeout_minimum;
         let Some(member) = &mut self.member else {
             return;
         };
@@ -251,7 +252,7 @@
         let Some(leadership) = member.leadership_mut() else {
             return;
         };
-        if leadership.transfer.is_some_and(|transfer| now.since(transfer.since) < patience) {
+        if leadership.transfer.is_some_and(|transfer| now.since(transfer.since) < timeout) {
             return;
         }
         let tried = leadership.transfer.map(|transfer| transfer.to);
@@ -262,9 +263,9 @@
         let Some(to) = best.or(tried) else {
             return;
         };
-        // Voters may elect the receiver at once, whatever lease they granted, so the lease ends here.
+        // Voters may elect the receiver immediately despite the lease that they granted, so the lease ends here.
         leadership.lease_until = None;
-        leadership.transfer = Some(Transfer { to, since: now });
+        leadership.transfer = Some(LeadershipTransfer { to, since: now });
         self.send(to, GroupMessage::ElectNow { identity, term }, outputs);
     }
 
--- a/crates/group/src/wire.rs
+++ b/crates/group/src/wire.rs
@@ -14,34 +14,34 @@
     Answer, Append, AppendReply, FormReply, FormRequest, FormationRecord, GroupIdentity, GroupMessage, GroupView,
     SnapshotChunk, SnapshotReply, VoteReply, VoteRequest,
 };
-use crate::settings::{MAXIMUM_BATCH_BYTES, MAXIMUM_VOTERS};
+use crate::settings::{MAX_BATCH_BYTES, MAX_VOTERS};
 use crate::voters::VoterSet;
 
-/// Most entries in one append; with at least their overhead each they would pass the size limit anyway.
-const MAXIMUM_ENTRIES: usize = 1_024;
+/// Maximum number of entries in one append. Each counts at least 64 bytes, so more would exceed `MAX_BATCH_BYTES`.
+const MAX_ENTRIES: usize = 1_024;
 
-/// Why bytes are no group message.
+/// Why bytes cannot be decoded as a group message.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum GroupDecodeError {
     /// The bytes do not follow the schema.
     #[display("the bytes do not follow the schema")]
     Malformed,
-    /// The message has no body, or one of a later release.
+    /// The message has no body, or one that only a later release knows.
     #[display("the message has no known body")]
     UnknownBody,
     /// A field that must be present is absent.
     #[display("the field {field} is absent")]
     Missing {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
     /// An address is not an IP address with a port.
     #[display("an address is not an IP address with a port")]
     BadAddress,
-    /// A list or a byte string is above its bound.
+    /// A list or a byte string exceeds its limit.
     #[display("the field {field} is too large")]
     TooLarge {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
 }
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the first part that is wrong; nothing of such a message may be used.
+    /// Returns the first error found; no part of such a message may be used.
     pub fn decode(bytes: &[u8]) -> Result<Self, GroupDecodeError> {
         let message: generated::GroupMessage = wire::decode(bytes).map_err(|_| GroupDecodeError::Malformed)?;
         message_from(message.body)
@@ -223,7 +223,7 @@
 
 fn read_voters(set: Option<generated::Voters>) -> Decoded<VoterSet> {
     let set = set.ok_or(GroupDecodeError::Missing { field: "voters" })?;
-    if set.voters.len() > MAXIMUM_VOTERS || set.electorate.len() > MAXIMUM_VOTERS {
+    if set.voters.len() > MAX_VOTERS || set.electorate.len() > MAX_VOTERS {
         return Err(GroupDecodeError::TooLarge { field: "voters" });
     }
     let voters: Decoded<BTreeSet<NodeId>> = set.voters.into_iter().map(read_node).collect();
@@ -264,7 +264,7 @@
 }
 
 fn read_append(append: generated::Append) -> Decoded<Append> {
-    if append.entries.len() > MAXIMUM_ENTRIES {
+    if append.entries.len() > MAX_ENTRIES {
         return Err(GroupDecodeError::TooLarge { field: "entries" });
     }
     let entries: Decoded<Vec<Entry>> = append.entries.into_iter().map(read_entry).collect();
@@ -293,7 +293,7 @@
 }
 
 fn read_entry(entry: generated::Entry) -> Decoded<Entry> {
-    if entry.command.len() > MAXIMUM_BATCH_BYTES {
+    if entry.command.len() > MAX_BATCH_BYTES {
         return Err(GroupDecodeError::TooLarge { field: "command" });
     }
     let payload = match (entry.is_command, entry.voters) {
@@ -319,7 +319,7 @@
 }
 
 fn read_chunk(chunk: generated::SnapshotChunk) -> Decoded<SnapshotChunk> {
-    if chunk.bytes.len() > MAXIMUM_BATCH_BYTES {
+    if chunk.bytes.len() > MAX_BATCH_BYTES {
         return Err(GroupDecodeError::TooLarge { field: "bytes" });
     }
     Ok(SnapshotChunk {
