--- a/crates/claims/src/codec.rs
+++ b/crates/claims/src/codec.rs
@@ -11,10 +11,10 @@
 
 use crate::claim::{recorded_size, ClaimEntry, ClaimOrigin, ClaimStatus};
 use crate::error::ClaimMessageError;
-use crate::message::{ClaimBody, ClaimMessage, RecordId, RecordKind, Verdict, MAXIMUM_ANSWER_BYTES, PAGE_CLAIMS};
+use crate::message::{ClaimBody, ClaimMessage, RecordId, RecordKind, Verdict, MAX_ANSWER_BYTES, MAX_PAGE_CLAIMS};
 
 /// The maximum size of an encoded message that is decoded, in bytes.
-const MAXIMUM_MESSAGE_BYTES: usize = 64 * 1024;
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 impl ClaimMessage {
     /// Encodes the message as the payload of a frame.
@@ -33,7 +33,7 @@
     ///
     /// Returns an error if `bytes` are malformed, exceed a limit or have an invalid field.
     pub fn decode(bytes: &[u8]) -> Result<Self, ClaimMessageError> {
-        if bytes.len() > MAXIMUM_MESSAGE_BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(ClaimMessageError::Oversized);
         }
         let message: wire::ClaimMessage = quillhatch_messages::decode(bytes)?;
@@ -58,7 +58,7 @@
 ///
 /// Returns an error if `bytes` are malformed, exceed a limit or have an invalid field.
 pub fn decode_claims(bytes: &[u8]) -> Result<Vec<ClaimEntry>, ClaimMessageError> {
-    if bytes.len() > MAXIMUM_MESSAGE_BYTES {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(ClaimMessageError::Oversized);
     }
     let page: wire::ClaimPage = quillhatch_messages::decode(bytes)?;
@@ -190,7 +190,7 @@
 }
 
 fn decode_entries(entries: Vec<wire::Claim>) -> Result<Vec<ClaimEntry>, ClaimMessageError> {
-    if entries.len() > PAGE_CLAIMS {
+    if entries.len() > MAX_PAGE_CLAIMS {
         return Err(ClaimMessageError::Oversized);
     }
     entries.into_iter().map(decode_entry).collect()
@@ -234,7 +234,7 @@
     let status = u16::try_from(answer.status).map_err(|_| ClaimMessageError::OutOfRange { field: "answer status" })?;
     let headers = answer.headers.into_iter().map(|field| HeaderField { name: field.name, value: field.value });
     let answer = RecordedAnswer { status, headers: headers.collect(), body: answer.body };
-    if recorded_size(&answer) > MAXIMUM_ANSWER_BYTES {
+    if recorded_size(&answer) > MAX_ANSWER_BYTES {
         return Err(ClaimMessageError::Oversized);
     }
     Ok(answer)
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -6,16 +6,16 @@
 use crate::claim::{ClaimEntry, ClaimOrigin};
 
 /// The maximum total size of the claims in one message, which leaves headroom in a frame of 64 KiB.
-pub const PAGE_BYTES: usize = 56 * 1024;
+pub const MAX_PAGE_BYTES: usize = 56 * 1024;
 
 /// The maximum number of claims in one message.
-pub const PAGE_CLAIMS: usize = 512;
+pub const MAX_PAGE_CLAIMS: usize = 512;
 
 /// The maximum size of a recorded answer, in bytes: one claim with its answer must fit into a page.
-pub const MAXIMUM_ANSWER_BYTES: usize = 48 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 48 * 1024;
 
 /// The maximum size of an encoded claim without its key and its answer.
-const ENTRY_OVERHEAD_BYTES: usize = 96;
+const MAX_ENTRY_OVERHEAD_BYTES: usize = 96;
 
 /// The component of a node that a message is addressed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -150,15 +150,15 @@
 pub fn entry_size(entry: &ClaimEntry) -> usize {
     let answer = match &entry.status {
         crate::ClaimStatus::Finished(Some(answer)) => {
-            crate::claim::recorded_size(answer) + answer.headers.len() * HEADER_OVERHEAD_BYTES
+            crate::claim::recorded_size(answer) + answer.headers.len() * MAX_HEADER_OVERHEAD_BYTES
         }
         _ => 0,
     };
-    entry.key.as_str().len() + answer + ENTRY_OVERHEAD_BYTES
+    entry.key.as_str().len() + answer + MAX_ENTRY_OVERHEAD_BYTES
 }
 
 /// The maximum size that the encoding adds to a header field, in bytes.
-const HEADER_OVERHEAD_BYTES: usize = 16;
+const MAX_HEADER_OVERHEAD_BYTES: usize = 16;
 
 /// Splits claims into pages that each fit into a message, to transfer them between sites.
 pub fn pages_of(claims: Vec<ClaimEntry>) -> Vec<Vec<ClaimEntry>> {
@@ -166,7 +166,7 @@
     let mut bytes = 0;
     for entry in claims {
         let size = entry_size(&entry);
-        let fits = pages.last().is_some_and(|page| bytes + size <= PAGE_BYTES && page.len() < PAGE_CLAIMS);
+        let fits = pages.last().is_some_and(|page| bytes + size <= MAX_PAGE_BYTES && page.len() < MAX_PAGE_CLAIMS);
         if fits {
             bytes += size;
             if let Some(page) = pages.last_mut() {
--- a/crates/claims/src/owner/settle.rs
+++ b/crates/claims/src/owner/settle.rs
@@ -9,7 +9,7 @@
 use super::io::OwnerOutput;
 use super::{ClaimOwner, ClaimTicket};
 use crate::claim::{recorded_size, ClaimEntry, ClaimOrigin, ClaimStatus, HeldClaim};
-use crate::message::{ClaimBody, RecordKind, MAXIMUM_ANSWER_BYTES};
+use crate::message::{ClaimBody, RecordKind, MAX_ANSWER_BYTES};
 use crate::settings::RELEASED_RETENTION;
 
 impl ClaimOwner {
@@ -30,7 +30,7 @@
         let Some(ticket) = self.tickets.remove(&attempt) else {
             return;
         };
-        let limit = self.settings.replay_limit_bytes.min(MAXIMUM_ANSWER_BYTES);
+        let limit = self.settings.replay_limit_bytes.min(MAX_ANSWER_BYTES);
         let record = record.filter(|answer| recorded_size(answer) <= limit);
         self.settle(now, &ticket, ClaimStatus::Finished(record.map(Arc::new)), outputs);
     }
--- a/crates/claims/src/owner/table.rs
+++ b/crates/claims/src/owner/table.rs
@@ -188,8 +188,8 @@
         let Some(epoch) = self.slots.get(&slot).map(|held| held.epoch) else {
             return;
         };
-        let live = self.store.slot(slot).filter(|(_, claim)| !claim.is_expired(now));
-        let claims: Vec<ClaimEntry> = live.map(|(key, claim)| claim.to_entry(key, now)).collect();
+        let unexpired = self.store.slot(slot).filter(|(_, claim)| !claim.is_expired(now));
+        let claims: Vec<ClaimEntry> = unexpired.map(|(key, claim)| claim.to_entry(key, now)).collect();
         outputs.push(OwnerOutput::SlotExported { slot, epoch, claims });
     }
 
--- a/crates/claims/src/owner/tests.rs
+++ b/crates/claims/src/owner/tests.rs
@@ -12,7 +12,7 @@
 
 use super::io::{ClaimDecision, OwnerInput, OwnerOutput};
 use super::ClaimOwner;
-use crate::message::{entry_size, PAGE_BYTES};
+use crate::message::{entry_size, MAX_PAGE_BYTES};
 use crate::settings::{OwnerSettings, VoterSettings};
 use crate::{ClaimBody, ClaimMessage, ClaimRole, ClaimVoter};
 
@@ -378,7 +378,7 @@
     let (key, held) = voter.claims(SLOT).next().expect("one claim");
     let entry = held.to_entry(key, START);
     assert!(crate::encode_claims(std::slice::from_ref(&entry)).len() <= entry_size(&entry));
-    assert!(entry_size(&entry) < PAGE_BYTES);
+    assert!(entry_size(&entry) < MAX_PAGE_BYTES);
     let body = ClaimBody::Settled(entry);
     let message = ClaimMessage { service: service(), slot: SLOT, epoch: Epoch(1), body };
     assert_eq!(ClaimMessage::decode(&message.encode()), Ok(message));
--- a/crates/claims/src/settings.rs
+++ b/crates/claims/src/settings.rs
@@ -4,7 +4,7 @@
 
 use quillhatch_types::ServiceConfiguration;
 
-use crate::message::MAXIMUM_ANSWER_BYTES;
+use crate::message::MAX_ANSWER_BYTES;
 
 /// How long a released claim is retained, so that a delayed duplicate of its first record does not restore it.
 pub const RELEASED_RETENTION: Duration = Duration::from_secs(10);
@@ -49,7 +49,7 @@
         OwnerSettings {
             retention: service.claim_retention,
             capacity: service.claim_capacity as usize,
-            replay_limit_bytes: (service.replay_limit_bytes as usize).min(MAXIMUM_ANSWER_BYTES),
+            replay_limit_bytes: (service.replay_limit_bytes as usize).min(MAX_ANSWER_BYTES),
             ..OwnerSettings::default()
         }
     }
--- a/crates/claims/src/store.rs
+++ b/crates/claims/src/store.rs
@@ -7,7 +7,7 @@
 
 use crate::claim::{ClaimEntry, ClaimStatus, HeldClaim};
 use crate::expiry::{ExpiryMark, ExpiryQueue};
-use crate::message::{entry_size, PAGE_BYTES, PAGE_CLAIMS};
+use crate::message::{entry_size, MAX_PAGE_BYTES, MAX_PAGE_CLAIMS};
 
 /// The maximum number of expiry marks processed in one call, which bounds the time that the call takes.
 const MAX_MARKS_PER_CALL: usize = 256;
@@ -119,7 +119,7 @@
             }
             let entry = claim.to_entry(key, now);
             bytes += entry_size(&entry);
-            if !page.entries.is_empty() && (bytes > PAGE_BYTES || page.entries.len() >= PAGE_CLAIMS) {
+            if !page.entries.is_empty() && (bytes > MAX_PAGE_BYTES || page.entries.len() >= MAX_PAGE_CLAIMS) {
                 page.more = true;
                 return page;
             }
@@ -135,12 +135,12 @@
         };
         let (mut removed, mut bytes) = (0, 0);
         claims.retain(|_, claim| {
-            let kept = keep(claim);
-            if !kept {
+            let retained = keep(claim);
+            if !retained {
                 removed += 1;
                 bytes += claim.status.answer_bytes();
             }
-            kept
+            retained
         });
         if claims.is_empty() {
             self.slots.remove(&slot);
--- a/crates/claims/tests/simulation/support.rs
+++ b/crates/claims/tests/simulation/support.rs
@@ -22,7 +22,7 @@
 const KEYS: usize = 12;
 const CLIENT_INTERVAL_MS: u64 = 8;
 const CONTROL_INTERVAL_MS: u64 = 40;
-const RUN: Duration = Duration::from_millis(2_000);
+const RUN_DURATION: Duration = Duration::from_millis(2_000);
 
 /// The probabilities of faults and events, and the retention of claims.
 #[derive(Clone, Copy, Debug)]
@@ -196,7 +196,7 @@
     }
 
     pub fn run(mut self) -> Report {
-        let end = self.now + RUN;
+        let end = self.now + RUN_DURATION;
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 break;
