--- a/crates/group/tests/elections.rs
+++ b/crates/group/tests/elections.rs
@@ -1,4 +1,4 @@
-//! Elections, leases and disturbance, on a network that loses and pauses.
+//! Elections, leases and leadership transfer, with partitions, killed nodes and paused nodes.
 
 mod network;
 
@@ -18,33 +18,33 @@
 }
 
 #[test]
-fn default_settings_fit_each_other() {
+fn default_settings_are_valid() {
     assert_eq!(GroupSettings::default().validate(), Ok(()));
     let longer_lease = GroupSettings { lease: Duration::from_millis(600), ..GroupSettings::default() };
     assert!(longer_lease.validate().is_err());
 }
 
 #[test]
-fn another_leader_within_three_seconds() {
+fn a_killed_leader_is_replaced_within_three_seconds() {
     for seed in SEEDS {
         let mut network = Network::formed(3, GroupSettings::default(), seed);
         let leader = network.leader().unwrap();
         network.kill(leader);
         let limit = Duration::from_secs(3);
-        let taken = network.run_until(limit, |network| network.leader().is_some_and(|index| index != leader));
-        assert!(taken.is_some(), "no leader after three seconds with seed {seed}");
-        assert_eq!(network.record.broken, Vec::<String>::new());
+        let elapsed = network.run_until(limit, |network| network.leader().is_some_and(|index| index != leader));
+        assert!(elapsed.is_some(), "no leader after three seconds with seed {seed}");
+        assert_eq!(network.record.violations, Vec::<String>::new());
     }
 }
 
-/// A node cut off for a while comes back; returns how often the others had to elect.
-fn elections_caused_by_return(settings: &GroupSettings) -> usize {
+/// Partitions a follower from the others for six seconds, then heals the partition; returns the number of elections.
+fn elections_after_partition(settings: &GroupSettings) -> usize {
     let mut elections = 0;
     for seed in SEEDS {
         let mut network = Network::formed(3, settings.clone(), seed);
-        let cut_off = (network.leader().unwrap() + 1) % 3;
+        let partitioned = (network.leader().unwrap() + 1) % 3;
         let before = network.record.elections.len();
-        network.split(&[cut_off]);
+        network.split(&[partitioned]);
         network.run_for(Duration::from_secs(6));
         network.heal();
         network.run_for(Duration::from_secs(3));
@@ -54,52 +54,52 @@
 }
 
 #[test]
-fn a_returning_node_disturbs_nothing_thanks_to_pre_vote() {
-    assert_eq!(elections_caused_by_return(&GroupSettings::default()), 0);
-    assert!(elections_caused_by_return(&without(|mechanisms| mechanisms.pre_vote = false)) > 0);
+fn pre_vote_prevents_elections_after_a_partition_heals() {
+    assert_eq!(elections_after_partition(&GroupSettings::default()), 0);
+    assert!(elections_after_partition(&without(|mechanisms| mechanisms.pre_vote = false)) > 0);
 }
 
-/// The number of broken promises when a leader is cut off from a majority that goes on.
-fn promises_broken_by_cut_off_leader(settings: &GroupSettings) -> (usize, bool) {
+/// Partitions the leader from the majority. Returns the number of violated invariants and whether it still leads.
+fn violations_by_partitioned_leader(settings: &GroupSettings) -> (usize, bool) {
     let mut network = Network::formed(3, settings.clone(), 1);
     let old = network.leader().unwrap();
     network.split(&[old]);
     network.run_for(Duration::from_secs(4));
     let still_leads = network.group(old).role() == Role::Leader;
-    (network.record.broken.len(), still_leads)
+    (network.record.violations.len(), still_leads)
 }
 
 #[test]
-fn a_leader_cut_off_from_the_majority_steps_down_thanks_to_check_quorum() {
-    assert_eq!(promises_broken_by_cut_off_leader(&GroupSettings::default()), (0, false));
-    let (_, still_leads) = promises_broken_by_cut_off_leader(&without(|mechanisms| mechanisms.check_quorum = false));
+fn check_quorum_makes_a_partitioned_leader_step_down() {
+    assert_eq!(violations_by_partitioned_leader(&GroupSettings::default()), (0, false));
+    let (_, still_leads) = violations_by_partitioned_leader(&without(|mechanisms| mechanisms.check_quorum = false));
     assert!(still_leads);
 }
 
-/// Terms with two leaders when all voters but the lost leader campaign in the same moment.
-fn broken_by_campaigns_at_once(change: impl Fn(&mut GroupMechanisms)) -> usize {
+/// The number of violated invariants when the leader is killed and all other voters start an election at the same time.
+fn violations_with_simultaneous_elections(change: impl Fn(&mut GroupMechanisms)) -> usize {
     let settings = GroupSettings { election_timeout_maximum: Duration::from_millis(600), ..without(change) };
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in SEEDS {
         let mut network = Network::formed(5, settings.clone(), seed);
         network.kill(network.leader().unwrap());
         network.run_for(Duration::from_secs(5));
-        broken += network.record.broken.len();
+        violations += network.record.violations.len();
     }
-    broken
+    violations
 }
 
 #[test]
 fn a_voter_votes_once_in_a_term() {
-    assert_eq!(broken_by_campaigns_at_once(|_| {}), 0);
-    assert!(broken_by_campaigns_at_once(|mechanisms| mechanisms.single_vote = false) > 0);
+    assert_eq!(violations_with_simultaneous_elections(|_| {}), 0);
+    assert!(violations_with_simultaneous_elections(|mechanisms| mechanisms.single_vote = false) > 0);
 }
 
 #[test]
-fn a_node_that_still_hears_the_leader_elects_no_other() {
-    // A candidate meets a follower that heard the leader just now, and the leader is cut off in the same moment.
+fn a_follower_in_contact_with_the_leader_elects_no_other() {
+    // A candidate reaches a follower that was in contact with the leader until the leader was partitioned just now.
     let run = |settings: GroupSettings| {
-        let mut broken = 0;
+        let mut violations = 0;
         for seed in SEEDS {
             let mut network = Network::formed(3, settings.clone(), seed);
             let leader = network.leader().unwrap();
@@ -107,21 +107,21 @@
             network.run_for(Duration::from_secs(3));
             network.split(&[leader]);
             network.run_for(Duration::from_secs(3));
-            broken += network.record.broken.len();
+            violations += network.record.violations.len();
         }
-        broken
+        violations
     };
     assert_eq!(run(GroupSettings::default()), 0);
-    let reckless = without(|mechanisms| {
+    let unsafe_settings = without(|mechanisms| {
         mechanisms.check_quorum = false;
         mechanisms.pre_vote = false;
     });
-    assert!(run(reckless) > 0);
+    assert!(run(unsafe_settings) > 0);
 }
 
 #[test_case(GroupInput::Tick; "on its timer")]
 #[test_case(GroupInput::Propose { ticket: 9, command: vec![1] }; "on a proposal")]
-fn a_paused_leader_does_not_act_on_its_old_view(first_input: GroupInput) {
+fn a_leader_that_resumes_after_a_pause_steps_down_before_it_acts(first_input: GroupInput) {
     let mut network = Network::formed(3, GroupSettings::default(), 3);
     let old = network.leader().unwrap();
     network.pause(old, Duration::from_secs(5));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_paused_follower_does_not_campaign_before_it_read_its_messages() {
+fn a_follower_that_resumes_after_a_pause_reads_its_messages_before_an_election() {
     let mut network = Network::formed(3, without(|mechanisms| mechanisms.pre_vote = false), 4);
     let elections = network.record.elections.len();
     let follower = (network.leader().unwrap() + 1) % 3;
@@ -147,22 +147,22 @@
 }
 
 #[test]
-fn a_planned_stop_hands_leadership_on_at_once() {
+fn a_planned_stop_transfers_leadership_immediately() {
     for seed in SEEDS {
         let mut network = Network::formed(3, GroupSettings::default(), seed);
         let old = network.leader().unwrap();
         network.step(old, GroupInput::Stop);
         let limit = Duration::from_millis(100);
-        let taken = network.run_until(limit, |network| network.leader().is_some_and(|index| index != old));
-        assert!(taken.is_some(), "no new leader with seed {seed}");
+        let elapsed = network.run_until(limit, |network| network.leader().is_some_and(|index| index != old));
+        assert!(elapsed.is_some(), "no new leader with seed {seed}");
         network.run_for(Duration::from_secs(3));
         assert_ne!(network.group(old).role(), Role::Leader);
-        assert_eq!(network.record.broken, Vec::<String>::new());
+        assert_eq!(network.record.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_stopping_node_that_alone_has_the_last_entry_is_elected_and_hands_over() {
+fn a_stopping_node_with_the_only_complete_log_is_elected_and_transfers_leadership() {
     for seed in SEEDS {
         let mut network = Network::formed(3, GroupSettings::default(), seed);
         let leader = network.leader().unwrap();
@@ -173,14 +173,14 @@
         network.kill(leader);
         network.step(stopping, GroupInput::Stop);
         network.heal();
-        let taken = network.run_until(Duration::from_secs(10), |network| network.leader() == Some(behind));
-        assert!(taken.is_some(), "nobody leads with seed {seed}");
-        assert_eq!(network.record.broken, Vec::<String>::new());
+        let elapsed = network.run_until(Duration::from_secs(10), |network| network.leader() == Some(behind));
+        assert!(elapsed.is_some(), "nobody leads with seed {seed}");
+        assert_eq!(network.record.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn an_idle_group_says_little() {
+fn an_idle_group_sends_little_traffic() {
     let mut network = Network::new(3, Formation::New, GroupSettings::default(), 5);
     network.start_all();
     network.run_for(Duration::from_secs(5));
--- a/crates/group/tests/faults.rs
+++ b/crates/group/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults from fixed seeds: what hosts saw must keep every promise.
+//! Random faults from fixed seeds: the outputs to the hosts must never violate an invariant of the record.
 
 mod network;
 
@@ -27,7 +27,7 @@
 struct FaultSchedule {
     seed: u64,
     nodes: usize,
-    /// Milliseconds to wait before each fault.
+    /// The faults, each with the milliseconds to wait before it.
     faults: Vec<(u64, Fault)>,
 }
 
@@ -72,13 +72,14 @@
     }
 }
 
-/// Runs a schedule with proposals all along; returns the network after everything has been mended.
+/// Runs a schedule with continuous proposals. Returns the network at the first violation, or after all faults have been
+/// repaired and the group has had 50 seconds to recover.
 fn run(schedule: &FaultSchedule, mechanisms: GroupMechanisms) -> Network {
     let settings = GroupSettings { log_entries: 24, mechanisms, ..GroupSettings::default() };
     let mut network = Network::new(schedule.nodes, Formation::New, settings, schedule.seed);
     network.start_all();
     network.run_for(Duration::from_secs(2));
-    // The configuration calls the service new only until it has served calls.
+    // The configuration marks the service as new only until it has served calls.
     network.requirements.formation = Formation::Existing;
     for (wait, fault) in schedule.faults.clone() {
         for _ in 0..4 {
@@ -87,7 +88,7 @@
                 network.propose(leader);
             });
             network.run_for(Duration::from_millis(wait / 4));
-            if !network.record.broken.is_empty() {
+            if !network.record.violations.is_empty() {
                 return network;
             }
         }
@@ -95,7 +96,7 @@
     }
     network.heal();
     network.links = network::Links::default();
-    // Stopped and killed nodes are replaced; the others keep their memory.
+    // Stopped and killed nodes are restarted; the others retain their state.
     for index in 0..schedule.nodes {
         let runs = network.machines[index].group.as_ref().is_some_and(|group| !group.is_stopping());
         if !runs {
@@ -117,26 +118,27 @@
 }
 
 #[test]
-fn no_fault_breaks_a_promise_and_the_group_recovers() {
+fn random_faults_violate_no_invariant_and_the_group_recovers() {
     let check = |schedule: FaultSchedule| {
         let network = run(&schedule, GroupMechanisms::default());
-        prop_assert_eq!(&network.record.broken, &Vec::<String>::new());
-        prop_assert!(network.leader().is_some(), "no leader after everything is mended");
-        let applied = network.applied_everywhere();
-        prop_assert_eq!(applied.len(), 1, "members differ after everything is mended");
+        prop_assert_eq!(&network.record.violations, &Vec::<String>::new());
+        prop_assert!(network.leader().is_some(), "no leader after all faults were repaired");
+        let applied = network.distinct_applied_commands();
+        prop_assert_eq!(applied.len(), 1, "members differ after all faults were repaired");
         let identity = network.group(network.leader().unwrap()).identity().unwrap();
-        let agreed: Vec<Vec<u8>> = network.record.agreed(identity).into_iter().map(|(_, command)| command).collect();
-        prop_assert_eq!(applied.first(), Some(&agreed), "an agreed command is lost");
+        let committed: Vec<Vec<u8>> =
+            network.record.committed_commands(identity).into_iter().map(|(_, command)| command).collect();
+        prop_assert_eq!(applied.first(), Some(&committed), "a committed command is lost");
         Ok(())
     };
     runner(200).run(&fault_schedule(), check).unwrap();
 }
 
-/// Whether any of the schedules breaks a promise.
-fn some_schedule_breaks(mechanisms: GroupMechanisms) -> bool {
+/// Whether any of the schedules violates an invariant.
+fn some_schedule_violates_an_invariant(mechanisms: GroupMechanisms) -> bool {
     let config = ProptestConfig { max_shrink_iters: 0, ..runner(120).config().clone() };
     let check = |schedule: FaultSchedule| {
-        prop_assert!(run(&schedule, mechanisms).record.broken.is_empty());
+        prop_assert!(run(&schedule, mechanisms).record.violations.is_empty());
         Ok(())
     };
     TestRunner::new(config).run(&fault_schedule(), check).is_err()
@@ -145,14 +147,14 @@
 #[test_case(|all: &mut GroupMechanisms| all.complete_log_vote = false; "complete_log_vote")]
 #[test_case(|all: &mut GroupMechanisms| all.incarnation_identity = false; "incarnation_identity")]
 #[test_case(|all: &mut GroupMechanisms| all.loss_statement = false; "loss_statement")]
-fn random_faults_find_a_mechanism_left_out(leave_out: fn(&mut GroupMechanisms)) {
+fn random_faults_detect_a_disabled_mechanism(disable: fn(&mut GroupMechanisms)) {
     let mut mechanisms = GroupMechanisms::default();
-    leave_out(&mut mechanisms);
-    assert!(some_schedule_breaks(mechanisms));
+    disable(&mut mechanisms);
+    assert!(some_schedule_violates_an_invariant(mechanisms));
 }
 
 #[test]
-fn damaged_messages_are_refused_or_differ_and_never_crash() {
+fn truncated_messages_are_refused_and_damaged_ones_never_panic() {
     let strategy = (prop::collection::vec(any::<u8>(), 0..200), any::<prop::sample::Index>(), any::<u8>());
     let sample = sample_message().encode();
     let check = |(noise, place, value): (Vec<u8>, prop::sample::Index, u8)| {
@@ -178,5 +180,5 @@
         quillhatch_group::GroupOutput::Send { message, .. } => Some(message),
         _ => None,
     });
-    sent.expect("the leader replicates at once")
+    sent.expect("the leader replicates a proposal immediately")
 }
--- a/crates/group/tests/memory.rs
+++ b/crates/group/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Nodes that lose their memory: restarts, changes of voters, and groups formed from nothing.
+//! Restarted nodes without state: restarts, changes of voters, snapshots, and formation of groups.
 
 mod network;
 
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn all_of_the_electorate_together_form_the_first_generation() {
+fn a_complete_electorate_forms_the_first_generation() {
     for seed in SEEDS {
         let mut network = Network::new(3, Formation::New, GroupSettings::default(), seed);
         network.start_all();
-        let taken = network.run_until(Duration::from_secs(2), |network| network.leader().is_some());
-        assert!(taken.is_some(), "no group with seed {seed}");
+        let elapsed = network.run_until(Duration::from_secs(2), |network| network.leader().is_some());
+        assert!(elapsed.is_some(), "no group with seed {seed}");
         network.run_for(Duration::from_millis(500));
         for index in 0..3 {
             assert_eq!(network.group(index).generation(), Generation(1));
@@ -40,7 +40,7 @@
 #[test_case(Formation::Existing, 3, 0, 0; "the service has served before")]
 #[test_case(Formation::New, 3, 7, 0; "a node remembers a generation")]
 #[test_case(Formation::New, 3, 0, 4; "a node remembers an epoch")]
-fn a_group_without_proof_says_that_claims_are_lost(formation: Formation, running: usize, generation: u64, epoch: u64) {
+fn a_group_formed_without_proof_reports_lost_claims(formation: Formation, running: usize, generation: u64, epoch: u64) {
     let mut network = Network::new(3, formation, GroupSettings::default(), 1);
     let plain = network.requirements.clone();
     for index in 0..running {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn less_than_a_majority_of_the_electorate_forms_nothing() {
+fn a_minority_of_the_electorate_forms_no_group() {
     let mut network = Network::new(5, Formation::New, GroupSettings::default(), 1);
     network.start(0);
     network.start(1);
@@ -67,14 +67,15 @@
     assert_eq!((network.group(0).role(), network.group(1).role()), (Role::Outsider, Role::Outsider));
 }
 
-/// Broken promises when nodes restart one after the other, at awkward moments, while commands are agreed.
-fn broken_by_restarts(settings: &GroupSettings) -> usize {
-    let mut broken = 0;
+/// Restarts the only follower that stored a committed command, while it and the node that never received the command are
+/// partitioned from the leader. Returns the number of violated invariants.
+fn violations_by_restarts(settings: &GroupSettings) -> usize {
+    let mut violations = 0;
     for seed in SEEDS {
         let mut network = Network::formed(3, settings.clone(), seed);
         let leader = network.leader().unwrap();
-        let (other, cut_off) = ((leader + 1) % 3, (leader + 2) % 3);
-        network.split(&[cut_off]);
+        let (other, partitioned) = ((leader + 1) % 3, (leader + 2) % 3);
+        network.split(&[partitioned]);
         network.propose(leader);
         network.run_for(Duration::from_millis(300));
         network.split(&[leader]);
@@ -86,19 +87,19 @@
         network.run_for(Duration::from_secs(1));
         network.heal();
         network.run_for(Duration::from_secs(8));
-        broken += network.record.broken.len();
+        violations += network.record.violations.len();
     }
-    broken
+    violations
 }
 
 #[test]
-fn a_restarted_voter_does_not_vote_with_a_forgotten_log() {
-    assert_eq!(broken_by_restarts(&GroupSettings::default()), 0);
-    assert!(broken_by_restarts(&without(|mechanisms| mechanisms.incarnation_identity = false)) > 0);
+fn a_restarted_voter_does_not_vote_without_its_log() {
+    assert_eq!(violations_by_restarts(&GroupSettings::default()), 0);
+    assert!(violations_by_restarts(&without(|mechanisms| mechanisms.incarnation_identity = false)) > 0);
 }
 
 #[test]
-fn all_nodes_are_replaced_one_by_one_and_nothing_is_lost() {
+fn a_rolling_restart_of_all_nodes_loses_no_command() {
     for seed in SEEDS {
         let mut network = Network::formed(3, GroupSettings::default(), seed);
         let identity = network.group(0).identity();
@@ -119,14 +120,14 @@
             network.run_for(Duration::from_millis(500));
         }
         assert_eq!(network.group(0).identity(), identity);
-        assert_eq!(network.applied_everywhere().len(), 1);
-        assert_eq!(network.record.agreed_count(identity.unwrap()), 3);
-        assert_eq!(network.record.broken, Vec::<String>::new());
+        assert_eq!(network.distinct_applied_commands().len(), 1);
+        assert_eq!(network.record.committed_count(identity.unwrap()), 3);
+        assert_eq!(network.record.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn survivors_of_a_lost_majority_form_a_higher_generation_that_says_so() {
+fn survivors_of_a_lost_majority_form_a_higher_generation_that_reports_lost_claims() {
     for seed in SEEDS {
         let mut network = Network::formed(3, GroupSettings::default(), seed);
         let leader = network.leader().unwrap();
@@ -139,13 +140,13 @@
         let now_leading = network.leader().expect("the survivor takes part in a new group");
         let group = network.group(now_leading);
         assert!(group.claims_lost() && group.generation() > before);
-        assert_eq!(now_leading, leader, "who kept the state founds");
-        assert_eq!(network.record.broken, Vec::<String>::new());
+        assert_eq!(now_leading, leader, "the node that retained the state founds the group");
+        assert_eq!(network.record.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn members_of_a_replaced_group_leave_it_for_the_newer() {
+fn members_of_a_replaced_group_join_the_newer_group() {
     let mut network = Network::formed(3, GroupSettings::default(), 2);
     let old = network.leader().unwrap();
     let others = [(old + 1) % 3, (old + 2) % 3];
@@ -157,11 +158,12 @@
     network.heal();
     network.run_for(Duration::from_secs(5));
     assert_eq!(network.group(old).identity(), newer);
-    assert_eq!(network.record.broken, Vec::<String>::new());
+    assert_eq!(network.record.violations, Vec::<String>::new());
 }
 
-/// Two of five keep their memory with the leader; the fifth voter restarts on the other side of a partition.
-fn two_sides_after_a_restart(settings: &GroupSettings) -> usize {
+/// Three of five addresses form a group. Then a partition leaves two of its voters, with the leader, on one side, while
+/// the third voter restarts on the other side together with the two unused addresses. Returns the number of violations.
+fn violations_with_a_restart_during_a_partition(settings: &GroupSettings) -> usize {
     let mut network = Network::new(5, Formation::Existing, settings.clone(), 3);
     (0..3).for_each(|index| network.start(index));
     network.run_for(Duration::from_secs(8));
@@ -172,17 +174,19 @@
     network.split(&[restarted, 3, 4]);
     [restarted, 3, 4].into_iter().for_each(|index| network.start(index));
     network.run_for(Duration::from_secs(10));
-    network.record.broken.len()
+    network.record.violations.len()
 }
 
 #[test]
-fn only_one_side_of_a_partition_has_a_group_thanks_to_the_electorate_quorum() {
-    assert_eq!(two_sides_after_a_restart(&GroupSettings::default()), 0);
-    assert!(two_sides_after_a_restart(&without(|mechanisms| mechanisms.electorate_quorum = false)) > 0);
+fn electorate_quorum_allows_a_group_on_only_one_side_of_a_partition() {
+    assert_eq!(violations_with_a_restart_during_a_partition(&GroupSettings::default()), 0);
+    assert!(
+        violations_with_a_restart_during_a_partition(&without(|mechanisms| mechanisms.electorate_quorum = false)) > 0
+    );
 }
 
 #[test]
-fn a_node_that_asks_while_a_group_exists_never_forms_another() {
+fn a_node_forms_no_second_group_while_a_group_exists() {
     let mut network = Network::formed(3, GroupSettings::default(), 6);
     network.auto_join = false;
     let identity = network.group(0).identity();
@@ -195,7 +199,7 @@
 }
 
 #[test]
-fn one_change_of_voters_at_a_time_and_only_of_nodes_that_ask() {
+fn voters_change_one_at_a_time_and_only_joining_nodes_are_added() {
     let mut network = Network::formed(3, GroupSettings::default(), 7);
     network.auto_join = false;
     let leader = network.leader().unwrap();
@@ -210,7 +214,7 @@
 }
 
 #[test]
-fn a_removed_leader_leaves_the_lead_to_another() {
+fn a_removed_leader_is_replaced() {
     let mut network = Network::formed(3, GroupSettings::default(), 8);
     network.auto_join = false;
     let old = network.leader().unwrap();
@@ -219,11 +223,11 @@
     network.run_for(Duration::from_secs(3));
     assert_eq!(network.group(old).role(), Role::Outsider);
     assert!(network.leader().is_some());
-    assert_eq!(network.record.broken, Vec::<String>::new());
+    assert_eq!(network.record.violations, Vec::<String>::new());
 }
 
 #[test]
-fn the_electorate_follows_the_configuration_one_address_at_a_time() {
+fn the_electorate_changes_to_the_configured_one() {
     let mut network = Network::formed(4, GroupSettings::default(), 9);
     network.requirements.electorate = vec![address(1), address(2), address(3)];
     for index in 0..4 {
@@ -237,7 +241,7 @@
 }
 
 #[test]
-fn a_newcomer_gets_a_snapshot_in_pieces_and_the_log_stays_bounded() {
+fn a_restarted_node_receives_a_chunked_snapshot_and_the_log_stays_bounded() {
     let settings = GroupSettings { log_entries: 32, ..GroupSettings::default() };
     let mut network = Network::formed(3, settings, 10);
     network.padding = 4_000;
@@ -247,18 +251,18 @@
         network.run_for(Duration::from_millis(10));
     }
     network.run_for(Duration::from_secs(1));
-    let newcomer = (leader + 1) % 3;
-    network.start(newcomer);
+    let restarted = (leader + 1) % 3;
+    network.start(restarted);
     network.run_for(Duration::from_secs(5));
-    assert_eq!(network.machines[newcomer].applied.len(), 200);
-    assert_eq!(network.applied_everywhere().len(), 1);
+    assert_eq!(network.machines[restarted].applied.len(), 200);
+    assert_eq!(network.distinct_applied_commands().len(), 1);
     assert!((0..3).all(|index| network.group(index).log_length() <= 64));
     assert!(network.largest_message < 72 * 1024, "{}", network.largest_message);
-    assert_eq!(network.record.broken, Vec::<String>::new());
+    assert_eq!(network.record.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_full_log_and_a_large_command_are_refused() {
+fn proposals_are_refused_when_the_log_is_full_or_the_command_too_large() {
     let settings = GroupSettings { log_entries: 4, ..GroupSettings::default() };
     let mut network = Network::formed(3, settings, 11);
     let leader = network.leader().unwrap();
--- a/crates/group/tests/network/mod.rs
+++ b/crates/group/tests/network/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded network of groups on a virtual clock, with a record of what hosts saw.
-#![allow(dead_code)] // every test file uses another part of it
+//! A simulated network of nodes with a virtual clock and a seeded generator, and a record of the outputs to the hosts.
+#![allow(dead_code)] // each test file uses a different part
 
 pub mod record;
 
@@ -15,10 +15,11 @@
 
 use record::Record;
 
-/// How often something may be due at one moment of the virtual clock; more means that a node asks to be woken at once for ever.
-const MOST_ROUNDS_AT_ONCE: u32 = 10_000;
+/// Maximum number of steps at one instant of the virtual clock; more mean that a node requests an immediate wake
+/// forever.
+const MAX_STEPS_PER_INSTANT: u32 = 10_000;
 
-/// Chances and delays of the links.
+/// Probability of loss and duplication on the links, and the range of delays in microseconds.
 #[derive(Clone, Debug)]
 pub struct Links {
     pub loss: f64,
@@ -37,7 +38,7 @@
     pub group: Option<Group>,
     pub paused_until: Option<Timestamp>,
     pub side: usize,
-    /// Commands applied by this run's host, by index; the whole state of the test host.
+    /// Commands that this run's host has applied, by index; the whole state of the test host.
     pub applied: BTreeMap<u64, Vec<u8>>,
     pub results: Vec<(u64, ProposalResult)>,
     pub leases: Vec<Timestamp>,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A network of which all nodes have been started and have formed a group.
+    /// A network in which all nodes run and have formed a group.
     pub fn formed(count: usize, settings: GroupSettings, seed: u64) -> Self {
         let mut network = Self::new(count, Formation::New, settings, seed);
         network.start_all();
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Starts or restarts a node, which has no memory.
+    /// Starts or restarts a node without state.
     pub fn start(&mut self, index: usize) {
         self.incarnations += 1;
         let node = NodeId { address: address(index), incarnation: Incarnation(self.incarnations) };
@@ -146,7 +147,7 @@
         self.machines[index].group.as_ref().expect("the node runs")
     }
 
-    /// The node that leads under a lease.
+    /// The first node that leads and holds a lease.
     pub fn leader(&self) -> Option<usize> {
         self.leased_leaders().first().copied()
     }
@@ -190,14 +191,14 @@
         let identity = group.identity().or(before);
         let outcome = group.claims_lost();
         for output in outputs {
-            self.carry_out(index, node, identity, outcome, output);
+            self.execute_output(index, node, identity, outcome, output);
         }
         let leased = self.leased_leaders();
         let nodes: Vec<NodeId> = leased.iter().map(|index| self.group(*index).node()).collect();
         self.record.leases(self.now, &nodes);
     }
 
-    fn carry_out(
+    fn execute_output(
         &mut self,
         index: usize,
         node: NodeId,
@@ -207,14 +208,14 @@
     ) {
         let machine = &mut self.machines[index];
         match output {
-            GroupOutput::Send { to, message } => self.post(node, to, &message),
-            GroupOutput::Committed { index: place, term, command } => {
-                machine.applied.insert(place, command.clone());
-                self.record.committed(identity.expect("a member"), place, term, command);
+            GroupOutput::Send { to, message } => self.send(node, to, &message),
+            GroupOutput::Committed { index: log_index, term, command } => {
+                machine.applied.insert(log_index, command.clone());
+                self.record.committed(identity.expect("a member"), log_index, term, command);
             }
-            GroupOutput::InstallSnapshot { index: place, bytes } => {
+            GroupOutput::InstallSnapshot { index: log_index, bytes } => {
                 machine.applied = record::decode_state(&bytes);
-                self.record.installed(identity.expect("a member"), place, &machine.applied);
+                self.record.installed(identity.expect("a member"), log_index, &machine.applied);
             }
             GroupOutput::Formed { .. } => {
                 machine.applied.clear();
@@ -223,9 +224,9 @@
             GroupOutput::RoleChanged { role: Role::Leader, term, .. } => {
                 self.record.elected(self.now, identity.expect("a member"), term, node);
             }
-            GroupOutput::NeedSnapshot { index: place } => {
+            GroupOutput::NeedSnapshot { index: log_index } => {
                 let bytes = record::encode_state(&machine.applied);
-                self.step(index, GroupInput::Snapshot { index: place, bytes });
+                self.step(index, GroupInput::Snapshot { index: log_index, bytes });
             }
             GroupOutput::JoinRequested { node } if self.auto_join => {
                 self.tickets += 1;
@@ -237,9 +238,13 @@
         }
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, message: &GroupMessage) {
+    fn send(&mut self, from: NodeId, to: NodeId, message: &GroupMessage) {
         let bytes = message.encode();
-        assert_eq!(GroupMessage::decode(&bytes).as_ref(), Ok(message), "a message must survive encoding");
+        assert_eq!(
+            GroupMessage::decode(&bytes).as_ref(),
+            Ok(message),
+            "a message changed when it was encoded and decoded"
+        );
         self.largest_message = self.largest_message.max(bytes.len());
         self.bytes_sent += bytes.len() as u64;
         if self.random.gen_bool(self.links.loss) {
@@ -262,8 +267,8 @@
         let Some(group) = &machine.group else {
             return;
         };
-        let meant = to.incarnation.0 == 0 || to.incarnation == group.node().incarnation;
-        if machine.side != self.machines[source].side || !meant {
+        let addressed_to_run = to.incarnation.0 == 0 || to.incarnation == group.node().incarnation;
+        if machine.side != self.machines[source].side || !addressed_to_run {
             return;
         }
         let message = GroupMessage::decode(bytes).expect("sent by this harness");
@@ -281,10 +286,14 @@
 
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
-        let mut rounds_at_once = 0;
+        let mut steps_at_instant = 0;
         while let Some(next) = self.next_event().filter(|next| *next <= end) {
-            rounds_at_once = if next > self.now { 0 } else { rounds_at_once + 1 };
-            assert!(rounds_at_once < MOST_ROUNDS_AT_ONCE, "a node is due again and again at {:?}", self.now);
+            steps_at_instant = if next > self.now { 0 } else { steps_at_instant + 1 };
+            assert!(
+                steps_at_instant < MAX_STEPS_PER_INSTANT,
+                "a node requests an immediate wake forever at {:?}",
+                self.now
+            );
             self.now = self.now.max(next);
             self.deliver_due();
             self.tick_due();
@@ -304,7 +313,7 @@
         done(self).then(|| self.now.since(start))
     }
 
-    /// Hands over what has arrived. What is meant for a paused process waits in its sockets until it wakes.
+    /// Delivers the messages that are due. Messages to a paused process wait in its sockets until it resumes.
     fn deliver_due(&mut self) {
         while let Some((key, _)) = self.in_flight.first_key_value() {
             let key = *key;
@@ -337,8 +346,8 @@
         }
     }
 
-    /// All commands that the nodes of the present group have applied are alike.
-    pub fn applied_everywhere(&self) -> BTreeSet<Vec<Vec<u8>>> {
+    /// The distinct sequences of commands that the running nodes have applied; a single one if all of them agree.
+    pub fn distinct_applied_commands(&self) -> BTreeSet<Vec<Vec<u8>>> {
         let running = self.machines.iter().filter(|machine| machine.group.is_some());
         running.map(|machine| machine.applied.values().cloned().collect()).collect()
     }
--- a/crates/group/tests/network/record.rs
+++ b/crates/group/tests/network/record.rs
@@ -1,16 +1,16 @@
-//! What the hosts saw, and the promises that it must keep.
+//! The outputs to the hosts, and the invariants that they must satisfy.
 
 use std::collections::BTreeMap;
 
 use quillhatch_group::GroupIdentity;
 use quillhatch_types::{NodeId, Timestamp};
 
-/// Collects broken promises instead of failing at once, so that a test can ask for them with a mechanism off.
+/// Collects violations instead of panicking, so that a test can check that disabling a mechanism causes some.
 #[derive(Default)]
 pub struct Record {
     leaders: BTreeMap<(GroupIdentity, u64), NodeId>,
     commands: BTreeMap<(GroupIdentity, u64), (u64, Vec<u8>)>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub elections: Vec<(Timestamp, u64)>,
     pub formations: BTreeMap<GroupIdentity, bool>,
 }
@@ -20,45 +20,45 @@
         self.elections.push((now, term));
         let first = *self.leaders.entry((identity, term)).or_insert(node);
         if first != node {
-            self.broken.push(format!("two leaders in term {term} of {identity:?}"));
+            self.violations.push(format!("two leaders in term {term} of {identity:?}"));
         }
     }
 
     pub fn committed(&mut self, identity: GroupIdentity, index: u64, term: u64, command: Vec<u8>) {
         let first = self.commands.entry((identity, index)).or_insert_with(|| (term, command.clone()));
         if *first != (term, command) {
-            self.broken.push(format!("two commands agreed at {index} of {identity:?}"));
+            self.violations.push(format!("two commands committed at index {index} of {identity:?}"));
         }
     }
 
     pub fn installed(&mut self, identity: GroupIdentity, index: u64, state: &BTreeMap<u64, Vec<u8>>) {
-        for ((_, place), (_, command)) in self.commands.range((identity, 0)..=(identity, index)) {
-            if state.get(place) != Some(command) {
-                self.broken.push(format!("a snapshot lacks what was agreed at {place}"));
+        for ((_, log_index), (_, command)) in self.commands.range((identity, 0)..=(identity, index)) {
+            if state.get(log_index) != Some(command) {
+                self.violations.push(format!("a snapshot lacks the command committed at index {log_index}"));
             }
         }
     }
 
-    /// A group that says that nothing was lost must be the first in which anything was agreed.
+    /// Checks that only the first group with committed commands reports that nothing was lost.
     pub fn formed(&mut self, identity: GroupIdentity, claims_lost: bool) {
         let earlier = self.commands.keys().any(|(other, _)| *other != identity);
         if self.formations.insert(identity, claims_lost).is_none() && earlier && !claims_lost {
-            self.broken.push(format!("{identity:?} does not say that commands were lost"));
+            self.violations.push(format!("{identity:?} does not report that commands were lost"));
         }
     }
 
     pub fn leases(&mut self, now: Timestamp, holders: &[NodeId]) {
         if holders.len() > 1 {
-            self.broken.push(format!("{} leaders hold a lease at {now}", holders.len()));
+            self.violations.push(format!("{} leaders hold a lease at {now}", holders.len()));
         }
     }
 
-    pub fn agreed_count(&self, identity: GroupIdentity) -> usize {
+    pub fn committed_count(&self, identity: GroupIdentity) -> usize {
         self.commands.range((identity, 0)..=(identity, u64::MAX)).count()
     }
 
-    /// The commands agreed in one group, in order.
-    pub fn agreed(&self, identity: GroupIdentity) -> Vec<(u64, Vec<u8>)> {
+    /// The commands committed in one group, in log order.
+    pub fn committed_commands(&self, identity: GroupIdentity) -> Vec<(u64, Vec<u8>)> {
         let range = self.commands.range((identity, 0)..=(identity, u64::MAX));
         range.map(|((_, index), (_, command))| (*index, command.clone())).collect()
     }
