--- a/crates/group/src/change.rs
+++ b/crates/group/src/change.rs
@@ -61,8 +61,8 @@
         if next == current {
             return Err(ProposalRefusal::NothingToChange);
         }
-        if next.voters.is_empty() || next.voters.len() > MAX_VOTERS || !next.can_decide() {
-            return Err(ProposalRefusal::CannotDecide);
+        if next.voters.is_empty() || next.voters.len() > MAX_VOTERS || !next.can_form_quorum() {
+            return Err(ProposalRefusal::InvalidVoters);
         }
         Ok(next)
     }
@@ -77,7 +77,7 @@
         let seen = member.leadership().and_then(|leadership| leadership.joiners.get(&node));
         match seen {
             Some(seen) if now.since(*seen) <= freshness => Ok(()),
-            _ => Err(ProposalRefusal::NotAsking),
+            _ => Err(ProposalRefusal::NotJoining),
         }
     }
 
--- a/crates/group/src/election.rs
+++ b/crates/group/src/election.rs
@@ -26,7 +26,7 @@
     }
 
     fn start_pre_vote(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         let Some(member) = &mut self.member else {
             return;
         };
@@ -38,7 +38,7 @@
     }
 
     fn campaign(&mut self, now: Timestamp, transfer: bool, outputs: &mut Vec<GroupOutput>) {
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         let Some(member) = &mut self.member else {
             return;
         };
@@ -113,7 +113,7 @@
             return false;
         }
         member.vote = Some(from);
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         true
     }
 
@@ -129,7 +129,7 @@
     /// Moves to a higher term as a follower that has not voted.
     pub(crate) fn follow_term(&mut self, now: Timestamp, term: u64) {
         if self.member.as_ref().is_some_and(GroupMember::is_leader) {
-            self.rearm_election(now);
+            self.reset_election_deadline(now);
         }
         if let Some(member) = &mut self.member {
             member.term = term;
@@ -179,14 +179,14 @@
                 self.campaign(now, false, outputs);
             }
             MemberRole::Candidate { granted } if sets.is_quorum(|voter| granted.contains(voter)) => {
-                self.lead(now, outputs);
+                self.become_leader(now, outputs);
             }
             _ => {}
         }
     }
 
     /// Becomes the leader of the current term.
-    pub(crate) fn lead(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn become_leader(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.survey.start_round(now + self.settings.formation_retry);
         let node = self.node;
         let Some(member) = &mut self.member else {
@@ -234,7 +234,7 @@
         self.attempt = None;
         // The delay lets the other voters start an election first. If only this node has all committed entries, only it
         // can win; it then transfers leadership.
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         self.continue_transfer(now, outputs);
     }
 
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -48,7 +48,7 @@
         if term > member.term {
             self.follow_term(now, term);
         }
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         let lease = self.settings.lease;
         let Some(member) = &mut self.member else {
             return false;
@@ -155,7 +155,7 @@
             outputs.push(GroupOutput::InstallSnapshot { index, bytes: member.log.snapshot().to_vec() });
         }
         self.member = Some(member);
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
     }
 }
 
--- a/crates/group/src/formation.rs
+++ b/crates/group/src/formation.rs
@@ -16,7 +16,7 @@
 ///
 /// The random step makes it unlikely that two formations that do not know of each other get the same generation. If
 /// they do, the founder still distinguishes the groups.
-const GENERATION_STRIDE: u64 = 1 << 16;
+const MAX_GENERATION_STEP: u64 = 1 << 16;
 
 /// Maximum number of abandoned groups that are remembered; the lowest identity is dropped first.
 const MAX_ABANDONED_GROUPS: usize = 16;
@@ -58,7 +58,7 @@
         self.requirements = Some(requirements);
         if first && self.member.is_none() {
             self.waiting_since = now;
-            self.ask_peers(now, outputs);
+            self.send_inquiries(now, outputs);
             // If this node is the whole electorate, there is no answer to wait for.
             self.form_if_complete(now, outputs);
         }
@@ -134,8 +134,8 @@
         let eligible_since = *self.eligible_since.get_or_insert(now);
         let rank = ready.iter().position(|ready| ready.node == self.node).unwrap_or(ready.len());
         // The first node in the order starts; each later one only if the nodes before it have not formed a group.
-        let turn = eligible_since + self.settings.formation_wait * u32::try_from(rank).unwrap_or(u32::MAX);
-        if now >= turn {
+        let start_at = eligible_since + self.settings.formation_wait * u32::try_from(rank).unwrap_or(u32::MAX);
+        if now >= start_at {
             self.start_attempt(now, electorate, ready, outputs);
         }
     }
@@ -160,7 +160,7 @@
         let complete = ready.len() == electorate.len();
         let proven_new = complete && ready.iter().all(|ready| ready.blank);
         let claims_lost = !proven_new && self.settings.mechanisms.loss_statement;
-        let step = if proven_new { 1 } else { self.random.step_up_to(GENERATION_STRIDE) };
+        let step = if proven_new { 1 } else { self.random.step_up_to(MAX_GENERATION_STEP) };
         let generation = Generation(self.remembered_generation.0 + step);
         let identity = GroupIdentity { generation, founder: self.node };
         let record = FormationRecord { identity, claims_lost, epoch: self.remembered_epoch };
@@ -295,7 +295,7 @@
             member.vote = Some(self.node);
             member.log.append(Entry { term: member.term, payload: Payload::Voters(attempt.request.voters) });
         }
-        self.lead(now, outputs);
+        self.become_leader(now, outputs);
     }
 
     /// Becomes a member with an empty log, or resumes retained state of the same group.
@@ -312,7 +312,7 @@
         member.term = FIRST_TERM;
         member.vote = Some(identity.founder);
         self.member = Some(member);
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         self.attempt = None;
         self.eligible_since = None;
         self.remembered_generation = self.remembered_generation.max(identity.generation);
--- a/crates/group/src/group.rs
+++ b/crates/group/src/group.rs
@@ -46,7 +46,7 @@
     /// Groups whose state this node has discarded and that it must never answer again.
     pub(crate) abandoned_groups: BTreeSet<GroupIdentity>,
     /// The newest group that a peer has reported.
-    pub(crate) known: Option<GroupView>,
+    pub(crate) known_group: Option<GroupView>,
     pub(crate) remembered_generation: Generation,
     pub(crate) remembered_epoch: Epoch,
 }
@@ -75,7 +75,7 @@
             attempt: None,
             promise: None,
             abandoned_groups: BTreeSet::new(),
-            known: None,
+            known_group: None,
             remembered_generation: Generation::default(),
             remembered_epoch: Epoch::default(),
         }
@@ -120,7 +120,7 @@
 
     fn on_tick(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         if self.member.as_ref().is_some_and(GroupMember::is_leader) {
-            self.lead_on_tick(now, outputs);
+            self.on_leader_tick(now, outputs);
             return;
         }
         self.campaign_if_due(now, outputs);
@@ -184,7 +184,7 @@
             return;
         }
         if now > member.election_deadline + timeout {
-            self.rearm_election(now);
+            self.reset_election_deadline(now);
         }
     }
 
@@ -204,7 +204,7 @@
     }
 
     fn next_outsider_wake(&self) -> Timestamp {
-        let survey = self.survey.next;
+        let survey = self.survey.next_round_at;
         self.attempt.as_ref().map_or(survey, |attempt| attempt.resend_at.min(survey))
     }
 
@@ -244,7 +244,7 @@
 
     /// The leader as far as known; an outsider reports the leader of the newest group that it has seen.
     pub fn leader_hint(&self) -> Option<NodeId> {
-        self.leader().or_else(|| self.known.as_ref().and_then(|view| view.leader))
+        self.leader().or_else(|| self.known_group.as_ref().and_then(|view| view.leader))
     }
 
     /// The node's commit index.
@@ -297,7 +297,7 @@
     }
 
     /// The entry at `index`, if it is committed and not compacted.
-    pub fn agreed_entry(&self, index: u64) -> Option<&Entry> {
+    pub fn committed_entry(&self, index: u64) -> Option<&Entry> {
         let member = self.member.as_ref()?;
         member.log.get(index).filter(|_| index <= member.commit)
     }
@@ -322,7 +322,7 @@
         outputs.push(GroupOutput::Send { to, message });
     }
 
-    pub(crate) fn rearm_election(&mut self, now: Timestamp) {
+    pub(crate) fn reset_election_deadline(&mut self, now: Timestamp) {
         let settings = &self.settings;
         let span = self.random.duration_between(settings.election_timeout_minimum, settings.election_timeout_maximum);
         let extra_delay = if self.stopping {
@@ -340,7 +340,7 @@
             member.role = MemberRole::Follower;
             member.leader = None;
         }
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
     }
 }
 
--- a/crates/group/src/io.rs
+++ b/crates/group/src/io.rs
@@ -173,7 +173,7 @@
     },
     /// The leader is stopping and transfers its leadership.
     #[display("the leader is handing leadership on")]
-    HandingOver,
+    TransferringLeadership,
     /// The command is above the size limit.
     #[display("the command is too large")]
     CommandTooLarge,
@@ -188,8 +188,8 @@
     NothingToChange,
     /// The node to be added has not recently asked to join.
     #[display("the node has not asked to be taken in")]
-    NotAsking,
+    NotJoining,
     /// The new voters would cover no majority of the electorate, or there would be none or too many of them.
     #[display("the voters left could not decide")]
-    CannotDecide,
+    InvalidVoters,
 }
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -27,7 +27,7 @@
     pub incoming: Option<IncomingSnapshot>,
     pub snapshot_requested: Option<u64>,
     /// Voters whose address answered as another run, so that they will never vote again.
-    pub dead: BTreeSet<NodeId>,
+    pub dead_voters: BTreeSet<NodeId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -113,7 +113,7 @@
             was_voter: false,
             incoming: None,
             snapshot_requested: None,
-            dead: BTreeSet::new(),
+            dead_voters: BTreeSet::new(),
         }
     }
 
--- a/crates/group/src/replication.rs
+++ b/crates/group/src/replication.rs
@@ -44,7 +44,7 @@
             return Err(refusal);
         }
         if self.stopping {
-            return Err(ProposalRefusal::HandingOver);
+            return Err(ProposalRefusal::TransferringLeadership);
         }
         Ok(member)
     }
@@ -65,7 +65,7 @@
         ProposalResult::Accepted { index, term }
     }
 
-    pub(crate) fn lead_on_tick(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn on_leader_tick(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let heartbeat = self.settings.heartbeat;
         let Some(leadership) = self.member.as_mut().and_then(GroupMember::leadership_mut) else {
             return;
--- a/crates/group/src/survey.rs
+++ b/crates/group/src/survey.rs
@@ -20,14 +20,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PeerSurvey {
     pub round: u64,
-    pub next: Timestamp,
+    pub next_round_at: Timestamp,
     pub answers: BTreeMap<NodeAddress, (NodeId, Answer)>,
 }
 
 impl PeerSurvey {
-    pub fn start_round(&mut self, next: Timestamp) {
+    pub fn start_round(&mut self, next_round_at: Timestamp) {
         self.round += 1;
-        self.next = next;
+        self.next_round_at = next_round_at;
         self.answers.clear();
     }
 }
@@ -35,23 +35,23 @@
 impl Group {
     /// When a member without a leader next sends inquiries to its peers.
     pub(crate) fn survey_due(&self, member: &GroupMember) -> Timestamp {
-        self.survey.next.max(member.contact + self.settings.election_timeout_maximum)
+        self.survey.next_round_at.max(member.contact + self.settings.election_timeout_maximum)
     }
 
     pub(crate) fn survey_if_due(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let due = match &self.member {
             Some(member) => self.survey_due(member),
-            None => self.survey.next,
+            None => self.survey.next_round_at,
         };
-        let lost = self.member.is_some() || self.requirements.is_some();
-        if now < due || !lost {
+        let may_inquire = self.member.is_some() || self.requirements.is_some();
+        if now < due || !may_inquire {
             return;
         }
         self.end_round(now, outputs);
-        self.ask_peers(now, outputs);
+        self.send_inquiries(now, outputs);
     }
 
-    pub(crate) fn ask_peers(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    pub(crate) fn send_inquiries(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         self.survey.start_round(now + self.settings.formation_retry);
         let round = self.survey.round;
         for address in self.peers() {
@@ -70,7 +70,7 @@
             peers.extend(voters.voters.iter().map(|voter| voter.address));
             peers.extend(voters.electorate);
         }
-        if let Some(view) = &self.known {
+        if let Some(view) = &self.known_group {
             peers.extend(view.voters.voters.iter().map(|voter| voter.address));
         }
         peers.remove(&self.node.address);
@@ -123,19 +123,19 @@
             return;
         }
         self.record_dead_voters(from);
-        self.ask_leader_to_join(&answer, outputs);
+        self.send_inquiry_to_leader(&answer, outputs);
         self.survey.answers.insert(from.address, (from, answer));
         self.form_if_complete(now, outputs);
     }
 
     /// Records a peer's view; leaves a group that a newer one has replaced or that has removed this node.
     fn learn_view(&mut self, now: Timestamp, view: &GroupView, outputs: &mut Vec<GroupOutput>) {
-        let newer = self.known.as_ref().is_none_or(|known| {
+        let newer = self.known_group.as_ref().is_none_or(|known| {
             (view.identity.generation, view.term, view.leader.is_some())
                 >= (known.identity.generation, known.term, known.leader.is_some())
         });
         if newer {
-            self.known = Some(view.clone());
+            self.known_group = Some(view.clone());
         }
         let Some(member) = &self.member else {
             return;
@@ -179,12 +179,12 @@
         let replaced_by_run = |voter: &NodeId, run: NodeId| voter.address == run.address && *voter != run;
         let replaced = |voter: &NodeId| replaced_by_run(voter, from) || replaced_by_run(voter, own);
         let sets = member.active_sets(true, true).map(|sets| sets.members()).unwrap_or_default();
-        member.dead.retain(|dead| sets.contains(dead));
-        member.dead.extend(sets.into_iter().filter(replaced));
+        member.dead_voters.retain(|dead| sets.contains(dead));
+        member.dead_voters.extend(sets.into_iter().filter(replaced));
     }
 
     /// As an outsider, sends an inquiry to the leader if it is not among the known peers.
-    fn ask_leader_to_join(&self, answer: &Answer, outputs: &mut Vec<GroupOutput>) {
+    fn send_inquiry_to_leader(&self, answer: &Answer, outputs: &mut Vec<GroupOutput>) {
         let leader = answer.view.as_ref().and_then(|view| view.leader);
         let Some(leader) = leader.filter(|leader| self.member.is_none() && *leader != self.node) else {
             return;
@@ -197,7 +197,7 @@
     /// Whether the group has permanently lost its quorum: the voters not proven dead are no quorum.
     pub(crate) fn has_lost_quorum(&self, member: &GroupMember) -> bool {
         let sets = self.active_sets(member);
-        sets.is_some_and(|sets| !sets.is_quorum(|voter| !member.dead.contains(voter)))
+        sets.is_some_and(|sets| !sets.is_quorum(|voter| !member.dead_voters.contains(voter)))
     }
 }
 
--- a/crates/group/src/voters.rs
+++ b/crates/group/src/voters.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether all voters together are a quorum.
-    pub fn can_decide(&self) -> bool {
+    pub fn can_form_quorum(&self) -> bool {
         self.is_quorum(true, |_| true)
     }
 
@@ -61,7 +61,7 @@
             next.electorate.remove(address);
             next
         });
-        added.chain(removed).find(|next| !next.electorate.is_empty() && next.can_decide())
+        added.chain(removed).find(|next| !next.electorate.is_empty() && next.can_form_quorum())
     }
 }
 
--- a/crates/group/tests/memory.rs
+++ b/crates/group/tests/memory.rs
@@ -205,12 +205,12 @@
     let leader = network.leader().unwrap();
     let others = [(leader + 1) % 3, (leader + 2) % 3].map(|index| network.group(index).node());
     let stranger = NodeId { address: address(9), incarnation: others[0].incarnation };
-    assert_eq!(network.change(leader, Some(stranger), None), refused(ProposalRefusal::NotAsking));
+    assert_eq!(network.change(leader, Some(stranger), None), refused(ProposalRefusal::NotJoining));
     assert_eq!(network.change(leader, None, Some(stranger)), refused(ProposalRefusal::NothingToChange));
     assert!(matches!(network.change(leader, None, Some(others[0])), ProposalResult::Accepted { .. }));
     assert_eq!(network.change(leader, None, Some(others[1])), refused(ProposalRefusal::ChangePending));
     network.run_for(Duration::from_millis(300));
-    assert_eq!(network.change(leader, None, Some(others[1])), refused(ProposalRefusal::CannotDecide));
+    assert_eq!(network.change(leader, None, Some(others[1])), refused(ProposalRefusal::InvalidVoters));
 }
 
 #[test]
--- a/crates/model/src/group/record.rs
+++ b/crates/model/src/group/record.rs
@@ -74,7 +74,7 @@
             return Some(OLD_GROUP_IS_FENCED);
         }
         for index in 1..=group.commit_index() {
-            let Some(entry) = group.agreed_entry(index) else {
+            let Some(entry) = group.committed_entry(index) else {
                 continue;
             };
             let first = self.agreed.entry((identity, index)).or_insert_with(|| entry.clone());
