--- a/crates/control/src/state/apply.rs
+++ b/crates/control/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! What each command does to the state.
+//! Applies commands to the state.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,14 @@
 use crate::state::{Command, Rejection, ServiceState, SlotHome, SlotRecord};
 
 impl ServiceState {
-    /// Applies an agreed command.
+    /// Applies a command that the group has committed.
     ///
     /// # Errors
     ///
-    /// Returns why the command does not fit the state, which then stays as it was.
+    /// Returns why the command does not fit the state, which is then unchanged.
     pub fn apply(&mut self, command: &Command) -> Result<(), Rejection> {
         if let Command::Found { generation, epoch, claims_lost, homes } = command {
-            return self.found(*generation, *epoch, *claims_lost, homes);
+            return self.found_group(*generation, *epoch, *claims_lost, homes);
         }
         if !self.is_founded() {
             return Err(Rejection::Phase);
@@ -54,7 +54,7 @@
         }
     }
 
-    fn found(
+    fn found_group(
         &mut self,
         generation: Generation,
         epoch: Epoch,
@@ -68,17 +68,18 @@
         self.epoch = epoch;
         self.claims_lost = claims_lost;
         self.voters_epoch = epoch;
-        self.slots = homes.iter().map(|home| self.first_record(epoch, home)).collect();
+        self.slots = homes.iter().map(|home| self.initial_slot_record(epoch, home)).collect();
         self.record(None, format!("founded as generation {generation} at epoch {epoch}, claims lost: {claims_lost}"));
         Ok(())
     }
 
-    fn first_record(&self, epoch: Epoch, home: &SlotHome) -> SlotRecord {
-        let here = &home.site == self.site();
-        // Another site's slot keeps epoch zero, so that nothing here outbids what that site knows of it.
-        let state = if here { SlotState::Vacant } else { SlotState::Elsewhere { site: home.site.clone() } };
+    fn initial_slot_record(&self, epoch: Epoch, home: &SlotHome) -> SlotRecord {
+        let local = &home.site == self.site();
+        // A slot of another site gets epoch zero, so that this site's record never takes precedence over the record of
+        // that site.
+        let state = if local { SlotState::Vacant } else { SlotState::Elsewhere { site: home.site.clone() } };
         SlotRecord {
-            epoch: if here { epoch } else { Epoch::default() },
+            epoch: if local { epoch } else { Epoch::default() },
             state,
             sealed_owner: None,
             import: None,
@@ -91,7 +92,7 @@
             return Err(Rejection::MovedOn);
         }
         self.gates.insert(gate.node.address, gate.clone());
-        self.raise();
+        self.advance_epoch();
         self.rebalance();
         self.record(None, format!("gate {} is {:?}", gate.node, gate.status));
         Ok(())
@@ -103,7 +104,7 @@
         }
         self.gates.remove(&node.address);
         self.settled.remove(&node);
-        self.raise();
+        self.advance_epoch();
         self.rebalance();
         self.drop_previous_voters_if_settled();
         self.record(None, format!("gate {node} is removed"));
@@ -115,21 +116,21 @@
         if voters == self.voters || voters.is_empty() {
             return Err(Rejection::MovedOn);
         }
-        let before = std::mem::replace(&mut self.voters, voters);
-        // Nothing can have been recorded on voters that were replaced before their owners settled on them, beyond what
-        // is also on the older ones; so the older ones stay the ones to ask.
+        let replaced = std::mem::replace(&mut self.voters, voters);
+        // Voters that are replaced before all owners have settled on them hold no claim records that the older voters
+        // lack, so takeovers continue to query the older voters.
         if self.previous_voters.is_empty() {
-            self.previous_voters = before;
+            self.previous_voters = replaced;
         }
-        self.voters_epoch = self.raise();
+        self.voters_epoch = self.advance_epoch();
         self.settled.clear();
         self.drop_previous_voters_if_settled();
         Ok(())
     }
 
     fn settle(&mut self, owner: NodeId, epoch: Epoch) -> Result<(), Rejection> {
-        let known = self.settled.get(&owner).copied().unwrap_or_default();
-        if self.gate(owner).is_none() || epoch <= known || epoch < self.voters_epoch {
+        let settled_epoch = self.settled.get(&owner).copied().unwrap_or_default();
+        if self.gate(owner).is_none() || epoch <= settled_epoch || epoch < self.voters_epoch {
             return Err(Rejection::MovedOn);
         }
         self.settled.insert(owner, epoch);
@@ -137,14 +138,14 @@
         Ok(())
     }
 
-    /// Until every owner has settled on the new voters, a takeover has to ask the ones before as well.
+    /// Drops the previous voters once every owner has settled on the new ones. Until then a takeover must query both.
     pub(crate) fn drop_previous_voters_if_settled(&mut self) {
         if self.previous_voters.is_empty() {
             return;
         }
         if can_drop_previous_voters(&self.table(), self.voters_epoch, &self.settled) {
             self.previous_voters.clear();
-            self.raise();
+            self.advance_epoch();
         }
     }
 
@@ -153,7 +154,7 @@
             return Err(Rejection::MovedOn);
         }
         self.claims_lost = false;
-        self.raise();
+        self.advance_epoch();
         self.record(None, "the loss of claims is accepted: keyed calls are taken again");
         Ok(())
     }
--- a/crates/control/src/state/assign.rs
+++ b/crates/control/src/state/assign.rs
@@ -1,4 +1,4 @@
-//! Which gate owns which slot: balanced, and with as few moves as that allows.
+//! Assigns slots to gates: balances the slot counts with as few moves as possible.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,16 @@
 use crate::state::ServiceState;
 
 impl ServiceState {
-    /// Gives every slot of this site to a serving gate and evens out the numbers; raises the epoch if anything changed.
+    /// Assigns every slot of this site to a serving gate, balances the slot counts and advances the epoch if an
+    /// assignment changed.
     ///
-    /// Slots on their way between sites are left alone.
+    /// Slots in transfer between sites are not touched.
     pub(crate) fn rebalance(&mut self) {
-        let changes = self.wanted_changes();
+        let changes = self.assignment_changes();
         if changes.is_empty() {
             return;
         }
-        let epoch = self.raise();
+        let epoch = self.advance_epoch();
         for (slot, state) in changes {
             let record = &mut self.slots[usize::from(slot.0)];
             record.state = state;
@@ -23,17 +24,17 @@
         }
     }
 
-    /// Moves on to the next epoch.
-    pub(crate) fn raise(&mut self) -> Epoch {
+    /// Advances to the next epoch and returns it.
+    pub(crate) fn advance_epoch(&mut self) -> Epoch {
         self.epoch = self.epoch.next();
         self.epoch
     }
 
-    fn wanted_changes(&self) -> BTreeMap<SlotId, SlotState> {
+    fn assignment_changes(&self) -> BTreeMap<SlotId, SlotState> {
         let mut owned = self.slots_by_serving_gate();
         let mut changes = BTreeMap::new();
         for slot in self.slots_without_serving_owner() {
-            let state = match least_loaded(&owned) {
+            let state = match gate_with_fewest_slots(&owned) {
                 Some(owner) => {
                     owned.entry(owner).or_default().push(slot);
                     SlotState::Owned { owner }
@@ -42,7 +43,7 @@
             };
             changes.insert(slot, state);
         }
-        even_out(&mut owned, &mut changes);
+        balance_slot_counts(&mut owned, &mut changes);
         changes.retain(|slot, state| self.slots[usize::from(slot.0)].state != *state);
         changes
     }
@@ -71,24 +72,25 @@
     }
 }
 
-fn least_loaded(owned: &BTreeMap<NodeId, Vec<SlotId>>) -> Option<NodeId> {
+fn gate_with_fewest_slots(owned: &BTreeMap<NodeId, Vec<SlotId>>) -> Option<NodeId> {
     owned.iter().min_by_key(|(node, slots)| (slots.len(), **node)).map(|(node, _)| *node)
 }
 
-fn most_loaded(owned: &BTreeMap<NodeId, Vec<SlotId>>) -> Option<NodeId> {
+fn gate_with_most_slots(owned: &BTreeMap<NodeId, Vec<SlotId>>) -> Option<NodeId> {
     owned.iter().max_by_key(|(node, slots)| (slots.len(), **node)).map(|(node, _)| *node)
 }
 
-// Each round moves one slot from the fullest to the emptiest gate, so no slot moves that does not have to.
-fn even_out(owned: &mut BTreeMap<NodeId, Vec<SlotId>>, changes: &mut BTreeMap<SlotId, SlotState>) {
-    while let (Some(full), Some(empty)) = (most_loaded(owned), least_loaded(owned)) {
-        if owned[&full].len() <= owned[&empty].len() + 1 {
+// Each iteration moves one slot from the gate with the most slots to the gate with the fewest, which minimizes the
+// number of moves.
+fn balance_slot_counts(owned: &mut BTreeMap<NodeId, Vec<SlotId>>, changes: &mut BTreeMap<SlotId, SlotState>) {
+    while let (Some(fullest), Some(emptiest)) = (gate_with_most_slots(owned), gate_with_fewest_slots(owned)) {
+        if owned[&fullest].len() <= owned[&emptiest].len() + 1 {
             return;
         }
-        let Some(slot) = owned.get_mut(&full).and_then(Vec::pop) else {
+        let Some(slot) = owned.get_mut(&fullest).and_then(Vec::pop) else {
             return;
         };
-        owned.entry(empty).or_default().push(slot);
-        changes.insert(slot, SlotState::Owned { owner: empty });
+        owned.entry(emptiest).or_default().push(slot);
+        changes.insert(slot, SlotState::Owned { owner: emptiest });
     }
 }
--- a/crates/control/src/state/plans.rs
+++ b/crates/control/src/state/plans.rs
@@ -1,4 +1,4 @@
-//! Confirmed plans and their progress.
+//! Confirms plans and records their progress.
 
 use quillhatch_types::PlanId;
 
@@ -6,16 +6,16 @@
 use crate::state::{PlanNote, PlanRecord, Rejection, RetryLimits, ServiceState, MAXIMUM_FINISHED_PLANS};
 
 impl ServiceState {
-    /// What a plan made now rests on.
+    /// The generation, epoch and revision that a plan made now is based on.
     pub fn basis(&self) -> PlanBasis {
         PlanBasis { generation: self.generation, epoch: self.epoch, revision: self.revision }
     }
 
-    /// Whether `plan` could be confirmed now.
+    /// Checks whether `plan` can be confirmed in the current state.
     ///
     /// # Errors
     ///
-    /// Returns why not.
+    /// Returns why the plan cannot be confirmed.
     pub fn check_confirmation(&self, plan: &Plan) -> Result<(), Rejection> {
         if self.plans.contains_key(&plan.id) {
             return Err(Rejection::AlreadyConfirmed);
@@ -25,7 +25,7 @@
             return Err(Rejection::OtherPlan { plan: active.plan.id.clone() });
         }
         let (planned, current) = (plan.draft.basis, self.basis());
-        // A cancellation rests on the plan that it stops, whose own steps change the epoch all the time.
+        // The basis of a cancellation is not compared: the steps of the plan that it cancels keep changing the epoch.
         let checked = self.mechanisms.confirm_checks_base && cancels.is_none();
         if checked && planned != current {
             return Err(Rejection::BasisChanged { planned: planned.to_string(), current: current.to_string() });
@@ -37,7 +37,7 @@
         self.check_confirmation(plan)?;
         let order = self.next_sequence;
         self.record(Some(plan.id.clone()), format!("confirmed: {}", plan.draft.intent));
-        // A cancellation is done in the act: from here on the plan that it cancels is being undone.
+        // A cancellation is done as soon as it is confirmed: the plan that it cancels is being undone from here on.
         let state = match plan.cancelled_plan() {
             Some(cancelled) => {
                 self.begin_undo(cancelled, "cancelled by an operator")?;
@@ -48,7 +48,7 @@
         let steps_done = if state == PlanState::Done { plan.draft.steps.len() as u32 } else { 0 };
         let record = PlanRecord { plan: plan.clone(), state, steps_done, begun: false, order };
         self.plans.insert(plan.id.clone(), record);
-        self.forget_old_plans();
+        self.drop_oldest_finished_plans();
         Ok(())
     }
 
@@ -65,7 +65,7 @@
     pub(crate) fn progress(&mut self, note: &PlanNote) -> Result<(), Rejection> {
         let active = self.active_plan().map(|record| record.plan.id.clone());
         let record = self.plans.get_mut(&note.plan).ok_or(Rejection::MovedOn)?;
-        if !may_follow(&record.state, note.state.as_ref(), active.is_none()) {
+        if !is_valid_transition(&record.state, note.state.as_ref(), active.is_none()) {
             return Err(Rejection::MovedOn);
         }
         record.steps_done = record.steps_done.max(note.steps_done);
@@ -84,14 +84,14 @@
             return Err(Rejection::MovedOn);
         }
         self.retries.insert(limits.class.clone(), limits.clone());
-        // Tables carry the limits to the edges, so the table must count as newer.
-        self.raise();
+        // Edges receive the limits with the routing table, so the table needs a newer epoch.
+        self.advance_epoch();
         let what = format!("retries of {}: budget {}, ratio {}", limits.class, limits.budget, limits.ratio_percent);
         self.record(Some(plan.clone()), what);
         Ok(())
     }
 
-    fn forget_old_plans(&mut self) {
+    fn drop_oldest_finished_plans(&mut self) {
         let finished = |record: &&PlanRecord| !record.state.is_active();
         while self.plans.values().filter(finished).count() > MAXIMUM_FINISHED_PLANS {
             let oldest = self.plans.values().filter(finished).min_by_key(|record| record.order);
@@ -103,8 +103,9 @@
     }
 }
 
-// A note proposed by an earlier leader may come after the plan was cancelled; it must not bring the plan back.
-fn may_follow(from: &PlanState, to: Option<&PlanState>, none_active: bool) -> bool {
+// A progress note that a former leader proposed may be applied after the plan was cancelled. It must not reactivate the
+// plan.
+fn is_valid_transition(from: &PlanState, to: Option<&PlanState>, none_active: bool) -> bool {
     match (from, to) {
         (PlanState::Running, _) => true,
         (PlanState::Undoing { .. }, Some(PlanState::Undone { .. }) | None) => true,
--- a/crates/control/src/state/transfer.rs
+++ b/crates/control/src/state/transfer.rs
@@ -1,7 +1,7 @@
-//! Slots on their way between sites, as each of the two groups agrees on it.
+//! Transfers slots between sites. Each of the two groups commits its own side of a transfer.
 //!
-//! Of the two sites at most one has a slot open: the old one seals it under an epoch, the new one opens it under a
-//! higher one, and only an agreed refusal of that very seal lets the old one open it again.
+//! A slot is open at no more than one of the two sites: the old site seals it at an epoch and the new site opens it at
+//! a higher one. The old site reopens it only after the new site's group has committed a refusal of that seal.
 
 use quillhatch_types::{Epoch, GateStatus, NodeId, PlanId, SiteName, SlotId, SlotState};
 
@@ -18,15 +18,15 @@
         slots: &[SlotId],
         destination: &SiteName,
     ) -> Result<(), Rejection> {
-        let held = |slot: &SlotId| self.slot(*slot).is_some_and(is_held);
-        let sealed: Vec<SlotId> = slots.iter().copied().filter(held).collect();
+        let assignable = |slot: &SlotId| self.slot(*slot).is_some_and(is_assignable);
+        let sealed: Vec<SlotId> = slots.iter().copied().filter(assignable).collect();
         if sealed.is_empty() || destination == self.site() {
             return Err(Rejection::MovedOn);
         }
         if plan.is_some_and(|id| !self.plans.get(id).is_some_and(|record| record.state.is_active())) {
             return Err(Rejection::MovedOn);
         }
-        let epoch = self.raise();
+        let epoch = self.advance_epoch();
         for slot in &sealed {
             let record = self.slot_mut(*slot)?;
             record.sealed_owner = match &record.state {
@@ -41,8 +41,8 @@
         Ok(())
     }
 
-    /// The record of a slot that is sealed under just this epoch.
-    fn sealed_mut(&mut self, transfer: &SlotTransfer) -> Result<&mut SlotRecord, Rejection> {
+    /// The record of a slot that is sealed at exactly the epoch of `transfer`.
+    fn sealed_slot_mut(&mut self, transfer: &SlotTransfer) -> Result<&mut SlotRecord, Rejection> {
         let record = self.slot_mut(transfer.slot)?;
         let sealed = matches!(record.state, SlotState::Sealed { .. });
         if !sealed || record.epoch != transfer.seal_epoch {
@@ -52,26 +52,27 @@
     }
 
     pub(crate) fn unseal(&mut self, transfer: &SlotTransfer) -> Result<(), Rejection> {
-        let record = self.sealed_mut(transfer)?;
+        let record = self.sealed_slot_mut(transfer)?;
         record.state = SlotState::Vacant;
-        // What is known of an earlier take-over stays: it is the proof that its seal was accepted, for the site that gave it.
+        // `import` is retained: it proves to the site that sealed the slot earlier that this site accepted that seal.
         record.sealed_owner = None;
-        self.raise();
+        self.advance_epoch();
         self.rebalance();
         self.record(None, format!("slot {} is opened here again", transfer.slot));
         Ok(())
     }
 
     pub(crate) fn complete(&mut self, transfer: &SlotTransfer) -> Result<(), Rejection> {
-        let record = self.sealed_mut(transfer)?;
+        let record = self.sealed_slot_mut(transfer)?;
         let SlotState::Sealed { destination } = record.state.clone() else {
             return Err(Rejection::MovedOn);
         };
-        // The epoch of the seal stays: it is below that of the acceptance, so the new site's table outbids this one.
+        // The record keeps the epoch of the seal. It is lower than the epoch of the acceptance, so the new site's table
+        // takes precedence.
         record.state = SlotState::Elsewhere { site: destination.clone() };
         record.sealed_owner = None;
         record.import = None;
-        self.raise();
+        self.advance_epoch();
         self.drop_previous_voters_if_settled();
         self.record(None, format!("slot {} is open at {destination}", transfer.slot));
         Ok(())
@@ -82,7 +83,7 @@
         let epoch = self.epoch.max(transfer.seal_epoch).next();
         let record = self.slot_mut(transfer.slot)?;
         let expected = match (&record.state, record.pending_import()) {
-            // A seal older than this site's own last word on the slot is a late copy of an offer long settled.
+            // A seal that is not newer than this site's record is a delayed duplicate of an earlier offer.
             (SlotState::Elsewhere { .. }, _) => transfer.seal_epoch > record.epoch,
             (SlotState::Vacant, Some(import)) => import.seal_epoch <= transfer.seal_epoch && import.owner != owner,
             _ => false,
@@ -107,8 +108,8 @@
         if let Some(import) = &mut record.import {
             import.opened = true;
         }
-        // The slot keeps the epoch under which its owner has opened it; the table gets a newer one.
-        self.raise();
+        // The slot keeps the epoch at which its owner opened it; the table gets a newer one.
+        self.advance_epoch();
         self.rebalance();
         self.record(None, format!("slot {slot} is open at {owner} under epoch {epoch}"));
         Ok(())
@@ -116,8 +117,8 @@
 
     pub(crate) fn refuse(&mut self, transfer: &SlotTransfer) -> Result<(), Rejection> {
         let record = self.slot_mut(transfer.slot)?;
-        let taken = record.import.as_ref().is_some_and(|import| import.seal_epoch >= transfer.seal_epoch);
-        if taken || record.refused_seal >= transfer.seal_epoch {
+        let accepted = record.import.as_ref().is_some_and(|import| import.seal_epoch >= transfer.seal_epoch);
+        if accepted || record.refused_seal >= transfer.seal_epoch {
             return Err(Rejection::MovedOn);
         }
         record.refused_seal = transfer.seal_epoch;
@@ -125,8 +126,8 @@
     }
 }
 
-/// Whether the slot is this site's and not on its way.
-fn is_held(record: &SlotRecord) -> bool {
+/// Whether the slot belongs to this site and is not in transfer.
+fn is_assignable(record: &SlotRecord) -> bool {
     match &record.state {
         SlotState::Owned { .. } => true,
         SlotState::Vacant => record.pending_import().is_none(),
