--- a/crates/control/src/state/command.rs
+++ b/crates/control/src/state/command.rs
@@ -1,4 +1,4 @@
-//! The commands that a group agrees on.
+//! The commands that a group commits to its replicated log.
 
 use quillhatch_messages::generated::control as wire;
 use quillhatch_messages::generated::control::mod_Command::OneOfbody as Body;
@@ -14,7 +14,7 @@
 use crate::operator::{Plan, PlanState};
 use crate::state::RetryLimits;
 
-/// A slot on its way between sites, as a command speaks of it.
+/// Identifies the transfer of a slot between sites by the slot and the epoch of its seal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotTransfer {
     /// The slot.
@@ -23,23 +23,23 @@
     pub seal_epoch: Epoch,
 }
 
-/// Who has a slot when a group is founded.
+/// The site that owns a slot when a group is founded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotHome {
     /// The owning site.
     pub site: SiteName,
-    /// Offers of the slot with a seal up to this epoch come from before the founding and are void.
+    /// Offers of the slot whose seal epoch is at most this one predate the founding and are invalid.
     pub floor: Epoch,
 }
 
-/// What happened to a plan.
+/// A progress update of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanNote {
     /// The plan.
     pub plan: PlanId,
-    /// Its new state, if it changes.
+    /// The new state of the plan, if it changes.
     pub state: Option<PlanState>,
-    /// Steps done.
+    /// The number of completed steps.
     pub steps_done: u32,
     /// Whether the first step has begun.
     pub begun: bool,
@@ -47,25 +47,25 @@
     pub note: String,
 }
 
-/// A command; see [`ServiceState::apply`](crate::state::ServiceState::apply) for what each does.
+/// A change of the replicated state, applied by [`ServiceState::apply`](crate::state::ServiceState::apply).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// The first command: who has which slot.
+    /// Founds the group and sets the owning site of each slot; always the first command.
     Found {
         /// The generation of the group.
         generation: Generation,
         /// The first epoch.
         epoch: Epoch,
-        /// Whether claims were lost.
+        /// Whether claims were lost before the founding.
         claims_lost: bool,
         /// The owning site by slot.
         homes: Vec<SlotHome>,
     },
-    /// A gate joins or changes.
+    /// Adds or updates a gate.
     SetGate(GateEntry),
-    /// A gate is gone.
+    /// Removes a gate.
     RemoveGate(NodeId),
-    /// The group's voters have changed.
+    /// Replaces the group's voters.
     SetVoters(Vec<NodeId>),
     /// An owner has recorded its claims on a majority of the voters.
     Settled {
@@ -74,59 +74,60 @@
         /// The epoch of the table with these voters.
         epoch: Epoch,
     },
-    /// Nobody runs these slots: their claims go to another site.
+    /// Closes slots at this site, so that their claims can be moved to another site.
     Seal {
-        /// The plan that wants it, if it is one of this group.
+        /// The plan that moves the slots, if it is a plan of this group.
         plan: Option<PlanId>,
         /// The slots.
         slots: Vec<SlotId>,
-        /// The site that shall take them.
+        /// The site that the slots move to.
         destination: SiteName,
     },
-    /// The other site has agreed not to accept the slot: open it here again.
+    /// Reopens a sealed slot after the group of the other site has committed a refusal to accept it.
     Unseal(SlotTransfer),
-    /// The other site has opened the slot.
+    /// Completes a transfer after the other site has opened the slot.
     Complete(SlotTransfer),
-    /// This site takes a slot over.
+    /// Accepts a slot that another site has sealed.
     Accept {
         /// The slot and its seal.
         transfer: SlotTransfer,
-        /// The site that sealed it.
+        /// The site that sealed the slot.
         from: SiteName,
-        /// The gate that shall open it.
+        /// The gate that will open the slot.
         owner: NodeId,
     },
     /// The gate has recorded the claims and opened the slot.
     Open {
         /// The slot.
         slot: SlotId,
-        /// Under this epoch.
+        /// The epoch at which the gate opened it.
         epoch: Epoch,
         /// The gate.
         owner: NodeId,
     },
-    /// This site will never accept the offer.
+    /// Refuses the offer of a slot permanently.
     Refuse(SlotTransfer),
-    /// A plan is confirmed.
+    /// Confirms a plan.
     Confirm(Box<Plan>),
-    /// A plan has made progress.
+    /// Records the progress of a plan.
     Progress(PlanNote),
-    /// Retry limits that a plan wants.
+    /// Sets the retry limits of a class.
     SetRetries {
         /// The plan.
         plan: PlanId,
         /// The limits.
         limits: RetryLimits,
     },
-    /// An operator takes the risk that a key used before the loss runs twice; or the retention has passed.
+    /// Accepts the loss of claims: an operator accepts the risk that a key used before the loss runs twice, or the
+    /// retention time of the lost claims has passed.
     AcceptLoss,
-    /// The configuration revision that the group goes by.
+    /// Sets the configuration revision that the group applies.
     SetRevision(Revision),
-    /// A target is retired, or is not any more.
+    /// Retires a target or reverses its retirement.
     SetRetired {
         /// The peer address of the target's node.
         target: NodeAddress,
-        /// Whether it is.
+        /// Whether the target is retired.
         retired: bool,
     },
 }
@@ -171,10 +172,10 @@
                 ..Default::default()
             }),
             Command::Refuse(transfer) => Body::refuse(transfer_to_wire(transfer)),
-            Command::Confirm(plan) => Body::confirm(wire::PlanRecord { plan: document(plan), ..Default::default() }),
+            Command::Confirm(plan) => Body::confirm(wire::PlanRecord { plan: to_json(plan), ..Default::default() }),
             Command::Progress(note) => Body::progress(wire::PlanNote {
                 plan: note.plan.to_string(),
-                state: note.state.as_ref().map(document).unwrap_or_default(),
+                state: note.state.as_ref().map(to_json).unwrap_or_default(),
                 steps_done: note.steps_done,
                 note: note.note.clone(),
                 begun: note.begun,
@@ -194,7 +195,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the bytes.
+    /// Returns why the bytes are not a valid command.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let command: wire::Command = decode(bytes)?;
         Ok(match &command.body {
@@ -244,7 +245,7 @@
     }
 }
 
-fn document<T: serde::Serialize>(value: &T) -> Vec<u8> {
+fn to_json<T: serde::Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
 
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated state of a service's group at one site.
 //!
-//! Every member applies the same [`Command`]s in the same order and so has the same state. A command that no longer
-//! fits the state is rejected without any change, which makes a command that was proposed twice, or late, harmless.
+//! Every member applies the same [`Command`]s in the same order and so computes the same state. A command that no
+//! longer fits the state is rejected and changes nothing, so a duplicate or late proposal is safe.
 
 mod apply;
 mod assign;
@@ -25,53 +25,53 @@
 
 pub use command::{Command, PlanNote, SlotHome, SlotTransfer};
 
-/// Finished plans that are remembered for `explain`.
+/// The number of finished plans retained for `explain`.
 pub const MAXIMUM_FINISHED_PLANS: usize = 32;
 
-/// Entries of the history that are remembered for `explain`.
+/// The number of history entries retained for `explain`.
 pub const MAXIMUM_HISTORY: usize = 512;
 
-/// Retry limits of a class that a plan has set.
+/// The retry limits that a plan set for a class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryLimits {
     /// The class.
     pub class: ClassName,
-    /// Retry tokens that the first edge gives a root call.
+    /// The number of retry tokens that the first edge assigns to a root call.
     pub budget: u16,
-    /// The largest share of retries in first tries, in percent.
+    /// The maximum ratio of retries to first attempts, in percent.
     pub ratio_percent: u8,
 }
 
-/// A slot that is being taken over from another site.
+/// The transfer of a slot from another site to this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotImport {
-    /// The site that sealed it.
+    /// The site that sealed the slot.
     pub from: SiteName,
     /// The epoch of the seal.
     pub seal_epoch: Epoch,
     /// The gate that records the claims and opens the slot.
     pub owner: NodeId,
-    /// Whether it has opened the slot.
+    /// Whether `owner` has opened the slot.
     pub opened: bool,
 }
 
-/// One slot.
+/// The state of one slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRecord {
-    /// The epoch at which the state was set.
+    /// The epoch of the latest change to `state`.
     pub epoch: Epoch,
-    /// Who has the slot.
+    /// Whether the slot is owned, vacant, sealed or at another site.
     pub state: SlotState,
-    /// The owner at the moment of the seal.
+    /// The gate that owned the slot when it was sealed.
     pub sealed_owner: Option<NodeId>,
-    /// The latest take-over from another site.
+    /// The latest transfer from another site.
     pub import: Option<SlotImport>,
-    /// Offers with a seal up to this epoch will never be accepted.
+    /// Offers whose seal epoch is at most this one are never accepted.
     pub refused_seal: Epoch,
 }
 
 impl SlotRecord {
-    /// The take-over that is not finished yet, if there is one.
+    /// The transfer from another site that is accepted but not yet opened, if there is one.
     pub fn pending_import(&self) -> Option<&SlotImport> {
         self.import.as_ref().filter(|import| !import.opened && self.state == SlotState::Vacant)
     }
@@ -82,18 +82,18 @@
 pub struct PlanRecord {
     /// The plan.
     pub plan: Plan,
-    /// What became of it.
+    /// The current state of the plan.
     pub state: PlanState,
-    /// Steps done.
+    /// The number of completed steps.
     pub steps_done: u32,
     /// Whether the first step has begun.
     pub begun: bool,
-    /// Its place in the history.
+    /// The sequence number of its confirmation in the history; the oldest finished plans are dropped first.
     pub order: u64,
 }
 
 impl PlanRecord {
-    /// The line in the list of plans.
+    /// The plan's entry in the list of plans.
     pub fn summary(&self) -> PlanSummary {
         let draft = &self.plan.draft;
         PlanSummary {
@@ -112,43 +112,43 @@
 /// One entry of the history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HistoryRecord {
-    /// Its place.
+    /// The sequence number of the entry.
     pub sequence: u64,
-    /// The plan, if it was one.
+    /// The plan that the entry belongs to, if any.
     pub plan: Option<PlanId>,
     /// What happened and why.
     pub what: String,
 }
 
-/// Why a command changed nothing.
+/// Why a command was rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Rejection {
-    /// The state is not founded yet, or is founded already.
+    /// The group is not founded yet, or is already founded.
     #[display("the group's state is not in the right phase")]
     Phase,
-    /// What the command speaks of is not there, or has moved on.
+    /// The subject of the command does not exist, or its state has changed since the command was proposed.
     #[display("the state has moved on")]
     MovedOn,
-    /// The plan rests on something that has changed.
+    /// The state has changed since the plan was made.
     #[display("the plan rests on {planned}, but now there is {current}")]
     BasisChanged {
-        /// What the plan rests on.
+        /// The generation, epoch and revision that the plan was made for.
         planned: String,
-        /// What there is.
+        /// The current generation, epoch and revision.
         current: String,
     },
-    /// Another plan of the service is at work.
+    /// Another plan of the service is active.
     #[display("plan {plan} of the same service is at work")]
     OtherPlan {
-        /// That plan.
+        /// The active plan.
         plan: PlanId,
     },
-    /// The plan was confirmed before.
+    /// The plan is already confirmed.
     #[display("the plan was confirmed before")]
     AlreadyConfirmed,
 }
 
-/// The replicated state; see the module.
+/// The replicated state of one service's group at one site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceState {
     service: ServiceName,
@@ -206,12 +206,12 @@
         &self.site
     }
 
-    /// The highest epoch; rises with every change of the table.
+    /// The current epoch, which increases with every change of the routing table.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Whether the first command was applied.
+    /// Whether [`Command::Found`] has been applied.
     pub fn is_founded(&self) -> bool {
         !self.slots.is_empty()
     }
@@ -221,12 +221,12 @@
         self.slots.get(usize::from(slot.0))
     }
 
-    /// All slots with their numbers.
+    /// All slots with their ids.
     pub fn numbered_slots(&self) -> impl Iterator<Item = (SlotId, &SlotRecord)> {
         self.slots.iter().enumerate().map(|(number, record)| (SlotId(number as u16), record))
     }
 
-    /// The plan that is at work, if there is one.
+    /// The plan that is running or being undone, if there is one.
     pub fn active_plan(&self) -> Option<&PlanRecord> {
         self.plans.values().find(|record| record.state.is_active())
     }
@@ -236,12 +236,12 @@
         self.plans.get(id)
     }
 
-    /// Gates that take calls.
+    /// The gates that accept calls.
     pub fn serving_gates(&self) -> impl Iterator<Item = &GateEntry> {
         self.gates.values().filter(|gate| gate.status == GateStatus::Serving)
     }
 
-    /// The gate of this very run, if it is in the table.
+    /// The gate at the address of `node`, if the table lists it with the same incarnation.
     pub fn gate(&self, node: NodeId) -> Option<&GateEntry> {
         self.gates.get(&node.address).filter(|gate| gate.node == node)
     }
@@ -251,7 +251,7 @@
         self.slots.iter().any(|record| record.state == SlotState::Owned { owner: node })
     }
 
-    /// The routing table that the state stands for.
+    /// Builds the routing table from the state.
     pub fn table(&self) -> ServiceTable {
         ServiceTable {
             service: self.service.clone(),
