--- a/crates/control/src/state/snapshot.rs
+++ b/crates/control/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state as bytes, for members that join later.
+//! Encodes the state as a snapshot for members that join later.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +16,10 @@
 use crate::operator::Plan;
 use crate::state::{HistoryRecord, PlanRecord, ServiceState, SlotImport, SlotRecord};
 
-type Decoded<T> = Result<T, DecodeError>;
+type DecodeResult<T> = Result<T, DecodeError>;
 
 impl ServiceState {
-    /// Encodes the state.
+    /// Encodes the state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         let settled =
             |(owner, epoch): (&NodeId, &Epoch)| wire::Settled { owner: Some(run_to_wire(*owner)), epoch: epoch.0 };
@@ -43,12 +43,17 @@
         encode(&state)
     }
 
-    /// Decodes a state.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the bytes.
-    pub fn decode(bytes: &[u8], service: ServiceName, site: SiteName, mechanisms: ControlMechanisms) -> Decoded<Self> {
+    /// Returns why the bytes are not a valid snapshot.
+    pub fn decode(
+        bytes: &[u8],
+        service: ServiceName,
+        site: SiteName,
+        mechanisms: ControlMechanisms,
+    ) -> DecodeResult<Self> {
         let state: wire::State = decode(bytes)?;
         let mut decoded = ServiceState::new(service, site, mechanisms);
         decoded.generation = Generation(state.generation);
@@ -60,19 +65,19 @@
             let gate = gate_from_wire(gate)?;
             decoded.gates.insert(gate.node.address, gate);
         }
-        decoded.slots = state.slots.iter().enumerate().map(slot_from_wire).collect::<Decoded<_>>()?;
+        decoded.slots = state.slots.iter().enumerate().map(slot_from_wire).collect::<DecodeResult<_>>()?;
         decoded.voters = runs_from_wire(&state.voters)?;
         decoded.previous_voters = runs_from_wire(&state.previous_voters)?;
         for settled in &state.settled {
             decoded.settled.insert(required_run(&settled.owner)?, Epoch(settled.epoch));
         }
-        decoded.retired = state.retired.iter().map(|text| address_from_wire(text)).collect::<Decoded<_>>()?;
+        decoded.retired = state.retired.iter().map(|text| address_from_wire(text)).collect::<DecodeResult<_>>()?;
         decoded.plans = plans_from_wire(&state.plans)?;
         for limits in &state.retries {
             let limits = limits_from_wire(limits)?;
             decoded.retries.insert(limits.class.clone(), limits);
         }
-        decoded.history = state.history.iter().map(history_from_wire).collect::<Decoded<_>>()?;
+        decoded.history = state.history.iter().map(history_from_wire).collect::<DecodeResult<_>>()?;
         decoded.next_sequence = state.next_sequence;
         Ok(decoded)
     }
@@ -94,7 +99,7 @@
     wire::SlotRecord { slot: Some(encoded), import, refused_seal: record.refused_seal.0 }
 }
 
-fn slot_from_wire((number, record): (usize, &wire::SlotRecord)) -> Decoded<SlotRecord> {
+fn slot_from_wire((number, record): (usize, &wire::SlotRecord)) -> DecodeResult<SlotRecord> {
     let slot = record.slot.clone().unwrap_or_default();
     let assignment = assignment_from_wire(number, &slot)?;
     let sealed_owner = match slot.kind {
@@ -106,7 +111,7 @@
     Ok(SlotRecord { epoch: assignment.epoch, state: assignment.state, sealed_owner, import, refused_seal })
 }
 
-fn import_from_wire(import: &wire::SlotTransfer) -> Decoded<SlotImport> {
+fn import_from_wire(import: &wire::SlotTransfer) -> DecodeResult<SlotImport> {
     Ok(SlotImport {
         from: SiteName::new(&import.from)?,
         seal_epoch: Epoch(import.seal_epoch),
@@ -125,7 +130,7 @@
     }
 }
 
-fn plans_from_wire(plans: &[wire::PlanRecord]) -> Decoded<BTreeMap<PlanId, PlanRecord>> {
+fn plans_from_wire(plans: &[wire::PlanRecord]) -> DecodeResult<BTreeMap<PlanId, PlanRecord>> {
     let decode_one = |record: &wire::PlanRecord| {
         let plan: Plan = serde_json::from_slice(&record.plan)?;
         let state = serde_json::from_slice(&record.state)?;
@@ -140,7 +145,7 @@
     wire::HistoryRecord { sequence: entry.sequence, plan: optional_plan_to_wire(&entry.plan), what: entry.what.clone() }
 }
 
-fn history_from_wire(entry: &wire::HistoryRecord) -> Decoded<HistoryRecord> {
+fn history_from_wire(entry: &wire::HistoryRecord) -> DecodeResult<HistoryRecord> {
     Ok(HistoryRecord {
         sequence: entry.sequence,
         plan: optional_plan_from_wire(&entry.plan)?,
