--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -1,4 +1,5 @@
-//! Random commands leave the state sound, the same on every member, and whole through a snapshot.
+//! Tests that random commands keep the state's invariants, give every member the same state, and that a snapshot
+//! restores it unchanged.
 
 use std::collections::BTreeMap;
 
@@ -32,7 +33,7 @@
     GateEntry { node: node(number), zone: ZoneName::new("a").unwrap(), status, connections: 10 }
 }
 
-fn founded() -> ServiceState {
+fn founded_state() -> ServiceState {
     let service = ServiceName::new("giving").unwrap();
     let mut state = ServiceState::new(service, site("here"), ControlMechanisms::default());
     let home = |slot: u16| SlotHome { site: site(if slot < 8 { "here" } else { "there" }), floor: Epoch(2) };
@@ -69,7 +70,7 @@
     ]
 }
 
-fn owned_by(state: &ServiceState) -> BTreeMap<NodeId, usize> {
+fn slot_counts_by_gate(state: &ServiceState) -> BTreeMap<NodeId, usize> {
     let mut counts: BTreeMap<NodeId, usize> = state.serving_gates().map(|gate| (gate.node, 0)).collect();
     for (_, record) in state.numbered_slots() {
         if let SlotState::Owned { owner } = &record.state {
@@ -79,22 +80,22 @@
     counts
 }
 
-fn check(before: &ServiceState, after: &ServiceState, changed: bool) {
+fn check_invariants(before: &ServiceState, after: &ServiceState, changed: bool) {
     assert!(after.epoch() >= before.epoch());
     if !changed {
         assert_eq!(before, after, "a rejected command changes nothing");
     }
-    let counts = owned_by(after);
+    let counts = slot_counts_by_gate(after);
     let spread = counts.values().max().unwrap_or(&0) - counts.values().min().unwrap_or(&0);
     assert!(spread <= 1, "owners are balanced: {counts:?}");
     for ((slot, old), (_, new)) in before.numbered_slots().zip(after.numbered_slots()) {
         let moved = old.state != new.state;
-        let came_in = matches!(new.state, SlotState::Owned { .. }) && moved;
-        assert!(new.epoch >= old.epoch, "slot {slot}: its epoch never falls");
-        if came_in && old.pending_import().is_none() {
+        let gained_owner = matches!(new.state, SlotState::Owned { .. }) && moved;
+        assert!(new.epoch >= old.epoch, "slot {slot}: its epoch never decreases");
+        if gained_owner && old.pending_import().is_none() {
             assert!(new.epoch > old.epoch, "slot {slot}: a new owner has a new epoch");
         }
-        assert!(new.refused_seal >= old.refused_seal, "slot {slot}: a refusal stands for ever");
+        assert!(new.refused_seal >= old.refused_seal, "slot {slot}: a refusal is permanent");
     }
     if after.table() != before.table() {
         assert!(after.epoch() > before.epoch(), "a changed table has a higher epoch");
@@ -105,13 +106,13 @@
     #![proptest_config(config())]
 
     #[test]
-    fn random_commands_leave_the_state_sound(commands in prop::collection::vec(commands(), 1..60)) {
-        let mut state = founded();
-        let mut follower = founded();
+    fn random_commands_keep_the_invariants(commands in prop::collection::vec(commands(), 1..60)) {
+        let mut state = founded_state();
+        let mut follower = founded_state();
         for command in commands {
             let before = state.clone();
             let changed = state.apply(&command).is_ok();
-            check(&before, &state, changed);
+            check_invariants(&before, &state, changed);
             let decoded = Command::decode(&command.encode()).unwrap();
             prop_assert_eq!(&decoded, &command);
             let _ = follower.apply(&decoded);
@@ -124,8 +125,8 @@
     }
 
     #[test]
-    fn damaged_commands_and_snapshots_are_errors_and_not_crashes(cut in 0..400usize, at in 0..400usize, byte: u8) {
-        let mut bytes = founded().encode();
+    fn corrupt_commands_and_snapshots_do_not_panic(cut in 0..400usize, at in 0..400usize, byte: u8) {
+        let mut bytes = founded_state().encode();
         let position = at % bytes.len();
         bytes[position] ^= byte;
         bytes.truncate(bytes.len().saturating_sub(cut % 50));
@@ -136,27 +137,27 @@
 }
 
 #[test]
-fn a_join_moves_no_more_slots_than_balance_needs() {
-    let mut state = founded();
+fn a_joining_gate_causes_a_minimal_number_of_slot_moves() {
+    let mut state = founded_state();
     for number in 1..4 {
         state.apply(&Command::SetGate(gate(number, GateStatus::Serving))).unwrap();
     }
     let before = state.table();
     state.apply(&Command::SetGate(gate(4, GateStatus::Serving))).unwrap();
     let changed = before.slots.iter().zip(&state.table().slots).filter(|(old, new)| old.state != new.state).count();
-    assert_eq!(changed, 2, "eight slots over four gates: the newcomer gets two, and no other slot moves");
+    assert_eq!(changed, 2, "eight slots over four gates: the new gate gets two, and no other slot moves");
 }
 
 #[test]
-fn a_late_copy_of_an_earlier_offer_is_not_accepted() {
-    let mut state = founded();
+fn a_delayed_duplicate_of_an_offer_is_not_accepted() {
+    let mut state = founded_state();
     state.apply(&Command::SetGate(gate(1, GateStatus::Serving))).unwrap();
     let accept = |seal| Command::Accept {
         transfer: SlotTransfer { slot: SlotId(9), seal_epoch: Epoch(seal) },
         from: site("there"),
         owner: node(1),
     };
-    assert!(state.apply(&accept(2)).is_err(), "from before the founding");
+    assert!(state.apply(&accept(2)).is_err(), "the seal predates the founding");
     state.apply(&accept(30)).unwrap();
     let epoch = state.slot(SlotId(9)).unwrap().epoch;
     assert!(epoch > Epoch(30));
@@ -165,14 +166,15 @@
     state.apply(&seal).unwrap();
     let seal_epoch = state.slot(SlotId(9)).unwrap().epoch;
     state.apply(&Command::Complete(SlotTransfer { slot: SlotId(9), seal_epoch })).unwrap();
-    assert!(state.apply(&accept(30)).is_err(), "the slot has been here and gone back since");
+    assert!(state.apply(&accept(30)).is_err(), "the slot was opened at this site and has returned since");
     state.apply(&accept(seal_epoch.0 + 1)).unwrap();
 }
 
-/// Found by the model `slot-move-again`: both sites would have owned the slot.
+/// Found by the model `slot-move-again`: if unsealing a slot dropped the record of its earlier transfer, this site
+/// would refuse a seal that it had accepted, and both sites would own the slot.
 #[test]
-fn a_slot_sealed_back_and_reopened_still_proves_that_it_was_taken_over() {
-    let mut state = founded();
+fn a_slot_unsealed_after_an_import_keeps_the_record_of_the_import() {
+    let mut state = founded_state();
     state.apply(&Command::SetGate(gate(1, GateStatus::Serving))).unwrap();
     let slot = SlotId(SLOTS - 1);
     let taken = SlotTransfer { slot, seal_epoch: Epoch(20) };
@@ -182,5 +184,5 @@
     state.apply(&Command::Seal { plan: None, slots: vec![slot], destination: site("there") }).unwrap();
     let seal_epoch = state.slot(slot).unwrap().epoch;
     state.apply(&Command::Unseal(SlotTransfer { slot, seal_epoch })).unwrap();
-    assert!(state.apply(&Command::Refuse(taken)).is_err(), "the other site would open the slot as well");
+    assert!(state.apply(&Command::Refuse(taken)).is_err(), "with a refusal the other site would open the slot as well");
 }
