--- a/crates/model/src/slot_move/agreed.rs
+++ b/crates/model/src/slot_move/agreed.rs
@@ -1,4 +1,4 @@
-//! The agreed states of the two groups, by number, and what each command makes of them.
+//! The agreed (committed) states of the two sites' groups, interned, and the result of each command on them.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -14,14 +14,14 @@
 
 use crate::intern::{InternedId, Interner};
 
-/// Gates of each site.
-const GATES: u8 = 2;
-/// The slot that moves; the groups have no other.
+/// The number of gates at each site.
+const GATES_PER_SITE: u8 = 2;
+/// The slot that moves, the only one of the service.
 const SLOT: SlotId = SlotId(0);
 const FIRST_EPOCH: Epoch = Epoch(1);
 const SITES: [&str; 2] = ["one", "two"];
 
-/// A command about the slot.
+/// A command that a group agrees on for the slot.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum SlotCommand {
     #[display("seal")]
@@ -38,7 +38,7 @@
     Refuse(Epoch),
 }
 
-/// An agreed state. The history, which nothing is decided by, is no part of its identity.
+/// An agreed state. Equality ignores the history, on which no decision depends.
 #[derive(Debug)]
 struct Agreed(ServiceState);
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// The states that came up so far, and steps that were computed before.
+/// The states reached so far and the cached results of commands.
 #[derive(Default)]
 pub(super) struct AgreedStates {
     states: Interner<Agreed>,
@@ -72,30 +72,30 @@
 }
 
 impl AgreedStates {
-    /// The state of a site's group after its founding, with its gates; the slot is the first site's.
-    pub fn found(&mut self, site: usize, mechanisms: ControlMechanisms) -> InternedId {
+    /// Returns the state of a site's group after its founding, with its gates. The first site owns the slot.
+    pub fn founded_state(&mut self, site: usize, mechanisms: ControlMechanisms) -> InternedId {
         let service = ServiceName::new("service").expect("a valid name");
         let mut state = ServiceState::new(service, site_name(site), mechanisms);
         let homes = vec![SlotHome { site: site_name(0), floor: Epoch(0) }];
         let found = Command::Found { generation: Generation(1), epoch: FIRST_EPOCH, claims_lost: false, homes };
         let zone = ZoneName::new("zone").expect("a valid name");
         let entry = |number| GateEntry {
-            node: gate(site, number),
+            node: gate_node(site, number),
             zone: zone.clone(),
             status: GateStatus::Serving,
             connections: 1,
         };
-        let gates = (0..GATES).map(|number| Command::SetGate(entry(number)));
+        let gates = (0..GATES_PER_SITE).map(|number| Command::SetGate(entry(number)));
         for command in std::iter::once(found).chain(gates) {
             state.apply(&command).expect("a new state takes its first commands");
         }
         self.states.id(Agreed(state))
     }
 
-    /// What the real state machine makes of a command, unless it rejects it.
+    /// Applies a command to the real state machine; returns the new state, or `None` if the command is rejected.
     pub fn apply(&mut self, before: InternedId, command: SlotCommand) -> Option<InternedId> {
-        if let Some(known) = self.applied.get(&(before, command)) {
-            return *known;
+        if let Some(cached) = self.applied.get(&(before, command)) {
+            return *cached;
         }
         let mut state = self.states.value(before).0.clone();
         let site = usize::from(*state.site() == site_name(1));
@@ -105,25 +105,25 @@
         after
     }
 
-    /// The record of the slot.
+    /// Returns the record of the slot.
     pub fn record(&self, state: InternedId) -> SlotRecord {
-        self.view(state).0.slot(SLOT).expect("a founded state has its slots").clone()
+        self.state(state).0.slot(SLOT).expect("a founded state has its slots").clone()
     }
 
-    /// Whether the group's table names an owner of the slot.
-    pub fn names_owner(&self, state: InternedId) -> bool {
-        let table = self.view(state).0.table();
+    /// Whether the group's table contains an owner of the slot.
+    pub fn has_owner(&self, state: InternedId) -> bool {
+        let table = self.state(state).0.table();
         table.slots.iter().any(|assignment| matches!(assignment.state, SlotState::Owned { .. }))
     }
 
-    /// The command that gives a take-over under way to the site's other gate, since the first seems to be gone.
+    /// Returns the command that reassigns a pending import to the site's other gate, as if the first had failed.
     pub fn reassignment(&self, state: InternedId) -> Option<SlotCommand> {
         let record = self.record(state);
         let import = record.pending_import()?;
-        Some(SlotCommand::Accept { seal: import.seal_epoch, gate: GATES - 1 - gate_number(import.owner) })
+        Some(SlotCommand::Accept { seal: import.seal_epoch, gate: GATES_PER_SITE - 1 - gate_number(import.owner) })
     }
 
-    fn view(&self, state: InternedId) -> Rc<Agreed> {
+    fn state(&self, state: InternedId) -> Rc<Agreed> {
         self.states.value(state)
     }
 }
@@ -132,12 +132,12 @@
     SiteName::new(SITES[site]).expect("a valid name")
 }
 
-fn gate(site: usize, number: u8) -> NodeId {
+fn gate_node(site: usize, number: u8) -> NodeId {
     let address = NodeAddress(std::net::SocketAddr::from(([10, 0, site as u8, number], 7000)));
     NodeId { address, incarnation: Incarnation(1) }
 }
 
-/// The number of a gate at its site.
+/// Returns the number of a gate at its site.
 pub(super) fn gate_number(gate: NodeId) -> u8 {
     match gate.address.0.ip() {
         std::net::IpAddr::V4(address) => address.octets()[3],
@@ -146,16 +146,18 @@
 }
 
 fn real_command(site: usize, command: SlotCommand) -> Command {
-    let other = site_name(1 - site);
+    let other_site = site_name(1 - site);
     let transfer = |seal_epoch| SlotTransfer { slot: SLOT, seal_epoch };
     match command {
-        SlotCommand::Seal => Command::Seal { plan: None, slots: vec![SLOT], destination: other },
+        SlotCommand::Seal => Command::Seal { plan: None, slots: vec![SLOT], destination: other_site },
         SlotCommand::Unseal(seal) => Command::Unseal(transfer(seal)),
         SlotCommand::Complete(seal) => Command::Complete(transfer(seal)),
         SlotCommand::Accept { seal, gate: number } => {
-            Command::Accept { transfer: transfer(seal), from: other, owner: gate(site, number) }
+            Command::Accept { transfer: transfer(seal), from: other_site, owner: gate_node(site, number) }
+        }
+        SlotCommand::Open { epoch, gate: number } => {
+            Command::Open { slot: SLOT, epoch, owner: gate_node(site, number) }
         }
-        SlotCommand::Open { epoch, gate: number } => Command::Open { slot: SLOT, epoch, owner: gate(site, number) },
         SlotCommand::Refuse(seal) => Command::Refuse(transfer(seal)),
     }
 }
--- a/crates/model/src/slot_move/checks.rs
+++ b/crates/model/src/slot_move/checks.rs
@@ -1,23 +1,23 @@
-//! The checks of a move that a mutation can take out.
+//! The checks of a slot move, each of which a mutation can disable.
 
 use quillhatch_control::ControlMechanisms;
 
-/// Which checks are in force. The first three are switches of the product, named alike.
+/// The enabled checks. The first three have the names of mechanisms of the control crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Checks {
-    /// A slot has no owner while it is on its way.
+    /// A slot has no owner while it moves.
     pub seal_before_move: bool,
-    /// A sealed slot is opened again only with the other site's word that it will never accept it.
+    /// A sealed slot is reopened only after the other site has confirmed that it will never accept the slot.
     pub unseal_needs_proof: bool,
     /// A slot opens at the new site only after a gate there has recorded the claims.
     pub import_before_open: bool,
-    /// The new site says that it refuses only after its group has agreed on that.
+    /// The new site answers that it refuses only after its group has agreed to refuse.
     pub refusal_is_agreed: bool,
-    /// The new site says that it has accepted only after the slot is open there.
+    /// The new site answers that it has accepted only after the slot is open there.
     pub accepted_when_open: bool,
-    /// The old site offers again what it wanted to withdraw, once the new site has agreed to take it.
+    /// The old site resumes the offer of a withdrawn slot once the new site has agreed to import it.
     pub withdrawal_yields: bool,
-    /// An answer counts only for the seal that it names.
+    /// An answer counts only for the seal epoch that it names.
     pub answer_names_seal: bool,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Checks {
-    /// All checks but the one called `name`.
+    /// Returns all checks except the one called `name`.
     pub fn without(name: &str) -> Self {
         match name {
             "seal_before_move" => Checks { seal_before_move: false, ..ALL },
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The switches of the real state machine.
+    /// Returns the mechanisms of the real state machine.
     pub fn mechanisms(self) -> ControlMechanisms {
         ControlMechanisms { seal_before_move: self.seal_before_move, ..ControlMechanisms::default() }
     }
--- a/crates/model/src/slot_move/leader.rs
+++ b/crates/model/src/slot_move/leader.rs
@@ -1,5 +1,5 @@
-//! The duties of a site's leader, rule by rule as `host/exports.rs` and `host/imports.rs` of the control crate have
-//! them.
+//! Specifies what a site's leader does in a slot move, by the rules of `host/exports.rs` and `host/imports.rs` of the
+//! control crate.
 
 use quillhatch_control::state::SlotRecord;
 use quillhatch_types::{Epoch, SlotState};
@@ -8,7 +8,7 @@
 use super::checks::Checks;
 use super::site::{Export, Message, Outcome, Site};
 
-/// A leader with the agreed record that it goes by.
+/// A leader with the agreed record of the slot, on which it acts.
 pub(super) struct Leader<'a> {
     pub checks: Checks,
     pub record: SlotRecord,
@@ -16,12 +16,13 @@
 }
 
 impl Leader<'_> {
-    /// The epoch of the seal, if the slot is sealed here.
+    /// Returns the epoch of the seal if the slot is sealed at this site.
     pub fn seal(&self) -> Option<Epoch> {
         matches!(self.record.state, SlotState::Sealed { .. }).then_some(self.record.epoch)
     }
 
-    /// Drops what the agreed state has left behind: `send_exports` and `forget_finished_imports`.
+    /// Removes exports and imports that the agreed state has completed; mirrors `send_exports` and
+    /// `forget_finished_imports`.
     pub fn forget_finished(&mut self) {
         match self.seal() {
             Some(seal) if self.site.export.seal != seal => self.site.export = Export { seal, ..Export::default() },
@@ -41,7 +42,7 @@
         }
     }
 
-    /// What goes to the other site: `send_export`.
+    /// Returns the message to the other site; mirrors `send_export`.
     pub fn message(&self) -> Option<Message> {
         let (seal, export) = (self.seal()?, self.site.export);
         if export.outcome.is_some() {
@@ -53,7 +54,7 @@
         export.collected.then_some(Message::Offer(seal))
     }
 
-    /// Takes in a message and answers it.
+    /// Handles a message and returns the answer, if any.
     pub fn receive(&mut self, message: Message) -> Option<Message> {
         match message {
             Message::Offer(seal) => Some(self.on_offer(seal)),
@@ -107,14 +108,14 @@
         }
         match outcome {
             Outcome::Held => export.must_complete |= export.withdrawn && self.checks.withdrawal_yields,
-            decided => export.outcome = Some(decided),
+            settled => export.outcome = Some(settled),
         }
     }
 
-    /// The commands that the leader may ask its group for: `export_command` and `import_command`.
+    /// Returns the commands that the leader may propose to its group; mirrors `export_command` and `import_command`.
     pub fn commands(&self) -> Vec<SlotCommand> {
-        let sealed = self.export_command().into_iter();
-        sealed.chain(self.open_command()).chain(self.refuse_commands()).chain(self.accept_command()).collect()
+        let export = self.export_command().into_iter();
+        export.chain(self.open_command()).chain(self.refuse_commands()).chain(self.accept_command()).collect()
     }
 
     fn export_command(&self) -> Option<SlotCommand> {
@@ -132,34 +133,34 @@
     fn open_command(&self) -> Option<SlotCommand> {
         let gate = gate_number(self.record.pending_import()?.owner);
         let epoch = self.record.epoch;
-        let reported = self.site.import.opened == Some(epoch);
-        (reported || !self.checks.import_before_open).then_some(SlotCommand::Open { epoch, gate })
+        let recorded = self.site.import.opened == Some(epoch);
+        (recorded || !self.checks.import_before_open).then_some(SlotCommand::Open { epoch, gate })
     }
 
     fn accept_command(&self) -> Option<SlotCommand> {
         let seal = self.site.import.gathered?;
         let elsewhere = matches!(self.record.state, SlotState::Elsewhere { .. });
-        let welcome = elsewhere && seal > self.record.epoch && seal > self.record.refused_seal;
-        welcome.then_some(SlotCommand::Accept { seal, gate: 0 })
+        let acceptable = elsewhere && seal > self.record.epoch && seal > self.record.refused_seal;
+        acceptable.then_some(SlotCommand::Accept { seal, gate: 0 })
     }
 
     fn refuse_commands(&self) -> impl Iterator<Item = SlotCommand> + '_ {
-        let due = |seal: &&Epoch| {
-            let taken = self.record.import.as_ref().is_some_and(|import| import.seal_epoch >= **seal);
-            self.settled_outcome(**seal).is_none() && !taken
+        let undecided = |seal: &&Epoch| {
+            let imported = self.record.import.as_ref().is_some_and(|import| import.seal_epoch >= **seal);
+            self.settled_outcome(**seal).is_none() && !imported
         };
-        self.site.import.refusals_wanted.iter().filter(due).map(|seal| SlotCommand::Refuse(*seal))
+        self.site.import.refusals_wanted.iter().filter(undecided).map(|seal| SlotCommand::Refuse(*seal))
     }
 
-    /// The leader hands its group a command: `refuse_command` forgets what it was asked.
-    pub fn proposed(&mut self, command: SlotCommand) {
+    /// Proposes a command to the group. Like `refuse_command`, this removes the request for the refusal.
+    pub fn propose(&mut self, command: SlotCommand) {
         if let SlotCommand::Refuse(seal) = command {
             self.site.import.refusals_wanted.remove(&seal);
             self.site.import.gathered = None;
         }
     }
 
-    /// The gate gets the gathered claims and records them: `send_imports`.
+    /// Sends the gathered claims to the gate, which records them; mirrors `send_imports`.
     pub fn record_claims(&mut self) -> Option<Message> {
         let pending = self.record.pending_import()?;
         if self.site.import.gathered != Some(pending.seal_epoch) {
--- a/crates/model/src/slot_move/mod.rs
+++ b/crates/model/src/slot_move/mod.rs
@@ -1,8 +1,8 @@
-//! Models of a slot on its way between the groups of two sites.
+//! Models of a slot that moves between two sites.
 //!
 //! Each site's agreed state is the real [`ServiceState`](quillhatch_control::state::ServiceState) with its real
-//! commands. The leaders' duties are a small specification of `host/exports.rs` and `host/imports.rs` of the control
-//! crate, since those need a whole node around them.
+//! commands. The leaders are a small specification of `host/exports.rs` and `host/imports.rs` of the control crate,
+//! since the real ones run only within a complete node.
 
 mod agreed;
 mod checks;
@@ -16,16 +16,16 @@
 use checks::Checks;
 use world::{Limits, SlotWorld};
 
-/// The tables of at most one site name an owner of the slot.
+/// At most one site's table contains an owner of the slot.
 pub(crate) const ONE_OWNER: Property = Property("one-owner");
-/// A slot that was taken over is open only with the old site's claims recorded at the new one.
+/// An imported slot is open only if the new site has recorded the old site's claims.
 pub(crate) const CLAIMS_BEFORE_OPEN: Property = Property("claims-before-open");
-/// A slot is opened again at the old site only if the new site can never accept that offer.
+/// A slot is reopened at the old site only if the new site can never accept the offer made under that seal.
 pub(crate) const REOPENED_AFTER_REFUSAL: Property = Property("reopened-after-refusal");
-/// If from now on all messages arrive and the leaders stay, just one site owns the slot in the end.
+/// If all messages arrive and the leaders don't change any more, exactly one site owns the slot in the end.
 pub(crate) const ONE_OWNER_AGAIN: Property = Property("one-owner-again");
 
-const SAFETY: [Property; 3] = [ONE_OWNER, CLAIMS_BEFORE_OPEN, REOPENED_AFTER_REFUSAL];
+const SAFETY_PROPERTIES: [Property; 3] = [ONE_OWNER, CLAIMS_BEFORE_OPEN, REOPENED_AFTER_REFUSAL];
 const PROPERTIES: [Property; 4] = [ONE_OWNER, CLAIMS_BEFORE_OPEN, REOPENED_AFTER_REFUSAL, ONE_OWNER_AGAIN];
 
 const BOUNDS: Bounds = Bounds { depth: usize::MAX, states: 2_000_000 };
@@ -68,12 +68,13 @@
     ]
 }
 
-/// A mutation is first held against what must never happen, so that its trace shows the worst that it leads to.
+/// Explores the properties. A mutation is checked against the safety properties first, so that its trace shows a
+/// violation of one of them if there is any.
 fn run(limits: Limits, mutation: Option<&str>) -> Exploration {
     let checks = mutation.map(Checks::without).unwrap_or_default();
     let explore_for = |properties| explore(&SlotWorld::new(limits, checks, properties), BOUNDS);
     if mutation.is_some() {
-        let exploration = explore_for(&SAFETY);
+        let exploration = explore_for(&SAFETY_PROPERTIES);
         if exploration.violation.is_some() {
             return exploration;
         }
--- a/crates/model/src/slot_move/site.rs
+++ b/crates/model/src/slot_move/site.rs
@@ -1,4 +1,4 @@
-//! One site: what its group has agreed on, what its leader remembers, and what an observer has seen.
+//! The state of one site: its group's agreed state, its leader's volatile state, and what an observer has recorded.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::intern::InternedId;
 
-/// What the new site has said about an offer.
+/// The new site's answer to an offer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Outcome {
     #[display("held")]
@@ -31,49 +31,49 @@
     Imported(Epoch),
 }
 
-/// What the old site's leader remembers of a sealed slot; mirrors `Export` and `Exports::withdrawn`.
+/// The old site's leader's state of a sealed slot; mirrors `Export` and `Exports::withdrawn` of the control crate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Export {
-    /// The seal that it is about.
+    /// The epoch of the seal.
     pub seal: Epoch,
     /// Whether a gate has collected the claims.
     pub collected: bool,
-    /// The other site's word.
+    /// The other site's final answer.
     pub outcome: Option<Outcome>,
-    /// Whether the slot shall stay here after all.
+    /// Whether the move is withdrawn, so that the slot stays at this site.
     pub withdrawn: bool,
-    /// Whether the other site has agreed on the take-over, so that it can't be withdrawn.
+    /// Whether the other site has agreed to import the slot, so that the move can no longer be withdrawn.
     pub must_complete: bool,
 }
 
-/// What the new site's leader remembers; mirrors `Imports`.
+/// The new site's leader's state of an offered slot; mirrors `Imports` of the control crate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Import {
-    /// The seal under which claims were gathered.
+    /// The epoch of the seal under which claims were gathered.
     pub gathered: Option<Epoch>,
     /// The epoch under which the gate has recorded the claims.
     pub opened: Option<Epoch>,
-    /// Seals that the other site wants refused.
+    /// The epochs of the seals whose refusal the other site has requested.
     pub refusals_wanted: BTreeSet<Epoch>,
 }
 
-/// One site.
+/// The state of one site.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Site {
     /// The group's agreed state.
     pub agreed: InternedId,
-    /// The leader's memory of a slot that leaves.
+    /// The leader's state of an outgoing slot.
     pub export: Export,
-    /// The leader's memory of a slot that comes.
+    /// The leader's state of an incoming slot.
     pub import: Import,
-    /// Seen by the observer: the seals whose claims a gate of this site has recorded.
+    /// Recorded by the observer: the seal epochs whose claims a gate of this site has recorded.
     pub recorded: BTreeSet<Epoch>,
-    /// Seen by the observer: the seals after which the slot was opened here again.
+    /// Recorded by the observer: the seal epochs after which the slot was reopened at this site.
     pub unsealed: BTreeSet<Epoch>,
 }
 
 impl Site {
-    /// A site whose group has just been founded.
+    /// Creates a site whose group has just been founded.
     pub fn new(agreed: InternedId) -> Self {
         Site {
             agreed,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Another leader knows only what was agreed.
+    /// Replaces the leader; the new leader knows only the agreed state.
     pub fn change_leader(&mut self) {
         self.export = Export::default();
         self.import = Import::default();
--- a/crates/model/src/slot_move/world.rs
+++ b/crates/model/src/slot_move/world.rs
@@ -1,4 +1,4 @@
-//! The world of the moves: two sites, every message ever sent and every command ever asked for.
+//! The system that the slot move models explore: two sites, all messages sent and all commands proposed so far.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -17,30 +17,34 @@
 
 const SITES: usize = 2;
 
-/// Rounds after which a move must have come to its end if all messages arrive.
-const ROUNDS: usize = 20;
+/// The number of rounds within which a move must end if all messages arrive.
+const MAX_ROUNDS: usize = 20;
 
-/// How often the world's faults and operators act.
+/// How often faults and operator actions may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Limits {
     /// How often a site seals the slot.
     pub seals: u8,
-    /// How often a site gets another leader.
+    /// How often a site's leader is replaced.
     pub leader_changes: u8,
-    /// How often a leader gives a take-over to another gate.
+    /// How often a leader reassigns a pending import to another gate.
     pub reassignments: u8,
 }
 
-/// One state. A message arrives, and a command is agreed, at any later time, any number of times, or never.
+/// One state of the explored system. A sent message may arrive, and a proposed command may be agreed on, at any later
+/// time, any number of times, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct MoveState {
     sites: [Site; SITES],
+    /// Each message with the index of the receiving site.
     messages: BTreeSet<(usize, Message)>,
+    /// Each command with the index of the proposing site.
     proposed: BTreeSet<(usize, SlotCommand)>,
-    left: Limits,
+    /// How often faults and operator actions may still happen.
+    remaining: Limits,
 }
 
-/// One thing that may happen at a site.
+/// An action at a site.
 #[derive(Clone, Copy, Debug, Display)]
 enum Action {
     #[display("agrees to seal the slot for the other site")]
@@ -74,23 +78,23 @@
     action: Action,
 }
 
-/// The world.
+/// The explored system.
 pub(super) struct SlotWorld {
     limits: Limits,
     checks: Checks,
     properties: &'static [Property],
     agreed: RefCell<AgreedStates>,
-    /// Whether the sites come to one owner from there.
-    ends_well: RefCell<HashMap<[Site; SITES], bool>>,
+    /// Cached results of [`SlotWorld::reaches_one_owner`].
+    reaches_one_owner: RefCell<HashMap<[Site; SITES], bool>>,
 }
 
 impl SlotWorld {
     pub fn new(limits: Limits, checks: Checks, properties: &'static [Property]) -> Self {
-        SlotWorld { limits, checks, properties, agreed: RefCell::default(), ends_well: RefCell::default() }
+        SlotWorld { limits, checks, properties, agreed: RefCell::default(), reaches_one_owner: RefCell::default() }
     }
 
-    /// Lets a site's leader act by what is agreed.
-    fn lead<T>(&self, site: &mut Site, act: impl FnOnce(&mut Leader<'_>) -> T) -> T {
+    /// Calls `act` with the leader of `site`, which acts on the agreed record.
+    fn with_leader<T>(&self, site: &mut Site, act: impl FnOnce(&mut Leader<'_>) -> T) -> T {
         let record = self.agreed.borrow().record(site.agreed);
         act(&mut Leader { checks: self.checks, record, site })
     }
@@ -102,15 +106,15 @@
             if let SlotCommand::Unseal(seal) = command {
                 site.unsealed.insert(seal);
             }
-            self.lead(site, |leader| leader.forget_finished());
+            self.with_leader(site, |leader| leader.forget_finished());
         }
         after.is_some()
     }
 
-    fn actions(&self, state: &MoveState, number: usize) -> Vec<Action> {
-        let mut site = state.sites[number].clone();
+    fn actions(&self, state: &MoveState, index: usize) -> Vec<Action> {
+        let mut site = state.sites[index].clone();
         let mut actions = Vec::new();
-        self.lead(&mut site, |leader| {
+        self.with_leader(&mut site, |leader| {
             if let Some(message) = leader.message() {
                 actions.push(Action::Send(message));
             }
@@ -122,35 +126,35 @@
             }
             actions.push(Action::Record);
         });
-        if state.left.seals > 0 {
+        if state.remaining.seals > 0 {
             actions.push(Action::Seal);
         }
-        if state.left.reassignments > 0 && site.import.gathered.is_some() {
+        if state.remaining.reassignments > 0 && site.import.gathered.is_some() {
             actions.extend(self.agreed.borrow().reassignment(site.agreed).map(Action::Reassign));
         }
-        if state.left.leader_changes > 0 {
+        if state.remaining.leader_changes > 0 {
             actions.push(Action::ChangeLeader);
         }
-        let mine = |to: &usize| *to == number;
-        let messages = state.messages.iter().filter(|(to, _)| mine(to));
+        let for_this_site = |to: &usize| *to == index;
+        let messages = state.messages.iter().filter(|(to, _)| for_this_site(to));
         actions.extend(messages.map(|(_, message)| Action::Receive(*message)));
-        let proposed = state.proposed.iter().filter(|(to, _)| mine(to));
+        let proposed = state.proposed.iter().filter(|(to, _)| for_this_site(to));
         actions.extend(proposed.map(|(_, command)| Action::Agree(*command)));
         actions
     }
 
-    fn apply(&self, state: &MoveState, number: usize, action: Action) -> MoveState {
+    fn apply(&self, state: &MoveState, index: usize, action: Action) -> MoveState {
         let mut next = state.clone();
-        let site = &mut next.sites[number];
-        let other = 1 - number;
+        let site = &mut next.sites[index];
+        let other = 1 - index;
         match action {
-            Action::Seal => next.left.seals -= u8::from(self.agree(site, SlotCommand::Seal)),
+            Action::Seal => next.remaining.seals -= u8::from(self.agree(site, SlotCommand::Seal)),
             Action::ChangeLeader => {
                 site.change_leader();
-                self.lead(site, |leader| leader.forget_finished());
-                next.left.leader_changes -= 1;
+                self.with_leader(site, |leader| leader.forget_finished());
+                next.remaining.leader_changes -= 1;
             }
-            Action::Reassign(command) => next.left.reassignments -= u8::from(self.agree(site, command)),
+            Action::Reassign(command) => next.remaining.reassignments -= u8::from(self.agree(site, command)),
             Action::Collect => site.export.collected = true,
             Action::Withdraw => site.export.withdrawn = true,
             Action::WithdrawNone => site.export.withdrawn = false,
@@ -158,16 +162,16 @@
                 next.messages.insert((other, message));
             }
             Action::Record => {
-                let word = self.lead(site, |leader| leader.record_claims());
-                next.messages.extend(word.map(|word| (number, word)));
+                let confirmation = self.with_leader(site, |leader| leader.record_claims());
+                next.messages.extend(confirmation.map(|confirmation| (index, confirmation)));
             }
             Action::Receive(message) => {
-                let answer = self.lead(site, |leader| leader.receive(message));
+                let answer = self.with_leader(site, |leader| leader.receive(message));
                 next.messages.extend(answer.map(|answer| (other, answer)));
             }
             Action::Propose(command) => {
-                self.lead(site, |leader| leader.proposed(command));
-                next.proposed.insert((number, command));
+                self.with_leader(site, |leader| leader.propose(command));
+                next.proposed.insert((index, command));
             }
             Action::Agree(command) => {
                 self.agree(site, command);
@@ -176,43 +180,44 @@
         next
     }
 
-    /// Whether just one site owns the slot, and no move is under way, once all messages arrive and the leaders stay.
-    fn ends_well(&self, sites: &[Site; SITES]) -> bool {
-        if let Some(known) = self.ends_well.borrow().get(sites) {
-            return *known;
+    /// Whether exactly one site owns the slot and no move is pending in the end, if all messages arrive and the leaders
+    /// don't change.
+    fn reaches_one_owner(&self, sites: &[Site; SITES]) -> bool {
+        if let Some(cached) = self.reaches_one_owner.borrow().get(sites) {
+            return *cached;
         }
-        let mut later = sites.clone();
-        for _ in 0..ROUNDS {
-            let before = later.clone();
-            (0..SITES).for_each(|number| self.go_on(&mut later, number));
-            if later == before {
+        let mut simulated = sites.clone();
+        for _ in 0..MAX_ROUNDS {
+            let before = simulated.clone();
+            (0..SITES).for_each(|index| self.run_round(&mut simulated, index));
+            if simulated == before {
                 break;
             }
         }
-        let well = self.is_settled(&later);
-        self.ends_well.borrow_mut().insert(sites.clone(), well);
-        well
+        let settled = self.is_settled(&simulated);
+        self.reaches_one_owner.borrow_mut().insert(sites.clone(), settled);
+        settled
     }
 
-    /// A leader does all that it can, and what it sends arrives and is answered.
-    fn go_on(&self, sites: &mut [Site; SITES], number: usize) {
-        let other = 1 - number;
-        let sealed = self.lead(&mut sites[number], |leader| leader.seal().is_some());
-        sites[number].export.collected |= sealed;
-        let message = self.lead(&mut sites[number], |leader| leader.message());
-        let answer = message.and_then(|message| self.lead(&mut sites[other], |leader| leader.receive(message)));
+    /// Runs one round of a site's leader: it takes all possible actions, and its messages arrive and are answered.
+    fn run_round(&self, sites: &mut [Site; SITES], index: usize) {
+        let other = 1 - index;
+        let sealed = self.with_leader(&mut sites[index], |leader| leader.seal().is_some());
+        sites[index].export.collected |= sealed;
+        let message = self.with_leader(&mut sites[index], |leader| leader.message());
+        let answer = message.and_then(|message| self.with_leader(&mut sites[other], |leader| leader.receive(message)));
         if let Some(answer) = answer {
-            self.lead(&mut sites[number], |leader| leader.receive(answer));
+            self.with_leader(&mut sites[index], |leader| leader.receive(answer));
         }
-        let word = self.lead(&mut sites[number], |leader| leader.record_claims());
-        if let Some(word) = word {
-            self.lead(&mut sites[number], |leader| leader.receive(word));
+        let confirmation = self.with_leader(&mut sites[index], |leader| leader.record_claims());
+        if let Some(confirmation) = confirmation {
+            self.with_leader(&mut sites[index], |leader| leader.receive(confirmation));
         }
-        // One command at a time: each is chosen by the outcome of the one before.
+        // One command at a time, since each depends on the state after the previous one.
         let first = |leader: &mut Leader<'_>| leader.commands().first().copied();
-        while let Some(command) = self.lead(&mut sites[number], first) {
-            self.lead(&mut sites[number], |leader| leader.proposed(command));
-            if !self.agree(&mut sites[number], command) {
+        while let Some(command) = self.with_leader(&mut sites[index], first) {
+            self.with_leader(&mut sites[index], |leader| leader.propose(command));
+            if !self.agree(&mut sites[index], command) {
                 break;
             }
         }
@@ -229,17 +234,17 @@
     fn holds(&self, property: Property, sites: &[Site; SITES]) -> bool {
         let [first, second] = sites;
         match property {
-            ONE_OWNER => sites.iter().filter(|site| self.agreed.borrow().names_owner(site.agreed)).count() <= 1,
-            CLAIMS_BEFORE_OPEN => !sites.iter().any(|site| self.claims_are_missing(site)),
+            ONE_OWNER => sites.iter().filter(|site| self.agreed.borrow().has_owner(site.agreed)).count() <= 1,
+            CLAIMS_BEFORE_OPEN => !sites.iter().any(|site| self.opened_without_claims(site)),
             REOPENED_AFTER_REFUSAL => {
                 !self.reopened_too_early(first, second) && !self.reopened_too_early(second, first)
             }
-            ONE_OWNER_AGAIN => self.ends_well(sites),
+            ONE_OWNER_AGAIN => self.reaches_one_owner(sites),
             _ => true,
         }
     }
 
-    fn claims_are_missing(&self, site: &Site) -> bool {
+    fn opened_without_claims(&self, site: &Site) -> bool {
         let record = self.agreed.borrow().record(site.agreed);
         let opened = record.import.filter(|import| import.opened);
         opened.is_some_and(|import| !site.recorded.contains(&import.seal_epoch))
@@ -256,8 +261,8 @@
 
     fn initial_states(&self) -> Vec<MoveState> {
         let mut agreed = self.agreed.borrow_mut();
-        let sites = std::array::from_fn(|site| Site::new(agreed.found(site, self.checks.mechanisms())));
-        vec![MoveState { sites, messages: BTreeSet::new(), proposed: BTreeSet::new(), left: self.limits }]
+        let sites = std::array::from_fn(|site| Site::new(agreed.founded_state(site, self.checks.mechanisms())));
+        vec![MoveState { sites, messages: BTreeSet::new(), proposed: BTreeSet::new(), remaining: self.limits }]
     }
 
     fn successors(&self, state: &MoveState) -> Vec<(ActionLabel, MoveState)> {
