--- a/crates/model/tests/claims.rs
+++ b/crates/model/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The claims models hold, and each loses its property with any of its checks taken out.
+//! The properties of the claims models hold in every reachable state, and each mutation violates one of them.
 
 use quillhatch_model::{list, run, ModelError, ModelInfo};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_mutation_is_caught() {
+fn every_mutation_violates_a_property() {
     for info in claims_models() {
         for mutation in &info.mutations {
             let exploration = run(info.name, Some(mutation)).expect("the mutation is listed");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_mechanism_of_the_claims_is_a_mutation_of_some_model() {
+fn every_claim_mechanism_is_a_mutation_of_a_model() {
     let mutations: Vec<&str> = claims_models().into_iter().flat_map(|info| info.mutations).collect();
     for mechanism in quillhatch_claims::ClaimMechanisms::NAMES {
         assert!(mutations.contains(mechanism), "{mechanism}");
--- a/crates/model/tests/group.rs
+++ b/crates/model/tests/group.rs
@@ -1,9 +1,9 @@
-//! The group models hold, and each of their mutations is caught.
+//! The properties of the group models hold, and each mutation violates one of them.
 
 use quillhatch_model::{list, run};
 
 #[test]
-fn the_group_models_hold_and_every_mutation_is_caught() {
+fn the_properties_hold_and_every_mutation_violates_one() {
     for model in list().into_iter().filter(|model| model.name.starts_with("group-")) {
         let exploration = run(model.name, None).unwrap();
         println!("{}: {} states, depth {}", model.name, exploration.states, exploration.depth);
--- a/crates/model/tests/retry_tokens.rs
+++ b/crates/model/tests/retry_tokens.rs
@@ -1,4 +1,4 @@
-//! The token models hold in every reachable state, and each check taken out breaks them.
+//! The properties of the token models hold in every reachable state, and each mutation violates one of them.
 
 use quillhatch_model::{list, run, ModelInfo};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_mutation_is_caught() {
+fn every_mutation_violates_a_property() {
     for info in token_models() {
         for mutation in &info.mutations {
             let exploration = run(info.name, Some(mutation)).expect("the mutation is listed");
--- a/crates/model/tests/slot_move.rs
+++ b/crates/model/tests/slot_move.rs
@@ -1,4 +1,4 @@
-//! The models of moves hold in every reachable state, and each check taken out breaks them.
+//! The properties of the slot move models hold in every reachable state, and each mutation violates one of them.
 
 use quillhatch_model::{list, run};
 use test_case::test_case;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn every_mutation_is_caught() {
+fn every_mutation_violates_a_property() {
     for info in list().into_iter().filter(|info| info.name.starts_with("slot-")) {
         for mutation in &info.mutations {
             let exploration = run(info.name, Some(mutation)).expect("the mutation is listed");
