--- a/crates/model/src/claims/mod.rs
+++ b/crates/model/src/claims/mod.rs
@@ -1,4 +1,5 @@
-//! Models of the claims protocol: the real owners and voters under loss, duplication, pause, retry and restart.
+//! Models of the claims protocol: the real owners and voters under message loss, duplication and reordering, pauses,
+//! retries and restarts.
 
 mod scenario;
 mod steps;
@@ -21,7 +22,7 @@
     };
     vec![
         model("claims-repeat", "two calls under one key at one owner", &["refuse_repeats"], |mutation| {
-            run(scenario::repeat(), mutation)
+            run(scenario::retry(), mutation)
         }),
         model(
             "claims-takeover",
--- a/crates/model/src/claims/scenario.rs
+++ b/crates/model/src/claims/scenario.rs
@@ -1,4 +1,4 @@
-//! What may happen in each of the claims models.
+//! The scenarios of the claims models: their nodes, calls and control steps.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,96 +10,96 @@
     SlotState,
 };
 
-/// The only slot.
+/// The only slot of the service.
 pub const SLOT: SlotId = SlotId(0);
 
-/// The time that every call has left when it is submitted.
+/// The remaining time of every call when it is submitted.
 pub const REMAINING: Duration = Duration::from_secs(1);
 
-/// How long claims are kept after that.
+/// How long claims are retained after that.
 pub const RETENTION: Duration = Duration::from_secs(10);
 
-/// When the control part takes its next step.
+/// The condition for the next control step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// At any time.
+    /// The step is possible at any time.
     Any,
-    /// When every owner has recorded its claims on the voters of the table with this epoch.
+    /// The owner with this index has recorded its claims at the voters of the table with this epoch or a later one.
     Settled(usize, Epoch),
-    /// When the slot was exported.
+    /// The slot was exported.
     Exported,
-    /// When the slot was imported.
+    /// The slot was imported.
     Imported,
 }
 
-/// One step of the control part.
+/// One step of the control plane.
 #[derive(Clone, Debug)]
 pub enum ControlStep {
-    /// Publishes a table: from now on any owner of its site may receive it, at any time or never.
+    /// Publishes a table: from then on each owner of its site may receive it at any time or never.
     Publish(usize),
-    /// The voter loses its memory and comes back as another run.
+    /// Restarts the voter, which loses its memory and returns with a new incarnation.
     RestartVoter(usize),
-    /// Any of these owners may be asked to export the slot, at any time and again.
-    AskExport(Vec<usize>),
-    /// This owner may be asked to import what was exported, at any time and again.
-    AskImport(usize),
+    /// From then on each of these owners may be requested to export the slot, any number of times.
+    RequestExport(Vec<usize>),
+    /// From then on this owner may be requested to import the exported claims, any number of times.
+    RequestImport(usize),
     /// All deadlines and the retention pass.
     PassTime,
 }
 
-/// One call; all have the same key.
+/// One call. All calls have the same key.
 #[derive(Clone, Copy, Debug)]
 pub struct CallPlan {
-    /// The owner that it is sent to.
+    /// The index of the owner that receives the call.
     pub owner: usize,
-    /// Whether it may be withdrawn before it is dispatched.
+    /// Whether the call may be cancelled before its dispatch.
     pub may_cancel: bool,
-    /// Whether the owner is told when it ended.
+    /// Whether the owner may be notified of the end of the call.
     pub may_finish: bool,
 }
 
-/// A small world.
+/// The nodes, the calls and the control steps of one model.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The owners and the sites they are at.
+    /// The owners, each with its site.
     pub owners: Vec<(NodeId, SiteName)>,
     /// The voters.
     pub voters: Vec<NodeId>,
-    /// The tables, published by control steps; those published at the start come first.
+    /// The tables. Those published from the start come first, control steps publish the others.
     pub tables: Vec<Arc<ServiceTable>>,
-    /// The number of tables published at the start.
+    /// The number of tables published from the start.
     pub published: usize,
-    /// The steps of control, in order, each when its guard holds.
+    /// The control steps in order. Each is possible once its guard holds.
     pub control: Vec<(Guard, ControlStep)>,
     /// The calls.
     pub calls: Vec<CallPlan>,
-    /// Whether a voter's answer to a new claim may arrive at any time; otherwise answers arrive at once or never.
+    /// Whether a voter's answer to a new claim may arrive at any later time. Otherwise answers arrive at once or never.
     pub late_record_replies: bool,
     /// The epoch of the import.
     pub import_epoch: Epoch,
 }
 
-/// The run with number `run` of the node with number `node`.
+/// Returns the ID of a node in its run with number `run`.
 pub fn node(node: u8, run: u64) -> NodeId {
     let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, node), 7000));
     NodeId { address: NodeAddress(address), incarnation: Incarnation(u64::from(node) * 10 + run) }
 }
 
-/// The service of every model.
+/// Returns the service of every model.
 pub fn service() -> ServiceName {
-    name(ServiceName::new("service"))
+    expect_valid(ServiceName::new("service"))
 }
 
 fn site(text: &str) -> SiteName {
-    name(SiteName::new(text))
+    expect_valid(SiteName::new(text))
 }
 
-fn name<T, E: std::fmt::Debug>(checked: Result<T, E>) -> T {
+fn expect_valid<T, E: std::fmt::Debug>(checked: Result<T, E>) -> T {
     checked.expect("the model's names are valid")
 }
 
 fn table(
-    at: &str,
+    site_name: &str,
     epoch: u64,
     slot_epoch: u64,
     state: SlotState,
@@ -108,7 +108,7 @@
 ) -> Arc<ServiceTable> {
     Arc::new(ServiceTable {
         service: service(),
-        site: site(at),
+        site: site(site_name),
         generation: Generation(1),
         epoch: Epoch(epoch),
         slots: vec![SlotAssignment { slot: SLOT, epoch: Epoch(slot_epoch), state }],
@@ -127,7 +127,7 @@
     CallPlan { owner, may_cancel: false, may_finish: false }
 }
 
-/// The slot goes from one owner to another while the first may be paused at any point.
+/// The slot is reassigned from one owner to another; the first may be paused at any point.
 pub fn takeover() -> Scenario {
     let (old, new, voters) = (node(11, 0), node(12, 0), voters(3));
     Scenario {
@@ -145,8 +145,9 @@
     }
 }
 
-/// Two calls under the same key at one owner: the first is withdrawn or ends, the second is a repeat.
-pub fn repeat() -> Scenario {
+/// Three calls under the same key at one owner. Each may be cancelled before its dispatch or end; the later ones are
+/// retries.
+pub fn retry() -> Scenario {
     let owner = node(11, 0);
     let voters = voters(3);
     Scenario {
@@ -161,7 +162,7 @@
     }
 }
 
-/// A voter loses its memory, is replaced by its next run, and the slot then changes its owner.
+/// A voter loses its memory, its new incarnation replaces it, and then the slot is reassigned.
 pub fn voter_restart() -> Scenario {
     let (old, new, before) = (node(11, 0), node(12, 0), voters(3));
     let after = vec![before[0], before[1], node(3, 1)];
@@ -188,19 +189,19 @@
     }
 }
 
-/// As [`takeover`], with answers to new claims that arrive at any time after they were sent.
+/// Like [`takeover`], but answers to new claims may arrive at any time after they were sent.
 pub fn late_replies() -> Scenario {
     Scenario { late_record_replies: true, calls: vec![call(0), call(1)], ..takeover() }
 }
 
-/// A voter loses its memory and goes on at its address, and the slot changes its owner before the voters do.
+/// A voter loses its memory and restarts at the same address, and the slot is reassigned before the voters change.
 pub fn voter_impostor() -> Scenario {
     let mut scenario = Scenario { calls: vec![call(0), call(1)], ..takeover() };
     scenario.control.insert(0, (Guard::Any, ControlStep::RestartVoter(2)));
     scenario
 }
 
-/// A voter loses its memory, and the slot changes its owner while the voters change.
+/// A voter loses its memory, and the slot is reassigned while the voters change.
 pub fn voter_overlap() -> Scenario {
     let (old, new, before) = (node(11, 0), node(12, 0), voters(3));
     let after = vec![before[0], before[1], node(3, 1)];
@@ -219,19 +220,19 @@
     }
 }
 
-/// Retention passes while an owner that was granted a claim is paused.
+/// All deadlines and the retention pass while an owner with a granted claim is paused.
 pub fn expiry() -> Scenario {
     let mut scenario = Scenario { calls: vec![call(0), call(1)], ..takeover() };
     scenario.control.push((Guard::Any, ControlStep::PassTime));
     scenario
 }
 
-/// The slot moves to another site; either of two nodes exports it, and the old owner may be paused.
+/// The slot moves to another site. Either of two nodes exports it, and the old owner may be paused.
 pub fn site_move() -> Scenario {
     let (old, other, new) = (node(11, 0), node(12, 0), node(13, 0));
     let all = voters(4);
     let (east, west) = (all[..3].to_vec(), all[3..].to_vec());
-    let elsewhere = |at: &str| SlotState::Elsewhere { site: site(at) };
+    let elsewhere = |name: &str| SlotState::Elsewhere { site: site(name) };
     let sealed = SlotState::Sealed { destination: site("west") };
     Scenario {
         owners: vec![(old, site("east")), (other, site("east")), (new, site("west"))],
@@ -246,9 +247,9 @@
         published: 2,
         control: vec![
             (Guard::Any, ControlStep::Publish(2)),
-            (Guard::Any, ControlStep::AskExport(vec![0, 1])),
+            (Guard::Any, ControlStep::RequestExport(vec![0, 1])),
             (Guard::Exported, ControlStep::Publish(3)),
-            (Guard::Any, ControlStep::AskImport(2)),
+            (Guard::Any, ControlStep::RequestImport(2)),
             (Guard::Imported, ControlStep::Publish(4)),
         ],
         calls: vec![call(0), call(2)],
@@ -257,7 +258,8 @@
     }
 }
 
-/// Whether control may go on when `guard` is asked, given what it has heard of.
+/// Whether `guard` holds, given the epochs at which the owners have settled on the voters, and whether the slot was
+/// exported and imported.
 pub fn holds(guard: Guard, settled: &BTreeMap<usize, Epoch>, exported: bool, imported: bool) -> bool {
     match guard {
         Guard::Any => true,
--- a/crates/model/src/claims/steps.rs
+++ b/crates/model/src/claims/steps.rs
@@ -1,4 +1,4 @@
-//! Runs the real step functions of owners and voters, each distinct step once.
+//! Runs the real step functions of owners and voters, and caches the result of each distinct step.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,26 +14,27 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
 #[display("{from} -> {to}: {message}")]
 pub struct Envelope {
-    /// The run of the sender.
+    /// The sender, with its incarnation.
     pub from: NodeId,
-    /// The run of the node that it was sent to; whichever run is at the address then gets it.
+    /// The receiver, with its incarnation. A voter's messages reach whichever incarnation is at the address on
+    /// delivery.
     pub to: NodeId,
     /// The message.
     pub message: ClaimMessage,
 }
 
-/// What an owner is given, by number, so that steps can be remembered.
+/// The input of an owner's step with interned values, as a cache key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum StepInput {
-    /// A message of the network.
+    /// A message from the network.
     Deliver(InternedId),
-    /// A call asks for its claim.
+    /// A call requests its claim.
     Submit(usize),
     /// A call ended.
     Finish(usize),
-    /// A call is withdrawn without having been dispatched.
+    /// A call is cancelled before its dispatch.
     Release(usize),
-    /// A table that was published.
+    /// A published table is received.
     Table(usize),
     /// The request to export the slot.
     Export,
@@ -41,74 +42,75 @@
     Import(InternedId),
 }
 
-/// What a step of an owner led to, beside its new state.
+/// The result of an owner's step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerStep {
     /// The owner after the step.
     pub owner: InternedId,
-    /// Messages that it sent.
+    /// The messages sent.
     pub sent: Vec<InternedId>,
-    /// Its other outputs.
+    /// The other outputs.
     pub outputs: Vec<OwnerOutput>,
 }
 
-/// What a step of a voter led to.
+/// The result of a voter's step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterStep {
     /// The voter after the step.
     pub voter: InternedId,
-    /// Messages that it sent.
+    /// The messages sent.
     pub sent: Vec<InternedId>,
 }
 
 type OwnerKey = (InternedId, usize, StepInput, Timestamp);
 type VoterKey = (InternedId, NodeId, InternedId, Timestamp);
 
-/// All values and steps that came up so far.
+/// All interned values and cached steps of an exploration.
 #[derive(Debug, Default)]
-pub struct Steps {
+pub struct StepCache {
     owners: RefCell<Interner<ClaimOwner>>,
     voters: RefCell<Interner<ClaimVoter>>,
     envelopes: RefCell<Interner<Envelope>>,
     handovers: RefCell<Interner<Vec<ClaimEntry>>>,
     owner_steps: RefCell<HashMap<OwnerKey, Rc<OwnerStep>>>,
     voter_steps: RefCell<HashMap<VoterKey, Rc<VoterStep>>>,
-    checks: RefCell<HashMap<(InternedId, AttemptId, Timestamp), bool>>,
+    dispatch_checks: RefCell<HashMap<(InternedId, AttemptId, Timestamp), bool>>,
 }
 
-impl Steps {
-    /// The number of an owner's state.
+impl StepCache {
+    /// Returns the ID of an owner's state.
     pub fn intern_owner(&self, owner: ClaimOwner) -> InternedId {
         self.owners.borrow_mut().id(owner)
     }
 
-    /// The number of a voter's state.
+    /// Returns the ID of a voter's state.
     pub fn intern_voter(&self, voter: ClaimVoter) -> InternedId {
         self.voters.borrow_mut().id(voter)
     }
 
-    /// The number of a list of claims that goes from site to site.
+    /// Returns the ID of a list of claims that moves between sites.
     pub fn intern_handover(&self, claims: Vec<ClaimEntry>) -> InternedId {
         self.handovers.borrow_mut().id(claims)
     }
 
-    /// A list of claims that goes from site to site.
+    /// Returns a list of claims that moves between sites.
     pub fn handover(&self, id: InternedId) -> Vec<ClaimEntry> {
         self.handovers.borrow().value(id).as_ref().clone()
     }
 
-    /// A message.
+    /// Returns a message.
     pub fn envelope(&self, id: InternedId) -> Rc<Envelope> {
         self.envelopes.borrow().value(id)
     }
 
-    /// Whether the owner lets the attempt go to the back end.
+    /// Whether the owner allows the dispatch of the attempt to the back end.
     pub fn may_dispatch(&self, owner: InternedId, ticket: AttemptId, now: Timestamp) -> bool {
         let check = || self.owners.borrow().value(owner).may_dispatch(now, ticket);
-        *self.checks.borrow_mut().entry((owner, ticket, now)).or_insert_with(check)
+        *self.dispatch_checks.borrow_mut().entry((owner, ticket, now)).or_insert_with(check)
     }
 
-    /// Steps an owner; `index` and `id` are its place and its identity, and `input` makes the input.
+    /// Steps the owner in state `owner`. `index` and `id` identify it, and `input` creates the input unless the step is
+    /// cached.
     pub fn step_owner(
         &self,
         owner: InternedId,
@@ -119,17 +121,17 @@
         input: impl FnOnce() -> OwnerInput,
     ) -> Rc<OwnerStep> {
         let key = (owner, index, step, now);
-        if let Some(known) = self.owner_steps.borrow().get(&key) {
-            return Rc::clone(known);
+        if let Some(cached) = self.owner_steps.borrow().get(&key) {
+            return Rc::clone(cached);
         }
         let mut stepped = self.owners.borrow().value(owner).as_ref().clone();
-        let mut all = Vec::new();
-        stepped.step(now, input(), &mut all);
+        let mut all_outputs = Vec::new();
+        stepped.step(now, input(), &mut all_outputs);
         let mut sent = Vec::new();
         let mut outputs = Vec::new();
-        for output in all {
+        for output in all_outputs {
             match output {
-                OwnerOutput::Send { to, message } => sent.push(self.send(id, to, message)),
+                OwnerOutput::Send { to, message } => sent.push(self.intern_envelope(id, to, message)),
                 other => outputs.push(other),
             }
         }
@@ -138,23 +140,23 @@
         result
     }
 
-    /// Hands a message to a voter.
+    /// Delivers a message to a voter.
     pub fn step_voter(&self, voter: InternedId, id: NodeId, envelope: InternedId, now: Timestamp) -> Rc<VoterStep> {
         let key = (voter, id, envelope, now);
-        if let Some(known) = self.voter_steps.borrow().get(&key) {
-            return Rc::clone(known);
+        if let Some(cached) = self.voter_steps.borrow().get(&key) {
+            return Rc::clone(cached);
         }
         let mut stepped = self.voters.borrow().value(voter).as_ref().clone();
         let mut replies = Vec::new();
         let envelope = self.envelope(envelope);
         stepped.handle(now, envelope.from, envelope.message.clone(), &mut replies);
-        let sent = replies.into_iter().map(|(to, message)| self.send(id, to, message)).collect();
+        let sent = replies.into_iter().map(|(to, message)| self.intern_envelope(id, to, message)).collect();
         let result = Rc::new(VoterStep { voter: self.intern_voter(stepped), sent });
         self.voter_steps.borrow_mut().insert(key, Rc::clone(&result));
         result
     }
 
-    fn send(&self, from: NodeId, to: NodeId, message: ClaimMessage) -> InternedId {
+    fn intern_envelope(&self, from: NodeId, to: NodeId, message: ClaimMessage) -> InternedId {
         self.envelopes.borrow_mut().id(Envelope { from, to, message })
     }
 }
--- a/crates/model/src/claims/world.rs
+++ b/crates/model/src/claims/world.rs
@@ -1,10 +1,10 @@
-//! The world in which owners and voters run: calls, control, a network that loses, repeats and reorders, and pauses.
+//! The system that the claims models explore: owners, voters, calls, control steps and an unreliable network.
 //!
-//! A message to a voter stays on the network for ever and may be handed over at any time, any number of times, or
-//! never: that is loss, duplication and reordering. The voter's answer arrives at once or never, except that scenarios
-//! with late record replies let the answers to new claims arrive at any later time too. Every node may be passed over
-//! for as long as one likes: that is a pause, and for ever, a crash. Between an owner's last check and the arrival of
-//! the call at the back end any amount may happen too.
+//! A message stays on the network and may be delivered at any time, any number of times, or never. This covers loss,
+//! duplication and reordering. A voter's answer arrives at once or never, except in scenarios with late record replies,
+//! in which answers to new claims may also arrive at any later time. Any node may take no step for any time, which
+//! covers pauses and, if it never takes one again, crashes. Any number of actions may also happen between an owner's
+//! last check and the arrival of the call at the back end.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,61 +17,66 @@
 use quillhatch_types::{AttemptId, CallId, Epoch, Incarnation, NodeId, RequestKey, RootId, Timestamp};
 
 use super::scenario::{holds, service, ControlStep, Scenario, REMAINING, RETENTION, SLOT};
-use super::steps::{Envelope, OwnerStep, StepInput, Steps};
+use super::steps::{Envelope, OwnerStep, StepCache, StepInput};
 use crate::explore::{ActionLabel, Property, Specification};
 use crate::intern::{InternedId, InternedSet};
 
-/// The back end runs a key once.
+/// The back end runs a key at most once within its retention.
 pub const AT_MOST_ONE_RUN: Property = Property("at-most-one-run");
 
-/// The time at which everything but the passing of retention happens.
+/// The time before [`ControlStep::PassTime`].
 const START: Timestamp = Timestamp::from_millis(1_000);
 
-/// The time after every deadline and the retention.
-const LATE: Timestamp = Timestamp::from_millis(100_000);
+/// The time after [`ControlStep::PassTime`], when all deadlines and the retention have passed.
+const AFTER_RETENTION: Timestamp = Timestamp::from_millis(100_000);
 
-/// How far a call has come.
+/// The state of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Call {
+enum CallState {
     Unsent,
     Waiting,
     Granted,
-    /// The owner's last check passed; the call is about to reach the back end.
+    /// The owner's check before the dispatch passed, and the call has not yet reached the back end.
     Cleared,
     Running,
     Answered,
 }
 
-/// One state of the world.
+/// One state of the explored system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     owners: Vec<InternedId>,
     voters: Vec<(NodeId, InternedId)>,
     network: InternedSet,
-    calls: Vec<Call>,
+    calls: Vec<CallState>,
     runs: u8,
     control: Control,
 }
 
 impl State {
-    /// Whether enough calls are left for a second run; without them no state that follows breaks the property.
+    /// Whether enough calls are left for a second run; otherwise no later state can violate the property.
     fn may_run_twice(&self) -> bool {
-        let open = |call: &&Call| matches!(call, Call::Unsent | Call::Waiting | Call::Granted | Call::Cleared);
-        usize::from(self.runs) + self.calls.iter().filter(open).count() > 1
+        let may_still_run = |call: &&CallState| {
+            matches!(call, CallState::Unsent | CallState::Waiting | CallState::Granted | CallState::Cleared)
+        };
+        usize::from(self.runs) + self.calls.iter().filter(may_still_run).count() > 1
     }
 }
 
-/// What the control part did and heard of.
+/// The state of the control plane: the steps it has taken and the results reported to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Control {
+    /// The number of control steps taken.
     steps: usize,
+    /// For each owner the epoch of the latest table at whose voters it has recorded its claims.
     settled: BTreeMap<usize, Epoch>,
     exported: Option<InternedId>,
     imported: bool,
-    late: bool,
+    /// Whether all deadlines and the retention have passed.
+    time_passed: bool,
 }
 
-/// Shows a message whose answer arrived in the same step.
+/// Labels the delivery of a message whose answer arrives in the same step.
 #[derive(Display)]
 #[display("{_0}, answered at once")]
 struct AnsweredAtOnce(Rc<Envelope>);
@@ -81,18 +86,18 @@
 pub struct ClaimsWorld {
     scenario: Scenario,
     mechanisms: ClaimMechanisms,
-    steps: Steps,
+    steps: StepCache,
 }
 
 impl ClaimsWorld {
-    /// The scenario, with some checks switched off or none.
+    /// Creates the system of a scenario; `mechanisms` may disable checks of the protocol.
     pub fn new(scenario: Scenario, mechanisms: ClaimMechanisms) -> Self {
-        ClaimsWorld { scenario, mechanisms, steps: Steps::default() }
+        ClaimsWorld { scenario, mechanisms, steps: StepCache::default() }
     }
 
     fn now(&self, state: &State) -> Timestamp {
-        if state.control.late {
-            LATE
+        if state.control.time_passed {
+            AFTER_RETENTION
         } else {
             START
         }
@@ -124,22 +129,22 @@
         }
     }
 
-    /// Steps an owner, and brings what it leads to into the state; none if nothing changes.
+    /// Steps an owner and returns the resulting state, or `None` if nothing changes.
     fn step_owner(&self, state: &State, owner: usize, step: StepInput) -> Option<State> {
         let id = self.scenario.owners[owner].0;
         let input = step.clone();
         let result =
             self.steps.step_owner(state.owners[owner], owner, id, self.now(state), step, || self.input(&input));
-        let heard = result.sent.iter().all(|message| state.network.contains(*message));
-        if result.owner == state.owners[owner] && heard && result.outputs.is_empty() {
+        let already_sent = result.sent.iter().all(|message| state.network.contains(*message));
+        if result.owner == state.owners[owner] && already_sent && result.outputs.is_empty() {
             return None;
         }
         let mut next = state.clone();
-        self.apply(&mut next, owner, &result);
+        self.apply_owner_step(&mut next, owner, &result);
         (next != *state).then_some(next)
     }
 
-    fn apply(&self, state: &mut State, owner: usize, step: &OwnerStep) {
+    fn apply_owner_step(&self, state: &mut State, owner: usize, step: &OwnerStep) {
         state.owners[owner] = step.owner;
         for message in &step.sent {
             state.network.insert(*message);
@@ -147,7 +152,7 @@
         for output in &step.outputs {
             match output {
                 OwnerOutput::Resolved { ticket, resolution } => {
-                    state.calls[ticket.attempt as usize] = resolved(resolution);
+                    state.calls[ticket.attempt as usize] = call_state_after(resolution);
                 }
                 OwnerOutput::SlotExported { claims, .. } => {
                     let claims = self.steps.intern_handover(claims.clone());
@@ -170,7 +175,7 @@
                     let changed = self.step_owner(state, owner, StepInput::Deliver(id));
                     next.extend(changed.map(|state| (ActionLabel::new(envelope), state)));
                 }
-                None => self.hand_to_voter(state, id, &envelope, next),
+                None => self.deliver_to_voter(state, id, &envelope, next),
             }
         }
     }
@@ -179,8 +184,8 @@
         self.scenario.owners.iter().position(|(owner, _)| *owner == id)
     }
 
-    /// Hands a message to whichever run is at the voter's address.
-    fn hand_to_voter(
+    /// Delivers a message to whichever incarnation is at the voter's address.
+    fn deliver_to_voter(
         &self,
         state: &State,
         id: InternedId,
@@ -200,7 +205,7 @@
                 changed.network.insert(*message);
                 continue;
             }
-            let answered = self.answer_at_once(&changed, *message);
+            let answered = self.deliver_answer(&changed, *message);
             let label = || ActionLabel::new(Rc::new(AnsweredAtOnce(Rc::clone(envelope))));
             next.extend(answered.map(|state| (label(), state)));
         }
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Whether an answer stays on the network instead of arriving at once or never.
+    /// Whether an answer stays on the network and may arrive later, instead of arriving at once or never.
     fn may_be_late(&self, id: InternedId) -> bool {
         let record_reply = |id: &RecordId| matches!(id, RecordId::Claim { kind: RecordKind::New, .. });
         match &self.steps.envelope(id).message.body {
@@ -218,15 +223,15 @@
         }
     }
 
-    /// Hands a voter's answer to its owner; none if nothing changes.
-    fn answer_at_once(&self, state: &State, id: InternedId) -> Option<State> {
+    /// Delivers a voter's answer to the owner and returns the resulting state, or `None` if nothing changes.
+    fn deliver_answer(&self, state: &State, id: InternedId) -> Option<State> {
         let owner = self.owner_at(self.steps.envelope(id).to)?;
         self.step_owner(state, owner, StepInput::Deliver(id))
     }
 
     fn call_actions(&self, state: &State, next: &mut Vec<(ActionLabel, State)>) {
         for (index, plan) in self.scenario.calls.iter().enumerate() {
-            let mut step = |label: &str, input, call: Option<Call>| {
+            let mut step = |label: &str, input, call: Option<CallState>| {
                 if let Some(mut changed) = self.step_owner(state, plan.owner, input) {
                     if let Some(call) = call {
                         changed.calls[index] = call;
@@ -235,17 +240,19 @@
                 }
             };
             match state.calls[index] {
-                Call::Unsent => {
-                    // The owner's decision, if it comes at once, replaces the waiting.
+                CallState::Unsent => {
+                    // If the owner decides within this step, its decision replaces the state `Waiting`.
                     let mut waiting = state.clone();
-                    waiting.calls[index] = Call::Waiting;
+                    waiting.calls[index] = CallState::Waiting;
                     let changed = self.step_owner(&waiting, plan.owner, StepInput::Submit(index));
                     next.extend(changed.map(|state| (format!("call {index} is submitted").into(), state)));
                 }
-                Call::Waiting | Call::Granted if plan.may_cancel => {
-                    step("is withdrawn", StepInput::Release(index), Some(Call::Answered));
+                CallState::Waiting | CallState::Granted if plan.may_cancel => {
+                    step("is withdrawn", StepInput::Release(index), Some(CallState::Answered));
+                }
+                CallState::Running if plan.may_finish => {
+                    step("ends", StepInput::Finish(index), Some(CallState::Answered))
                 }
-                Call::Running if plan.may_finish => step("ends", StepInput::Finish(index), Some(Call::Answered)),
                 _ => {}
             }
             self.dispatch_actions(state, index, next);
@@ -255,21 +262,21 @@
     fn dispatch_actions(&self, state: &State, index: usize, next: &mut Vec<(ActionLabel, State)>) {
         let owner = self.scenario.calls[index].owner;
         match state.calls[index] {
-            Call::Granted if self.steps.may_dispatch(state.owners[owner], ticket(index), self.now(state)) => {
+            CallState::Granted if self.steps.may_dispatch(state.owners[owner], ticket(index), self.now(state)) => {
                 let mut changed = state.clone();
-                changed.calls[index] = Call::Cleared;
+                changed.calls[index] = CallState::Cleared;
                 next.push((format!("call {index} passes the last check").into(), changed));
             }
-            Call::Granted => {
+            CallState::Granted => {
                 let changed = self.step_owner(state, owner, StepInput::Release(index)).map(|mut state| {
-                    state.calls[index] = Call::Answered;
+                    state.calls[index] = CallState::Answered;
                     (format!("call {index} fails the last check").into(), state)
                 });
                 next.extend(changed);
             }
-            Call::Cleared => {
+            CallState::Cleared => {
                 let mut changed = state.clone();
-                changed.calls[index] = Call::Running;
+                changed.calls[index] = CallState::Running;
                 changed.runs += 1;
                 next.push((format!("call {index} runs").into(), changed));
             }
@@ -278,7 +285,7 @@
     }
 
     fn control_actions(&self, state: &State, next: &mut Vec<(ActionLabel, State)>) {
-        self.published_actions(state, next);
+        self.published_arrivals(state, next);
         let control = &state.control;
         let Some((guard, step)) = self.scenario.control.get(control.steps) else {
             return;
@@ -296,13 +303,13 @@
                 run.1 = self.steps.intern_voter(self.new_voter());
                 format!("voter {} restarts without memory", run.0)
             }
-            ControlStep::AskExport(_) => "the export is asked for".to_owned(),
-            ControlStep::AskImport(_) => "the import is asked for".to_owned(),
-            // The pause between the last check and the back end is taken to be shorter than the retention.
-            ControlStep::PassTime if state.calls.contains(&Call::Cleared) => return,
+            ControlStep::RequestExport(_) => "the export is asked for".to_owned(),
+            ControlStep::RequestImport(_) => "the import is asked for".to_owned(),
+            // The model assumes that the delay between the last check and the back end is shorter than the retention.
+            ControlStep::PassTime if state.calls.contains(&CallState::Cleared) => return,
             ControlStep::PassTime => {
-                changed.control.late = true;
-                // A key may run again once its claim was kept for the retention.
+                changed.control.time_passed = true;
+                // After the retention the key may run again.
                 changed.runs = 0;
                 "all deadlines and the retention pass".to_owned()
             }
@@ -310,21 +317,21 @@
         next.push((label.into(), changed));
     }
 
-    /// Tables and requests that were published and may reach an owner at any time.
-    fn published_actions(&self, state: &State, next: &mut Vec<(ActionLabel, State)>) {
+    /// Adds the arrival of published tables and of export and import requests, which may reach an owner at any time.
+    fn published_arrivals(&self, state: &State, next: &mut Vec<(ActionLabel, State)>) {
         for table in 0..self.scenario.published {
-            self.hand_table(state, table, next);
+            self.deliver_table(state, table, next);
         }
         for (_, step) in &self.scenario.control[..state.control.steps] {
             match step {
-                ControlStep::Publish(table) => self.hand_table(state, *table, next),
-                ControlStep::AskExport(owners) => {
+                ControlStep::Publish(table) => self.deliver_table(state, *table, next),
+                ControlStep::RequestExport(owners) => {
                     for owner in owners {
                         let changed = self.step_owner(state, *owner, StepInput::Export);
                         next.extend(changed.map(|state| (format!("owner {owner} is asked to export").into(), state)));
                     }
                 }
-                ControlStep::AskImport(owner) => {
+                ControlStep::RequestImport(owner) => {
                     let import = state.control.exported.map(StepInput::Import);
                     let changed = import.and_then(|import| self.step_owner(state, *owner, import));
                     next.extend(changed.map(|state| (format!("owner {owner} is asked to import").into(), state)));
@@ -334,7 +341,7 @@
         }
     }
 
-    fn hand_table(&self, state: &State, table: usize, next: &mut Vec<(ActionLabel, State)>) {
+    fn deliver_table(&self, state: &State, table: usize, next: &mut Vec<(ActionLabel, State)>) {
         let site = &self.scenario.tables[table].site;
         for owner in (0..self.scenario.owners.len()).filter(|owner| self.scenario.owners[*owner].1 == *site) {
             let changed = self.step_owner(state, owner, StepInput::Table(table));
@@ -364,7 +371,7 @@
             owners: owners.collect(),
             voters: voters.collect(),
             network: InternedSet::default(),
-            calls: vec![Call::Unsent; self.scenario.calls.len()],
+            calls: vec![CallState::Unsent; self.scenario.calls.len()],
             runs: 0,
             control: Control::default(),
         }]
@@ -390,9 +397,9 @@
     AttemptId { call: CallId(1), attempt: call as u8 }
 }
 
-fn resolved(decision: &ClaimDecision) -> Call {
+fn call_state_after(decision: &ClaimDecision) -> CallState {
     match decision {
-        ClaimDecision::Granted => Call::Granted,
-        ClaimDecision::Replay(_) | ClaimDecision::Refused(_) => Call::Answered,
+        ClaimDecision::Granted => CallState::Granted,
+        ClaimDecision::Replay(_) | ClaimDecision::Refused(_) => CallState::Answered,
     }
 }
