--- a/crates/model/src/group/mod.rs
+++ b/crates/model/src/group/mod.rs
@@ -1,11 +1,12 @@
-//! Models of the group: the real [`quillhatch_group::Group`] under loss, duplication, reordering and lost memory.
+//! Models of the group: the real [`quillhatch_group::Group`] under message loss, duplication and reordering, and
+//! restarts that lose a node's memory.
 //!
-//! All spans of the settings are zero and the clock stands still, so any timer may run out at any moment. Leases are a
-//! matter of time and are covered by the tests of the group crate on a virtual clock instead.
+//! All durations in the settings are zero and the clock does not advance, so that any timer may expire at any moment.
+//! Leases depend on time; the tests of the group crate cover them with a virtual clock instead.
 
-mod memory;
-mod record;
+mod observer;
 mod scenario;
+mod step_cache;
 mod world;
 
 use quillhatch_group::GroupMechanisms;
@@ -13,7 +14,7 @@
 use crate::explore::{explore, Bounds, Exploration};
 use crate::{Model, ModelInfo};
 
-use record::{AGREED_ENTRIES_STAY, LOSS_IS_STATED, OLD_GROUP_IS_FENCED, ONE_LEADER_PER_TERM};
+use observer::{AGREED_ENTRIES_STAY, LOSS_IS_STATED, OLD_GROUP_IS_FENCED, ONE_LEADER_PER_TERM};
 use scenario::Scenario;
 use world::GroupWorld;
 
@@ -61,15 +62,16 @@
     ]
 }
 
-/// Above what the models reach; a bound for memory only.
-const MAXIMUM_STATES: usize = 2_000_000;
+/// More states than the models reach; it only bounds the memory used.
+const MAX_STATES: usize = 2_000_000;
 
 fn run(scenario: Scenario, mutation: Option<&str>) -> Exploration {
-    let bounds = Bounds { depth: scenario.depth, states: MAXIMUM_STATES };
+    let bounds = Bounds { depth: scenario.depth, states: MAX_STATES };
     explore(&GroupWorld::new(scenario, mechanisms_without(mutation)), bounds)
 }
 
-/// Pre-vote and check-quorum keep a group undisturbed; safety must not rest on them, so the models do without.
+/// Returns the mechanisms without the one that the mutation disables. Pre-vote and check-quorum are off in all models:
+/// they only protect a group from disruption, and safety must not depend on them.
 fn mechanisms_without(mutation: Option<&str>) -> GroupMechanisms {
     let mut mechanisms = GroupMechanisms { pre_vote: false, check_quorum: false, ..GroupMechanisms::default() };
     match mutation {
--- a/crates/model/src/group/record.rs
+++ b/crates/model/src/group/observer.rs
@@ -1,4 +1,4 @@
-//! What an observer of all nodes has seen, and the properties that it checks.
+//! An observer that sees all nodes and checks the properties.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,32 +7,32 @@
 
 use crate::explore::Property;
 
-/// In a group no term has two leaders.
+/// A group has at most one leader per term.
 pub(super) const ONE_LEADER_PER_TERM: Property = Property("one-leader-per-term");
-/// What is agreed at an index of a group is never replaced.
+/// The agreed (committed) entry at an index of a group is never replaced.
 pub(super) const AGREED_ENTRIES_STAY: Property = Property("agreed-entries-stay");
-/// A group formed after commands were agreed elsewhere says that they may be lost.
+/// A group that is founded after another group has agreed on commands states that they may be lost.
 pub(super) const LOSS_IS_STATED: Property = Property("loss-is-stated");
-/// Of several groups at most one agrees on anything that was appended after the last of them was founded.
+/// Of several groups, at most one agrees on entries appended after the latest of them was founded.
 pub(super) const OLD_GROUP_IS_FENCED: Property = Property("old-group-is-fenced");
 
-/// The observer's memory.
+/// The observer's record of leaders and agreed entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(super) struct Record {
+pub(super) struct Observer {
     leaders: BTreeMap<(GroupIdentity, u64), NodeId>,
     agreed: BTreeMap<(GroupIdentity, u64), Entry>,
-    /// For each group the last index that any of its members had when the latest group was founded.
-    length_at_founding: BTreeMap<GroupIdentity, u64>,
-    /// The groups that have agreed on something beyond that.
+    /// For each group the last log index of any of its members when the latest group was founded.
+    log_length_at_founding: BTreeMap<GroupIdentity, u64>,
+    /// The groups that have agreed on an entry after that index.
     grown: BTreeSet<GroupIdentity>,
 }
 
-impl Record {
-    /// Takes in what `group` is after a step, with `all` nodes as they are now.
+impl Observer {
+    /// Observes `group` after its step; `all` are the current states of all nodes. Returns a property that is violated.
     pub fn observe(&mut self, group: &Group, all: &[&Group]) -> Option<Property> {
         let identity = group.identity()?;
-        let led = (group.role() == Role::Leader).then(|| self.observe_leader(identity, group, all)).flatten();
-        led.or_else(|| self.observe_agreed(identity, group))
+        let violated = (group.role() == Role::Leader).then(|| self.observe_leader(identity, group, all)).flatten();
+        violated.or_else(|| self.observe_agreed(identity, group))
     }
 
     fn observe_leader(&mut self, identity: GroupIdentity, group: &Group, all: &[&Group]) -> Option<Property> {
@@ -45,28 +45,28 @@
         if !founded {
             return None;
         }
-        self.note_lengths(all);
-        let commands = self
+        self.record_log_lengths(all);
+        let command_agreed_elsewhere = self
             .agreed
             .iter()
             .any(|((other, _), entry)| *other != identity && matches!(entry.payload, Payload::Command(_)));
-        (commands && !group.claims_lost()).then_some(LOSS_IS_STATED)
+        (command_agreed_elsewhere && !group.claims_lost()).then_some(LOSS_IS_STATED)
     }
 
-    fn note_lengths(&mut self, all: &[&Group]) {
-        self.length_at_founding.clear();
+    fn record_log_lengths(&mut self, all: &[&Group]) {
+        self.log_length_at_founding.clear();
         self.grown.clear();
         for group in all {
             let Some(identity) = group.identity() else {
                 continue;
             };
-            let length = self.length_at_founding.entry(identity).or_default();
+            let length = self.log_length_at_founding.entry(identity).or_default();
             *length = group.last_index().max(*length);
         }
     }
 
     fn observe_agreed(&mut self, identity: GroupIdentity, group: &Group) -> Option<Property> {
-        let length = self.length_at_founding.get(&identity).copied().unwrap_or(0);
+        let length = self.log_length_at_founding.get(&identity).copied().unwrap_or(0);
         if group.commit_index() > length {
             self.grown.insert(identity);
         }
--- a/crates/model/src/group/scenario.rs
+++ b/crates/model/src/group/scenario.rs
@@ -1,4 +1,4 @@
-//! What may happen in a model and how often.
+//! The scenarios of the group models: their initial states and how often each action may happen.
 
 use std::time::Duration;
 
@@ -8,56 +8,64 @@
 /// The number of nodes in every model.
 pub(super) const NODES: usize = 3;
 
-/// Where a model starts.
+/// The initial state of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Start {
-    /// No node has memory.
+    /// No node has any state.
     Blank,
-    /// Node 0 has just founded a group with the consent of node 1; nothing was replicated yet.
+    /// Node 0 has just founded a group with the consent of node 1; nothing is replicated yet.
     Founded,
     /// All nodes are members of a group led by node 0.
     Formed,
 }
 
-/// Bounds of one model.
+/// The initial state and the bounds of one model.
 #[derive(Clone, Debug)]
 pub(super) struct Scenario {
-    /// Where it starts.
+    /// The initial state.
     pub start: Start,
-    /// No node campaigns at or above this term.
-    pub last_term: u64,
-    /// How often a leader gets a command.
+    /// Nodes campaign only in terms below this one.
+    pub campaign_term_limit: u64,
+    /// How often a leader receives a command.
     pub proposals: u8,
     /// How often a node loses its memory.
     pub restarts: u8,
-    /// How often a leader takes a restarted node in.
+    /// How often a leader adds a restarted node to the voters.
     pub joins: u8,
-    /// How often a node asks its peers and may start a forming.
+    /// How often a node queries its peers and may then form a group.
     pub surveys: u8,
-    /// Longest trace.
+    /// The maximum length of a trace.
     pub depth: usize,
 }
 
-const NOTHING: Scenario =
-    Scenario { start: Start::Formed, last_term: 1, proposals: 0, restarts: 0, joins: 0, surveys: 0, depth: 0 };
+const BASE: Scenario = Scenario {
+    start: Start::Formed,
+    campaign_term_limit: 1,
+    proposals: 0,
+    restarts: 0,
+    joins: 0,
+    surveys: 0,
+    depth: 0,
+};
 
 pub(super) fn agreement() -> Scenario {
-    Scenario { last_term: 3, proposals: 1, depth: 9, ..NOTHING }
+    Scenario { campaign_term_limit: 3, proposals: 1, depth: 9, ..BASE }
 }
 
 pub(super) fn restart() -> Scenario {
-    Scenario { last_term: 2, proposals: 1, restarts: 1, joins: 1, depth: 11, ..NOTHING }
+    Scenario { campaign_term_limit: 2, proposals: 1, restarts: 1, joins: 1, depth: 11, ..BASE }
 }
 
 pub(super) fn two_formings() -> Scenario {
-    Scenario { start: Start::Founded, proposals: 2, surveys: 1, depth: 24, ..NOTHING }
+    Scenario { start: Start::Founded, proposals: 2, surveys: 1, depth: 24, ..BASE }
 }
 
 pub(super) fn forming() -> Scenario {
-    Scenario { start: Start::Blank, proposals: 1, restarts: 1, surveys: 2, depth: 9, ..NOTHING }
+    Scenario { start: Start::Blank, proposals: 1, restarts: 1, surveys: 2, depth: 9, ..BASE }
 }
 
-/// Settings without time. A member may be free for another forming whenever it does not lead.
+/// Returns settings in which all durations are zero. A member that does not lead may therefore abandon its group for
+/// another one at any time.
 pub(super) fn settings(mechanisms: GroupMechanisms) -> GroupSettings {
     GroupSettings {
         heartbeat: Duration::ZERO,
@@ -72,7 +80,7 @@
     }
 }
 
-/// All nodes are the electorate of a service that is said to be new.
+/// Returns the requirements for forming the group of a service that is configured as new, with all nodes as electorate.
 pub(super) fn requirements() -> FormRequirements {
     FormRequirements {
         electorate: (0..NODES).map(address).collect(),
--- a/crates/model/src/group/memory.rs
+++ b/crates/model/src/group/step_cache.rs
@@ -1,4 +1,4 @@
-//! The values that came up in an exploration, and the steps that were computed before.
+//! Interns the values that an exploration reaches and caches the results of the nodes' steps.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,10 +6,10 @@
 use quillhatch_group::{Group, GroupInput, GroupMessage, GroupOutput};
 use quillhatch_types::{NodeId, Timestamp};
 
-use super::record::Record;
+use super::observer::Observer;
 use crate::intern::{InternedId, Interner};
 
-/// A message with its ends.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Envelope {
     pub from: NodeId,
@@ -17,32 +17,32 @@
     pub message: GroupMessage,
 }
 
-/// The values that came up so far.
+/// The interned values and cached steps of an exploration.
 #[derive(Default)]
-pub(super) struct Memory {
+pub(super) struct StepCache {
     pub groups: Interner<Group>,
     pub envelopes: Interner<Envelope>,
-    pub records: Interner<Record>,
+    pub observers: Interner<Observer>,
     pub inputs: Interner<GroupInput>,
-    /// Steps that were computed before: node and input give node and messages.
-    steps: HashMap<(InternedId, Input), Stepped>,
+    /// The results of steps by the node's state and the input.
+    steps: HashMap<(InternedId, StepInput), StepResult>,
 }
 
-/// The node that came of a step and what it sent, by their numbers.
-type Stepped = (InternedId, Rc<[InternedId]>);
+/// The interned state of a node after a step and the messages that it sent.
+type StepResult = (InternedId, Rc<[InternedId]>);
 
-/// What a node is stepped with, by number.
+/// The interned input of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Input {
+pub(super) enum StepInput {
     Envelope(InternedId),
     Other(InternedId),
 }
 
-impl Memory {
-    /// The node that comes of a step, and what it sends.
-    pub fn step(&mut self, before: InternedId, input: Input) -> Stepped {
-        if let Some(known) = self.steps.get(&(before, input)) {
-            return known.clone();
+impl StepCache {
+    /// Steps a node with an input and returns the result, which may be cached.
+    pub fn step(&mut self, before: InternedId, input: StepInput) -> StepResult {
+        if let Some(cached) = self.steps.get(&(before, input)) {
+            return cached.clone();
         }
         let mut group = (*self.groups.value(before)).clone();
         let mut outputs = Vec::new();
@@ -58,11 +58,11 @@
         (after, sent)
     }
 
-    fn input(&self, input: Input) -> GroupInput {
+    fn input(&self, input: StepInput) -> GroupInput {
         match input {
-            Input::Other(number) => (*self.inputs.value(number)).clone(),
-            Input::Envelope(number) => {
-                let envelope = self.envelopes.value(number);
+            StepInput::Other(id) => (*self.inputs.value(id)).clone(),
+            StepInput::Envelope(id) => {
+                let envelope = self.envelopes.value(id);
                 GroupInput::Message { from: envelope.from, message: envelope.message.clone() }
             }
         }
--- a/crates/model/src/group/world.rs
+++ b/crates/model/src/group/world.rs
@@ -1,4 +1,4 @@
-//! The world of the group models: nodes, every message ever sent, and what may happen next.
+//! The system that the group models explore: the nodes, all messages sent so far, and the possible actions.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,17 +11,18 @@
 use crate::explore::{ActionLabel, Property, Specification};
 use crate::intern::InternedId;
 
-use super::memory::{Envelope, Input, Memory};
-use super::record::Record;
+use super::observer::Observer;
 use super::scenario::{address, requirements, settings, Scenario, Start, NODES};
+use super::step_cache::{Envelope, StepCache, StepInput};
 
-/// One state: nodes, messages and record by their numbers, and what may still happen.
+/// One state of the explored system: the interned nodes, messages and observer, and how often each action may still
+/// happen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WorldState {
     nodes: [InternedId; NODES],
-    /// Every message sent to a node that still runs. It may arrive at any time, any number of times, or never.
+    /// All messages sent to the current runs of nodes. Each may arrive at any time, any number of times, or never.
     messages: BTreeSet<InternedId>,
-    record: InternedId,
+    observer: InternedId,
     proposals: u8,
     restarts: u8,
     joins: u8,
@@ -29,7 +30,7 @@
     violated: Option<Property>,
 }
 
-/// One thing that may happen.
+/// An action of a node.
 #[derive(Clone, Debug, Display)]
 enum Action {
     #[display("node {_0} finds no leader and campaigns")]
@@ -43,83 +44,83 @@
     #[display("node {node} asks {peers:?} and may form a group")]
     Survey { node: usize, peers: Vec<usize> },
     #[display("node {to} receives from {}: {}", envelope.from, describe(&envelope.message))]
-    Deliver { number: InternedId, to: usize, envelope: Rc<Envelope> },
+    Deliver { id: InternedId, to: usize, envelope: Rc<Envelope> },
 }
 
-/// The world of one scenario.
+/// The explored system of one scenario.
 pub(super) struct GroupWorld {
     scenario: Scenario,
     mechanisms: GroupMechanisms,
-    memory: RefCell<Memory>,
+    cache: RefCell<StepCache>,
 }
 
 impl GroupWorld {
     pub fn new(scenario: Scenario, mechanisms: GroupMechanisms) -> Self {
-        Self { scenario, mechanisms, memory: RefCell::new(Memory::default()) }
+        Self { scenario, mechanisms, cache: RefCell::new(StepCache::default()) }
     }
 
     fn new_node(&self, node: usize, run: u64) -> Group {
-        // Incarnations rise with the runs, so that no two runs share one.
+        // Incarnations differ for all nodes and runs, so that no two runs share one.
         let id = NodeId { address: address(node), incarnation: Incarnation(run * 10 + node as u64 + 1) };
         Group::new(id, settings(self.mechanisms), id.incarnation.0)
     }
 
     fn group(&self, state: &WorldState, node: usize) -> Rc<Group> {
-        self.memory.borrow().groups.value(state.nodes[node])
+        self.cache.borrow().groups.value(state.nodes[node])
     }
 
-    /// Steps one node and notes what it has become; returns what it sent.
+    /// Steps one node, lets the observer see it, and returns the messages that it sent.
     fn step(&self, state: &mut WorldState, node: usize, input: GroupInput) -> Rc<[InternedId]> {
-        let number = self.memory.borrow_mut().inputs.id(input);
-        self.step_numbered(state, node, Input::Other(number))
+        let id = self.cache.borrow_mut().inputs.id(input);
+        self.step_interned(state, node, StepInput::Other(id))
     }
 
-    fn step_numbered(&self, state: &mut WorldState, node: usize, input: Input) -> Rc<[InternedId]> {
-        let mut memory = self.memory.borrow_mut();
+    fn step_interned(&self, state: &mut WorldState, node: usize, input: StepInput) -> Rc<[InternedId]> {
+        let mut cache = self.cache.borrow_mut();
         let before = state.nodes[node];
-        let (after, sent) = memory.step(before, input);
+        let (after, sent) = cache.step(before, input);
         state.nodes[node] = after;
         if before != after {
-            observe(&mut memory, state, node);
+            observe(&mut cache, state, node);
         }
         sent
     }
 
-    /// Steps a node and lets its messages, but those of surveys, into the network.
-    fn act(&self, state: &mut WorldState, node: usize, input: GroupInput) {
+    /// Steps a node and adds its messages to the network, except those of surveys.
+    fn step_and_send(&self, state: &mut WorldState, node: usize, input: GroupInput) {
         let sent = self.step(state, node, input);
         self.send(state, &sent);
     }
 
     fn send(&self, state: &mut WorldState, sent: &[InternedId]) {
-        let memory = self.memory.borrow();
-        for number in sent {
-            let envelope = memory.envelopes.value(*number);
+        let cache = self.cache.borrow();
+        for id in sent {
+            let envelope = cache.envelopes.value(*id);
             let survey = matches!(envelope.message, GroupMessage::Inquiry { .. } | GroupMessage::Answer(_));
-            if !survey && receiver(&memory, state, &envelope).is_some() {
-                state.messages.insert(*number);
+            if !survey && receiver(&cache, state, &envelope).is_some() {
+                state.messages.insert(*id);
             }
         }
     }
 
-    /// An inquiry with its answer, both of which arrive.
-    fn ask(&self, state: &mut WorldState, asking: usize, asked: usize, round: u64) {
+    /// Sends an inquiry from one node to another and delivers both the inquiry and its answer.
+    fn inquire(&self, state: &mut WorldState, asking: usize, asked: usize, round: u64) {
         let (from, answering) = (self.group(state, asking).node(), self.group(state, asked).node());
         let inquiry = GroupInput::Message { from, message: GroupMessage::Inquiry { round } };
         let sent = self.step(state, asked, inquiry);
         let answers: Vec<GroupMessage> = {
-            let memory = self.memory.borrow();
-            let messages = sent.iter().map(|number| memory.envelopes.value(*number).message.clone());
+            let cache = self.cache.borrow();
+            let messages = sent.iter().map(|id| cache.envelopes.value(*id).message.clone());
             messages.filter(|message| matches!(message, GroupMessage::Answer(_))).collect()
         };
         for message in answers {
-            self.act(state, asking, GroupInput::Message { from: answering, message });
+            self.step_and_send(state, asking, GroupInput::Message { from: answering, message });
         }
     }
 
     fn round_of(&self, sent: &[InternedId]) -> Option<u64> {
-        let memory = self.memory.borrow();
-        sent.iter().find_map(|number| match memory.envelopes.value(*number).message {
+        let cache = self.cache.borrow();
+        sent.iter().find_map(|id| match cache.envelopes.value(*id).message {
             GroupMessage::Inquiry { round } => Some(round),
             _ => None,
         })
@@ -128,9 +129,9 @@
     fn survey(&self, state: &mut WorldState, node: usize, peers: &[usize]) {
         let sent = self.step(state, node, GroupInput::Tick);
         if let Some(round) = self.round_of(&sent) {
-            peers.iter().for_each(|peer| self.ask(state, node, *peer, round));
+            peers.iter().for_each(|peer| self.inquire(state, node, *peer, round));
         }
-        self.act(state, node, GroupInput::Tick);
+        self.step_and_send(state, node, GroupInput::Tick);
     }
 
     fn join(&self, state: &mut WorldState, leader: usize, newcomer: usize) {
@@ -138,20 +139,20 @@
         let inquiry = GroupInput::Message { from: node, message: GroupMessage::Inquiry { round: 0 } };
         let sent = self.step(state, leader, inquiry);
         if let Some(round) = self.round_of(&sent) {
-            self.ask(state, leader, newcomer, round);
+            self.inquire(state, leader, newcomer, round);
         }
-        self.act(state, leader, GroupInput::ChangeVoters { ticket: 0, add: Some(node), remove: None });
+        self.step_and_send(state, leader, GroupInput::ChangeVoters { ticket: 0, add: Some(node), remove: None });
     }
 
     fn restart(&self, state: &mut WorldState, node: usize) {
         let run = u64::from(state.restarts);
         let fresh = self.new_node(node, run);
         {
-            let mut memory = self.memory.borrow_mut();
-            state.nodes[node] = memory.groups.id(fresh);
-            let kept = state.messages.iter().copied();
-            let kept = kept.filter(|number| receiver(&memory, state, &memory.envelopes.value(*number)).is_some());
-            state.messages = kept.collect();
+            let mut cache = self.cache.borrow_mut();
+            state.nodes[node] = cache.groups.id(fresh);
+            let deliverable = state.messages.iter().copied();
+            let deliverable = deliverable.filter(|id| receiver(&cache, state, &cache.envelopes.value(*id)).is_some());
+            state.messages = deliverable.collect();
         }
         if self.scenario.surveys > 0 {
             self.step(state, node, GroupInput::Form(requirements()));
@@ -161,11 +162,11 @@
     fn apply(&self, state: &WorldState, action: &Action) -> WorldState {
         let mut next = state.clone();
         match action {
-            Action::Campaign(node) => self.act(&mut next, *node, GroupInput::Tick),
+            Action::Campaign(node) => self.step_and_send(&mut next, *node, GroupInput::Tick),
             Action::Propose(node) => {
                 next.proposals -= 1;
                 let command = vec![next.proposals];
-                self.act(&mut next, *node, GroupInput::Propose { ticket: 0, command });
+                self.step_and_send(&mut next, *node, GroupInput::Propose { ticket: 0, command });
             }
             Action::Restart(node) => {
                 self.restart(&mut next, *node);
@@ -179,8 +180,8 @@
                 next.surveys -= 1;
                 self.survey(&mut next, *node, peers);
             }
-            Action::Deliver { number, to, .. } => {
-                let sent = self.step_numbered(&mut next, *to, Input::Envelope(*number));
+            Action::Deliver { id, to, .. } => {
+                let sent = self.step_interned(&mut next, *to, StepInput::Envelope(*id));
                 self.send(&mut next, &sent);
             }
         }
@@ -192,7 +193,7 @@
         let mut actions = self.deliveries(state);
         for (node, group) in groups.iter().enumerate() {
             let role = group.role();
-            if matches!(role, Role::Follower | Role::Candidate) && group.term() < self.scenario.last_term {
+            if matches!(role, Role::Follower | Role::Candidate) && group.term() < self.scenario.campaign_term_limit {
                 actions.push(Action::Campaign(node));
             }
             if role == Role::Leader && state.proposals > 0 {
@@ -213,17 +214,17 @@
     }
 
     fn deliveries(&self, state: &WorldState) -> Vec<Action> {
-        let memory = self.memory.borrow();
-        let deliver = |number: &InternedId| {
-            let envelope = memory.envelopes.value(*number);
-            let to = receiver(&memory, state, &envelope)?;
-            Some(Action::Deliver { number: *number, to, envelope })
+        let cache = self.cache.borrow();
+        let deliver = |id: &InternedId| {
+            let envelope = cache.envelopes.value(*id);
+            let to = receiver(&cache, state, &envelope)?;
+            Some(Action::Deliver { id: *id, to, envelope })
         };
         state.messages.iter().filter_map(deliver).collect()
     }
 
-    /// Brings the nodes to where the scenario starts.
-    fn begin(&self, mut state: WorldState) -> WorldState {
+    /// Takes the nodes to the initial state of the scenario.
+    fn start(&self, mut state: WorldState) -> WorldState {
         for node in 0..NODES {
             self.step(&mut state, node, GroupInput::Form(requirements()));
         }
@@ -231,19 +232,20 @@
             Start::Blank => {}
             Start::Founded => {
                 self.survey(&mut state, 0, &[1]);
-                self.found(&mut state);
+                self.deliver_until_founded(&mut state);
             }
             Start::Formed => {
                 self.survey(&mut state, 0, &[1, 2]);
-                self.settle(&mut state);
+                self.deliver_all(&mut state);
                 state.messages.clear();
             }
         }
         state
     }
 
-    /// Delivers until node 0 leads, and nothing of what it sends then.
-    fn found(&self, state: &mut WorldState) {
+    /// Delivers messages until node 0 leads. Then only its append messages remain on the network, none of them
+    /// delivered.
+    fn deliver_until_founded(&self, state: &mut WorldState) {
         while self.group(state, 0).role() != Role::Leader {
             let deliveries = self.deliveries(state);
             let before = state.clone();
@@ -252,13 +254,13 @@
             }
             assert!(*state != before, "node 0 finds the consent that it needs");
         }
-        let memory = self.memory.borrow();
-        let appends = |number: &InternedId| matches!(memory.envelopes.value(*number).message, GroupMessage::Append(_));
+        let cache = self.cache.borrow();
+        let appends = |id: &InternedId| matches!(cache.envelopes.value(*id).message, GroupMessage::Append(_));
         state.messages.retain(appends);
     }
 
-    /// Delivers everything until nothing changes.
-    fn settle(&self, state: &mut WorldState) {
+    /// Delivers all messages until nothing changes.
+    fn deliver_all(&self, state: &mut WorldState) {
         loop {
             let before = state.clone();
             for action in self.deliveries(&before) {
@@ -275,22 +277,22 @@
     type State = WorldState;
 
     fn initial_states(&self) -> Vec<WorldState> {
-        let record = self.memory.borrow_mut().records.id(Record::default());
+        let observer = self.cache.borrow_mut().observers.id(Observer::default());
         let nodes = std::array::from_fn(|node| {
             let group = self.new_node(node, 9);
-            self.memory.borrow_mut().groups.id(group)
+            self.cache.borrow_mut().groups.id(group)
         });
         let state = WorldState {
             nodes,
             messages: BTreeSet::new(),
-            record,
+            observer,
             proposals: self.scenario.proposals,
             restarts: self.scenario.restarts,
             joins: self.scenario.joins,
             surveys: self.scenario.surveys,
             violated: None,
         };
-        vec![self.begin(state)]
+        vec![self.start(state)]
     }
 
     fn successors(&self, state: &WorldState) -> Vec<(ActionLabel, WorldState)> {
@@ -307,19 +309,19 @@
     }
 }
 
-fn observe(memory: &mut Memory, state: &mut WorldState, node: usize) {
-    let groups: Vec<Rc<Group>> = state.nodes.iter().map(|number| memory.groups.value(*number)).collect();
+fn observe(cache: &mut StepCache, state: &mut WorldState, node: usize) {
+    let groups: Vec<Rc<Group>> = state.nodes.iter().map(|id| cache.groups.value(*id)).collect();
     let all: Vec<&Group> = groups.iter().map(Rc::as_ref).collect();
-    let mut record = (*memory.records.value(state.record)).clone();
-    let violated = record.observe(all[node], &all);
+    let mut observer = (*cache.observers.value(state.observer)).clone();
+    let violated = observer.observe(all[node], &all);
     state.violated = state.violated.or(violated);
-    state.record = memory.records.id(record);
+    state.observer = cache.observers.id(observer);
 }
 
-/// The node that a message reaches, unless the run that it was meant for has ended.
-fn receiver(memory: &Memory, state: &WorldState, envelope: &Envelope) -> Option<usize> {
+/// Returns the node that receives a message, or `None` if the run to which it was sent has ended.
+fn receiver(cache: &StepCache, state: &WorldState, envelope: &Envelope) -> Option<usize> {
     let node = (0..NODES).find(|node| address(*node) == envelope.to.address)?;
-    let run = memory.groups.value(state.nodes[node]).node().incarnation;
+    let run = cache.groups.value(state.nodes[node]).node().incarnation;
     (envelope.to.incarnation.0 == 0 || envelope.to.incarnation == run).then_some(node)
 }
 
@@ -330,7 +332,7 @@
     sets
 }
 
-/// The message in short for a trace.
+/// Returns a short description of a message for a trace.
 fn describe(message: &GroupMessage) -> String {
     match message {
         GroupMessage::VoteRequest(request) => format!("vote request for term {}", request.term),
