--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -1,7 +1,8 @@
-//! Explores all states of a specification breadth-first, and reports the shortest way to a violated property.
+//! Explores all states of a specification breadth-first and reports a shortest trace to a violated property.
 //!
-//! Implement [`Specification`] for a small protocol world whose nodes are the real step functions, and hand it to
-//! [`explore`] with [`Bounds`]. The search is `pathfinding`'s; states are compared exactly, not by a digest.
+//! Implement [`Specification`] for a small system whose nodes run the real step functions, and pass it to [`explore`]
+//! with [`Bounds`]. The search is that of the crate `pathfinding`. States are compared exactly, not by a hash, so that
+//! a collision cannot hide a state.
 
 use std::cell::{Cell, RefCell};
 use std::hash::{Hash, Hasher};
@@ -15,12 +16,12 @@
 #[path = "explore_tests.rs"]
 mod tests;
 
-/// What happened in one step of a trace, for a reader; written out only for the steps of a trace.
+/// The label of an action. It is formatted only for the steps of a trace.
 #[derive(Clone, Display)]
 pub struct ActionLabel(Rc<dyn std::fmt::Display>);
 
 impl ActionLabel {
-    /// A label that shows `action`.
+    /// Creates a label that displays `action`.
     pub fn new(action: Rc<dyn std::fmt::Display>) -> Self {
         ActionLabel(action)
     }
@@ -42,53 +43,55 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Property(pub &'static str);
 
-/// A world of nodes, messages and faults whose states can be enumerated.
+/// A system of nodes, messages and faults whose states can be enumerated.
 pub trait Specification {
-    /// One state; equal states have equal futures.
+    /// One state of the system. Equal states have equal successors.
     type State: Clone + Eq + Hash;
 
-    /// The states in which the world may start.
+    /// Returns the possible initial states.
     fn initial_states(&self) -> Vec<Self::State>;
 
-    /// Everything that may happen next, each with the state it leads to.
+    /// Returns all actions that are possible in `state`, each with the state to which it leads.
     fn successors(&self, state: &Self::State) -> Vec<(ActionLabel, Self::State)>;
 
-    /// A property that does not hold in `state`.
+    /// Returns a property that does not hold in `state`, if any.
     fn violated(&self, state: &Self::State) -> Option<Property>;
 }
 
-/// Up to where to explore.
+/// The bounds of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// States at this distance from a start are checked and not followed further.
+    /// States at this distance from an initial state are checked, but their successors are not explored.
     pub depth: usize,
-    /// The search stops after following this many states, to bound memory; see [`Exploration::complete`].
+    /// The maximum number of states whose successors are explored, to bound the memory used; see
+    /// [`Exploration::complete`].
     pub states: usize,
 }
 
-/// The shortest way to a violated property.
+/// A shortest trace to a violated property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
-    /// The property.
+    /// The violated property.
     pub property: Property,
-    /// What happened, in order.
+    /// The labels of the actions in order.
     pub steps: Vec<String>,
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exploration {
-    /// The number of distinct states that were followed.
+    /// The number of distinct states whose successors were explored.
     pub states: usize,
-    /// The greatest distance from a start of a state that was followed.
+    /// The maximum distance of these states from an initial state.
     pub depth: usize,
-    /// Whether no state was left out for a bound: without a violation, the properties hold in every reachable state.
+    /// Whether no bound has limited the exploration. If so and without a violation, the properties hold in every
+    /// reachable state.
     pub complete: bool,
-    /// The shortest way to a violated property, if there is one.
+    /// A shortest trace to a violated property, if there is one.
     pub violation: Option<Trace>,
 }
 
-/// A state with its distance from the start, which is no part of its identity.
+/// A state with its distance from an initial state. Equality ignores the distance.
 #[derive(Clone)]
 struct Node<S> {
     state: S,
@@ -111,25 +114,25 @@
 
 /// Explores `specification` within `bounds`.
 pub fn explore<S: Specification>(specification: &S, bounds: Bounds) -> Exploration {
-    let starts: Vec<Node<S::State>> =
+    let initial_nodes: Vec<Node<S::State>> =
         specification.initial_states().into_iter().map(|state| Node { state, depth: 0 }).collect();
     let progress = RefCell::new(Exploration { states: 0, depth: 0, complete: true, violation: None });
-    let successors = |node: &Node<S::State>| follow(specification, node, bounds, &progress);
-    let found = Cell::new(None);
+    let successors = |node: &Node<S::State>| bounded_successors(specification, node, bounds, &progress);
+    let violated = Cell::new(None);
     let success = |node: &Node<S::State>| {
         let property = specification.violated(&node.state);
-        found.set(property);
+        violated.set(property);
         property.is_some()
     };
-    let path = bfs(starts.iter().collect::<NodeRefs<_>>(), successors, success);
+    let path = bfs(initial_nodes.iter().collect::<NodeRefs<_>>(), successors, success);
     let mut exploration = progress.into_inner();
-    if let (Some(path), Some(property)) = (path, found.get()) {
+    if let (Some(path), Some(property)) = (path, violated.get()) {
         exploration.violation = Some(Trace { property, steps: label_path(specification, &path) });
     }
     exploration
 }
 
-fn follow<S: Specification>(
+fn bounded_successors<S: Specification>(
     specification: &S,
     node: &Node<S::State>,
     bounds: Bounds,
@@ -151,7 +154,7 @@
     successors.into_iter().map(|(_, state)| Node { state, depth }).collect()
 }
 
-/// Finds the labels again that lead from each state of the path to the next.
+/// Recomputes the labels of the actions along the path, since the search does not store them.
 fn label_path<S: Specification>(specification: &S, path: &[Node<S::State>]) -> Vec<String> {
     path.windows(2)
         .filter_map(|pair| {
--- a/crates/model/src/explore_tests.rs
+++ b/crates/model/src/explore_tests.rs
@@ -1,6 +1,6 @@
 use super::{explore, ActionLabel, Bounds, Property, Specification};
 
-/// Two counters that rise by one, up to a limit; the property is that they never meet at the forbidden value.
+/// Two counters that each increase by one up to a limit. The property is violated if both have the forbidden value.
 struct Counters {
     limit: u8,
     forbidden: Option<u8>,
@@ -14,9 +14,9 @@
     }
 
     fn successors(&self, (first, second): &(u8, u8)) -> Vec<(ActionLabel, (u8, u8))> {
-        let both = [("first", (first + 1, *second)), ("second", (*first, second + 1))];
+        let increments = [("first", (first + 1, *second)), ("second", (*first, second + 1))];
         let allowed = |(_, (first, second)): &(&str, (u8, u8))| *first <= self.limit && *second <= self.limit;
-        both.into_iter().filter(allowed).map(|(label, state)| (label.into(), state)).collect()
+        increments.into_iter().filter(allowed).map(|(label, state)| (label.into(), state)).collect()
     }
 
     fn violated(&self, (first, second): &(u8, u8)) -> Option<Property> {
@@ -24,26 +24,26 @@
     }
 }
 
-const ENOUGH: Bounds = Bounds { depth: 100, states: 1_000 };
+const AMPLE_BOUNDS: Bounds = Bounds { depth: 100, states: 1_000 };
 
 #[test]
-fn all_states_are_counted_once() {
-    let exploration = explore(&Counters { limit: 4, forbidden: None }, ENOUGH);
+fn every_state_is_counted_once() {
+    let exploration = explore(&Counters { limit: 4, forbidden: None }, AMPLE_BOUNDS);
     assert_eq!((exploration.states, exploration.depth, exploration.complete), (24, 7, true));
     assert_eq!(exploration.violation, None);
 }
 
 #[test]
 fn the_trace_is_a_shortest_one() {
-    let exploration = explore(&Counters { limit: 4, forbidden: Some(2) }, ENOUGH);
+    let exploration = explore(&Counters { limit: 4, forbidden: Some(2) }, AMPLE_BOUNDS);
     let trace = exploration.violation.expect("the counters meet");
     assert_eq!((trace.property, trace.steps.len()), (Property("apart"), 3));
 }
 
 #[test]
-fn what_a_bound_leaves_out_is_said() {
+fn a_limited_exploration_is_reported_as_incomplete() {
     let counters = Counters { limit: 4, forbidden: Some(4) };
-    for bounds in [Bounds { depth: 3, ..ENOUGH }, Bounds { states: 10, ..ENOUGH }] {
+    for bounds in [Bounds { depth: 3, ..AMPLE_BOUNDS }, Bounds { states: 10, ..AMPLE_BOUNDS }] {
         let exploration = explore(&counters, bounds);
         assert!(!exploration.complete && exploration.violation.is_none());
     }
--- a/crates/model/src/intern.rs
+++ b/crates/model/src/intern.rs
@@ -1,14 +1,14 @@
-//! Gives equal values one small number, so that states of the world are small and quickly compared.
+//! Interns values: equal values have the same small ID, so that states are small and cheap to compare.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// The number of a value in its [`Interner`].
+/// The ID of a value in its [`Interner`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InternedId(pub u32);
 
-/// All values of one kind that came up in an exploration.
+/// All values of one type that an exploration has reached.
 #[derive(Debug)]
 pub struct Interner<T> {
     ids: HashMap<Rc<T>, InternedId>,
@@ -22,7 +22,7 @@
 }
 
 impl<T: Eq + Hash> Interner<T> {
-    /// The number of `value`, a new one if it did not come up before.
+    /// Returns the ID of `value`, a new one if it was not interned before.
     pub fn id(&mut self, value: T) -> InternedId {
         if let Some(id) = self.ids.get(&value) {
             return *id;
@@ -34,13 +34,13 @@
         id
     }
 
-    /// The value of a number that [`Interner::id`] gave.
+    /// Returns the value of an ID that [`Interner::id`] has returned.
     pub fn value(&self, id: InternedId) -> Rc<T> {
         Rc::clone(&self.values[id.0 as usize])
     }
 }
 
-/// A set of interned values that only grows.
+/// A set of interned values, stored as a bit set. Values are never removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct InternedSet(Vec<u64>);
 
@@ -59,7 +59,7 @@
         self.0.get(id.0 as usize / 64).is_some_and(|word| word >> (id.0 % 64) & 1 == 1)
     }
 
-    /// The values in ascending order of their numbers.
+    /// Returns the IDs of the values in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = InternedId> + '_ {
         self.0.iter().enumerate().flat_map(|(word, bits)| {
             (0..64).filter(move |bit| bits >> bit & 1 == 1).map(move |bit| InternedId(word as u32 * 64 + bit))
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small specifications of the core protocols, explored exhaustively.
+//! Models of the core protocols, which are explored exhaustively.
 //!
-//! [`list`] names the models with their properties and mutations, [`run`] explores one. A mutation takes one check out
-//! of the protocol and must lead to a violated property, or the property proves nothing. `docs/MODEL.md` maps the rules
-//! to the code that carries them.
+//! [`list`] returns the models with their properties and mutations, [`run`] explores one. A mutation disables one check
+//! of the protocol and must lead to a violated property; otherwise the property would prove nothing.
+//! `docs/MODEL.md` maps the rules to the code that implements them.
 
 pub mod claims;
 pub mod explore;
@@ -15,25 +15,25 @@
 
 pub use explore::{explore, ActionLabel, Bounds, Exploration, Property, Specification, Trace};
 
-/// What a model is about.
+/// The description of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelInfo {
-    /// The name by which it is run.
+    /// The name of the model, as passed to [`run`].
     pub name: &'static str,
-    /// What may happen in it, and up to where it is explored.
+    /// The actions that may happen in the model and its bounds.
     pub description: &'static str,
-    /// The properties that hold in every state.
+    /// The properties that must hold in every state.
     pub properties: Vec<Property>,
-    /// The checks that can be taken out, each with a violated property as the consequence.
+    /// The checks that can be disabled. Without any one of them, some property is violated.
     pub mutations: Vec<&'static str>,
 }
 
-/// A model that can be run; each protocol's module gives its models as a `models()` function.
+/// A model that can be run. The module of each protocol returns its models from a function `models`.
 #[derive(Clone)]
 pub struct Model {
-    /// What it is about.
+    /// The description of the model.
     pub info: ModelInfo,
-    /// Explores it, with one of the named mutations or none.
+    /// Explores the model, with one of its mutations or none.
     pub explore: fn(mutation: Option<&str>) -> Exploration,
 }
 
@@ -43,38 +43,38 @@
     /// No model has that name.
     #[display("there is no model {name:?}")]
     UnknownModel {
-        /// The name asked for.
+        /// The requested name.
         name: String,
     },
     /// The model has no mutation of that name.
     #[display("the model {model} has no mutation {mutation:?}")]
     UnknownMutation {
-        /// The model.
+        /// The name of the model.
         model: &'static str,
-        /// The mutation asked for.
+        /// The requested mutation.
         mutation: String,
     },
 }
 
-/// All models.
+/// Returns the descriptions of all models.
 pub fn list() -> Vec<ModelInfo> {
-    registry().into_iter().map(|model| model.info).collect()
+    all_models().into_iter().map(|model| model.info).collect()
 }
 
-/// Explores the model `name`, with the check called `mutation` taken out, if one is named.
+/// Explores the model `name`, without the check called `mutation` if one is given.
 ///
 /// # Errors
 ///
 /// Returns [`ModelError`] if there is no such model or mutation.
 pub fn run(name: &str, mutation: Option<&str>) -> Result<Exploration, ModelError> {
     let unknown = || ModelError::UnknownModel { name: name.to_owned() };
-    let model = registry().into_iter().find(|model| model.info.name == name).ok_or_else(unknown)?;
+    let model = all_models().into_iter().find(|model| model.info.name == name).ok_or_else(unknown)?;
     if let Some(mutation) = mutation.filter(|mutation| !model.info.mutations.contains(mutation)) {
         return Err(ModelError::UnknownMutation { model: model.info.name, mutation: mutation.to_owned() });
     }
     Ok((model.explore)(mutation))
 }
 
-fn registry() -> Vec<Model> {
+fn all_models() -> Vec<Model> {
     [claims::models(), group::models(), retry_tokens::models(), slot_move::models()].concat()
 }
