--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -118,15 +118,15 @@
         specification.initial_states().into_iter().map(|state| Node { state, depth: 0 }).collect();
     let progress = RefCell::new(Exploration { states: 0, depth: 0, complete: true, violation: None });
     let successors = |node: &Node<S::State>| bounded_successors(specification, node, bounds, &progress);
-    let violated = Cell::new(None);
+    let violated_property = Cell::new(None);
     let success = |node: &Node<S::State>| {
         let property = specification.violated(&node.state);
-        violated.set(property);
+        violated_property.set(property);
         property.is_some()
     };
     let path = bfs(initial_nodes.iter().collect::<NodeRefs<_>>(), successors, success);
     let mut exploration = progress.into_inner();
-    if let (Some(path), Some(property)) = (path, violated.get()) {
+    if let (Some(path), Some(property)) = (path, violated_property.get()) {
         exploration.violation = Some(Trace { property, steps: label_path(specification, &path) });
     }
     exploration
--- a/crates/standins/tests/standins.rs
+++ b/crates/standins/tests/standins.rs
@@ -38,12 +38,12 @@
 async fn load_against(faults: BackendFaults, kind: RequestKind) -> (LoadSummary, u64) {
     let backend = Backend::start(any_loopback(), options()).await.unwrap();
     backend.behaviour.set_faults(faults);
-    let mut load = load(backend.address(), kind);
-    load.shares[0].path = "/directory/people".to_owned();
-    if matches!(load.shares[0].kind, RequestKind::Download { .. }) {
-        load.shares[0].path = "/directory".to_owned();
+    let mut load_options = load(backend.address(), kind);
+    load_options.shares[0].path = "/directory/people".to_owned();
+    if matches!(load_options.shares[0].kind, RequestKind::Download { .. }) {
+        load_options.shares[0].path = "/directory".to_owned();
     }
-    let summary = run(load).await.unwrap();
+    let summary = run(load_options).await.unwrap();
     (summary, backend.behaviour.runs.started())
 }
 
