--- a/crates/model/src/retry_tokens/transitions.rs
+++ b/crates/model/src/retry_tokens/transitions.rs
@@ -181,7 +181,7 @@
                 continue;
             };
             // The attempts of a call may be at several gates (`next`) or at one gate (`shared`). One gate identifies
-            // the lender only by the parent call, so it returns a child's tokens to the latest attempt that lent any.
+            // the lender only by the parent call, so it returns a child's tokens to the latest attempt first.
             let mut shared = next.clone();
             for _ in 0..if checks.return_once { 1 } else { 2 } {
                 next.attempts[index].account.take_back(tokens);
