--- a/crates/model/src/slot_move/agreed.rs
+++ b/crates/model/src/slot_move/agreed.rs
@@ -40,23 +40,23 @@
 
 /// An agreed state. Equality ignores the history, on which no decision depends.
 #[derive(Debug)]
-struct Agreed(ServiceState);
+struct AgreedState(ServiceState);
 
-impl Agreed {
+impl AgreedState {
     fn identity(&self) -> (&SiteName, Epoch, Option<&SlotRecord>) {
         (self.0.site(), self.0.epoch(), self.0.slot(SLOT))
     }
 }
 
-impl PartialEq for Agreed {
+impl PartialEq for AgreedState {
     fn eq(&self, other: &Self) -> bool {
         self.identity() == other.identity()
     }
 }
 
-impl Eq for Agreed {}
+impl Eq for AgreedState {}
 
-impl Hash for Agreed {
+impl Hash for AgreedState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.0.site().hash(hasher);
         self.0.epoch().hash(hasher);
@@ -67,7 +67,7 @@
 /// The states reached so far and the cached results of commands.
 #[derive(Default)]
 pub(super) struct AgreedStates {
-    states: Interner<Agreed>,
+    states: Interner<AgreedState>,
     applied: HashMap<(InternedId, SlotCommand), Option<InternedId>>,
 }
 
@@ -89,7 +89,7 @@
         for command in std::iter::once(found).chain(gates) {
             state.apply(&command).expect("a new state takes its first commands");
         }
-        self.states.id(Agreed(state))
+        self.states.id(AgreedState(state))
     }
 
     /// Applies a command to the real state machine; returns the new state, or `None` if the command is rejected.
@@ -100,7 +100,7 @@
         let mut state = self.states.value(before).0.clone();
         let site = usize::from(*state.site() == site_name(1));
         let applied = state.apply(&real_command(site, command)).is_ok();
-        let after = applied.then(|| self.states.id(Agreed(state)));
+        let after = applied.then(|| self.states.id(AgreedState(state)));
         self.applied.insert((before, command), after);
         after
     }
@@ -123,7 +123,7 @@
         Some(SlotCommand::Accept { seal: import.seal_epoch, gate: GATES_PER_SITE - 1 - gate_number(import.owner) })
     }
 
-    fn state(&self, state: InternedId) -> Rc<Agreed> {
+    fn state(&self, state: InternedId) -> Rc<AgreedState> {
         self.states.value(state)
     }
 }
