--- a/crates/control/src/node/parcels.rs
+++ b/crates/control/src/node/claim_transfers.rs
@@ -1,4 +1,4 @@
-//! Claims of slots on their way between sites, at the gates that collect and record them.
+//! Claims of slots in transfer between sites, at the gates that export and import them.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 use crate::message::{GroupBody, SlotClaims, MAXIMUM_PAGE_BYTES};
 use crate::node::ControlNode;
 
-/// Slots whose claims are held at once, each way.
-const MAXIMUM_PARCELS: usize = 64;
+/// The maximum number of slots whose claims are held at once, for each direction.
+const MAX_TRANSFERS: usize = 64;
 
 #[derive(Clone, Debug)]
-struct Collection {
+struct ClaimExport {
     epoch: Epoch,
-    asker: NodeId,
+    requester: NodeId,
     pages: Option<Vec<SlotClaims>>,
 }
 
 #[derive(Clone, Debug)]
-struct Delivery {
+struct ClaimImport {
     epoch: Epoch,
     pages: BTreeMap<u32, SlotClaims>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Parcels {
-    collections: BTreeMap<SlotId, Collection>,
-    deliveries: BTreeMap<SlotId, Delivery>,
+pub(crate) struct ClaimTransfers {
+    exports: BTreeMap<SlotId, ClaimExport>,
+    imports: BTreeMap<SlotId, ClaimImport>,
 }
 
 fn into_pages(slot: SlotId, epoch: Epoch, claims: &[EncodedClaim]) -> Vec<SlotClaims> {
@@ -45,12 +45,12 @@
         }
     }
     let count = u32::try_from(pages.len()).unwrap_or(u32::MAX);
-    let numbered = pages.into_iter().zip(0..);
-    numbered.map(|(claims, page)| SlotClaims { slot, epoch, page, pages: count, claims }).collect()
+    let numbered_pages = pages.into_iter().zip(0..);
+    numbered_pages.map(|(claims, page)| SlotClaims { slot, epoch, page, pages: count, claims }).collect()
 }
 
 impl ControlNode {
-    /// The leader has this gate collect the claims of a sealed slot.
+    /// Handles the leader's request to collect the claims of a sealed slot.
     pub(crate) fn on_export(
         &mut self,
         from: NodeId,
@@ -59,20 +59,20 @@
         epoch: Epoch,
         outputs: &mut Vec<ControlOutput>,
     ) {
-        let collections = &mut self.parcels.collections;
-        let known = collections.get_mut(&slot).filter(|collection| collection.epoch == epoch);
-        if let Some(collection) = known {
-            collection.asker = from;
-            if let Some(pages) = collection.pages.clone() {
+        let exports = &mut self.claim_transfers.exports;
+        let known = exports.get_mut(&slot).filter(|export| export.epoch == epoch);
+        if let Some(export) = known {
+            export.requester = from;
+            if let Some(pages) = export.pages.clone() {
                 self.send_pages(from, service, pages, outputs);
                 return;
             }
         }
-        if collections.len() >= MAXIMUM_PARCELS {
-            collections.pop_first();
+        if exports.len() >= MAX_TRANSFERS {
+            exports.pop_first();
         }
-        collections.insert(slot, Collection { epoch, asker: from, pages: None });
-        // Asked again, the claim owner is told again: it ignores what comes before the table that says sealed.
+        exports.insert(slot, ClaimExport { epoch, requester: from, pages: None });
+        // Each retry is passed on: the claim owner ignores an export that arrives before the table with the seal.
         outputs.push(ControlOutput::ExportSlot { service: service.clone(), slot, epoch });
     }
 
@@ -84,14 +84,14 @@
         claims: &[EncodedClaim],
         outputs: &mut Vec<ControlOutput>,
     ) {
-        let collections = &mut self.parcels.collections;
-        let Some(collection) = collections.get_mut(&slot).filter(|collection| collection.epoch == epoch) else {
+        let exports = &mut self.claim_transfers.exports;
+        let Some(export) = exports.get_mut(&slot).filter(|export| export.epoch == epoch) else {
             return;
         };
         let pages = into_pages(slot, epoch, claims);
-        collection.pages = Some(pages.clone());
-        let asker = collection.asker;
-        self.send_pages(asker, service, pages, outputs);
+        export.pages = Some(pages.clone());
+        let requester = export.requester;
+        self.send_pages(requester, service, pages, outputs);
     }
 
     fn send_pages(&self, to: NodeId, service: &ServiceName, pages: Vec<SlotClaims>, outputs: &mut Vec<ControlOutput>) {
@@ -101,26 +101,26 @@
         }
     }
 
-    /// The leader has this gate take a slot over: a page of its claims.
+    /// Handles one page of the claims that the leader sends for the import of a slot.
     pub(crate) fn on_import(&mut self, service: &ServiceName, claims: SlotClaims, outputs: &mut Vec<ControlOutput>) {
         let (slot, epoch, count) = (claims.slot, claims.epoch, claims.pages);
-        let deliveries = &mut self.parcels.deliveries;
-        if deliveries.get(&slot).is_none_or(|known| known.epoch < epoch) {
-            if deliveries.len() >= MAXIMUM_PARCELS {
-                deliveries.pop_first();
+        let imports = &mut self.claim_transfers.imports;
+        if imports.get(&slot).is_none_or(|known| known.epoch < epoch) {
+            if imports.len() >= MAX_TRANSFERS {
+                imports.pop_first();
             }
-            deliveries.insert(slot, Delivery { epoch, pages: BTreeMap::new() });
+            imports.insert(slot, ClaimImport { epoch, pages: BTreeMap::new() });
         }
-        let Some(delivery) = deliveries.get_mut(&slot).filter(|known| known.epoch == epoch) else {
+        let Some(import) = imports.get_mut(&slot).filter(|known| known.epoch == epoch) else {
             return;
         };
-        delivery.pages.insert(claims.page, claims);
-        let complete = delivery.pages.len() as u32 == count;
+        import.pages.insert(claims.page, claims);
+        let complete = import.pages.len() as u32 == count;
         if !complete {
             return;
         }
-        // The leader sends again until it hears that the slot is open; the claim owner answers a repeated import.
-        let pages = std::mem::take(&mut delivery.pages);
+        // The leader resends the claims until the slot is open, and the claim owner also answers a repeated import.
+        let pages = std::mem::take(&mut import.pages);
         let claims = pages.into_values().flat_map(|page| page.claims).collect();
         outputs.push(ControlOutput::ImportSlot { service: service.clone(), slot, epoch, claims });
     }
--- a/crates/control/src/node/configuration.rs
+++ b/crates/control/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: the highest revision wins, from whatever source, and spreads from node to node.
+//! The configuration in force: the node accepts the highest revision from any source and exchanges it with its peers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 
 use crate::io::{ControlEvent, ControlOutput, Recipient};
 use crate::message::{ConfigurationContent, ControlMessage};
-use crate::node::pages::{into_pages, PageGatherer};
+use crate::node::pages::{into_pages, PageAssembler};
 use crate::node::ControlNode;
 use crate::state::RetryLimits;
 
-/// Earlier configurations kept, so that a peer that is a little behind gets the difference only.
-const MAXIMUM_EARLIER: usize = 8;
+/// The number of earlier configurations retained, so that a peer a few revisions behind receives only the difference.
+const MAX_EARLIER_CONFIGURATIONS: usize = 8;
 
-/// The least time between two questions to peers that turned out to be ahead.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
+/// The minimum time between two queries to peers with a higher revision.
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ConfigurationStore {
     current: Option<Arc<Configuration>>,
     earlier: VecDeque<Arc<Configuration>>,
-    gatherer: PageGatherer,
-    asked_at: Option<Timestamp>,
+    assembler: PageAssembler,
+    queried_at: Option<Timestamp>,
     gossip_at: Timestamp,
 }
 
@@ -38,15 +38,15 @@
     }
 
     fn replace(&mut self, configuration: Arc<Configuration>) {
-        if let Some(before) = self.current.replace(configuration) {
-            self.earlier.push_back(before);
+        if let Some(previous) = self.current.replace(configuration) {
+            self.earlier.push_back(previous);
         }
-        if self.earlier.len() > MAXIMUM_EARLIER {
+        if self.earlier.len() > MAX_EARLIER_CONFIGURATIONS {
             self.earlier.pop_front();
         }
     }
 
-    /// What a node with `revision` lacks.
+    /// The changes since `revision`, or the whole configuration if that revision is no longer retained.
     fn content_since(&self, revision: Revision) -> ConfigurationContent {
         let Some(current) = self.current.as_ref().filter(|current| current.revision > revision) else {
             return ConfigurationContent::Nothing;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The configuration that the content stands for, if it can be told from what is in force.
+    /// The configuration that `content` describes; `None` if it is a difference from a revision that isn't in force.
     fn resolve(&self, content: ConfigurationContent) -> Option<Arc<Configuration>> {
         match content {
             ConfigurationContent::Nothing => None,
@@ -77,14 +77,19 @@
 fn difference(base: &Configuration, current: &Configuration) -> ConfigurationContent {
     let mut changed = current.clone();
     changed.services.retain(|name, service| base.services.get(name) != Some(service));
-    let gone = base.services.keys().filter(|name| !current.services.contains_key(*name));
-    let removed = gone.cloned().collect();
+    let removed_names = base.services.keys().filter(|name| !current.services.contains_key(*name));
+    let removed = removed_names.cloned().collect();
     ConfigurationContent::Difference { base: base.revision, changed: Arc::new(changed), removed }
 }
 
 impl ControlNode {
-    /// Takes a configuration into force if it is this deployment's and newer than the one in force.
-    pub(crate) fn offer(&mut self, now: Timestamp, offered: Arc<Configuration>, outputs: &mut Vec<ControlOutput>) {
+    /// Puts `offered` in force if it belongs to this deployment and is newer than the configuration in force.
+    pub(crate) fn accept_if_newer(
+        &mut self,
+        now: Timestamp,
+        offered: Arc<Configuration>,
+        outputs: &mut Vec<ControlOutput>,
+    ) {
         if offered.deployment != self.settings.deployment {
             self.event(ControlEvent::ForeignConfiguration { offered: offered.deployment.to_string() }, outputs);
             return;
@@ -102,24 +107,25 @@
         self.configuration.replace(offered);
         self.event(ControlEvent::ConfigurationAccepted { revision }, outputs);
         self.publish_configuration(outputs);
-        self.set_up_gate();
+        self.configure_gate();
         self.join_groups(now, outputs);
-        self.ask_peers_until_ready(now, outputs);
+        self.query_peers_until_ready(now, outputs);
     }
 
-    /// Hands out the configuration with the retry limits that plans have changed, if that is news.
+    /// Publishes the configuration with the retry limits that plans have set, if it differs from the last one
+    /// published.
     pub(crate) fn publish_configuration(&mut self, outputs: &mut Vec<ControlOutput>) {
         let Some(current) = self.configuration.current() else {
             return;
         };
-        let effective = self.with_changed_retries(current);
+        let effective = self.with_plan_retries(current);
         if self.published.as_ref() != Some(&effective) {
             self.published = Some(effective.clone());
             outputs.push(ControlOutput::Configuration(effective));
         }
     }
 
-    fn with_changed_retries(&self, configuration: &Arc<Configuration>) -> Arc<Configuration> {
+    fn with_plan_retries(&self, configuration: &Arc<Configuration>) -> Arc<Configuration> {
         let limits: BTreeMap<&ServiceName, &Vec<RetryLimits>> = self.tables.retries(&self.settings.site).collect();
         if limits.values().all(|limits| limits.is_empty()) {
             return configuration.clone();
@@ -147,13 +153,13 @@
         revision: Revision,
         outputs: &mut Vec<ControlOutput>,
     ) {
-        let asked_lately = self.configuration.asked_at.is_some_and(|at| now.since(at) < ASK_INTERVAL);
-        if revision <= self.configuration.revision() || asked_lately {
+        let queried_recently = self.configuration.queried_at.is_some_and(|at| now.since(at) < QUERY_INTERVAL);
+        if revision <= self.configuration.revision() || queried_recently {
             return;
         }
-        self.configuration.asked_at = Some(now);
-        let ask = ControlMessage::AskConfiguration { revision: self.configuration.revision() };
-        self.send(Recipient::Run(from), ask, outputs);
+        self.configuration.queried_at = Some(now);
+        let query = ControlMessage::AskConfiguration { revision: self.configuration.revision() };
+        self.send(Recipient::Run(from), query, outputs);
     }
 
     pub(crate) fn on_ask_configuration(
@@ -182,21 +188,21 @@
         content: ConfigurationContent,
         outputs: &mut Vec<ControlOutput>,
     ) {
-        let Some(content) = self.configuration.gatherer.gather((from, revision), page, content) else {
+        let Some(content) = self.configuration.assembler.add_page((from, revision), page, content) else {
             return;
         };
         if let Some(configuration) = self.configuration.resolve(content) {
-            self.offer(now, configuration, outputs);
+            self.accept_if_newer(now, configuration, outputs);
         }
-        // Only an answer whose content is in force counts: a difference that did not fit is asked for again.
+        // An answer counts for readiness only if its revision is in force; otherwise the node queries the peer again.
         if revision <= self.configuration.revision() {
-            self.on_peer_asked(from, outputs);
+            self.on_peer_answered(from, outputs);
         } else {
             self.on_peer_revision(now, from, revision, outputs);
         }
     }
 
-    /// Compares revisions with one random peer, so that news reaches nodes that exchange nothing else.
+    /// Compares revisions with one random peer, so that new configurations reach nodes that exchange no other messages.
     pub(crate) fn gossip_if_due(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
         if now.since(self.configuration.gossip_at) < self.settings.timing.gossip {
             return;
@@ -205,11 +211,11 @@
         let Some(peer) = self.random_peer() else {
             return;
         };
-        let ask = ControlMessage::AskConfiguration { revision: self.configuration.revision() };
-        self.send(Recipient::Address(peer), ask, outputs);
+        let query = ControlMessage::AskConfiguration { revision: self.configuration.revision() };
+        self.send(Recipient::Address(peer), query, outputs);
     }
 
-    /// A member that answers; before any is known, any address that this node has heard of.
+    /// A random live member, or any known address if no member is known yet.
     fn random_peer(&mut self) -> Option<NodeAddress> {
         if let Some(peer) = self.members.keys().choose(&mut self.random) {
             return Some(*peer);
@@ -217,7 +223,7 @@
         self.known_addresses().into_iter().choose(&mut self.random)
     }
 
-    /// Every peer address that this node has heard of, in ascending order.
+    /// Every known peer address, in ascending order.
     pub(crate) fn known_addresses(&self) -> Vec<NodeAddress> {
         let listed = self.machines.keys().chain(self.members.keys()).copied();
         let mut addresses: std::collections::BTreeSet<NodeAddress> = listed.collect();
--- a/crates/control/src/node/desk.rs
+++ b/crates/control/src/node/forwarder.rs
@@ -1,4 +1,4 @@
-//! Operators' requests at the node that was asked: answered here, or carried to the group that they concern.
+//! Operators' requests at the node that received them: answered locally or forwarded to the group that they concern.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 use crate::node::ControlNode;
 use crate::operator::{finding, group_prefix, Intent, OperatorReply, OperatorRequest};
 
-/// Requests on their way at once.
-const MAXIMUM_REQUESTS: usize = 256;
+/// The maximum number of forwarded requests that await a reply.
+const MAX_FORWARDED_REQUESTS: usize = 256;
 
 #[derive(Clone, Debug)]
-struct Carried {
+struct ForwardedRequest {
     request: RequestNumber,
     body: OperatorRequest,
     service: ServiceName,
@@ -26,9 +26,9 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RequestDesk {
+pub(crate) struct RequestForwarder {
     next: u64,
-    carried: BTreeMap<u64, Carried>,
+    forwarded: BTreeMap<u64, ForwardedRequest>,
 }
 
 type Route = Result<(ServiceName, SiteName), OperatorReply>;
@@ -46,7 +46,7 @@
             OperatorRequest::Plans => self.plans(),
             _ => match self.route(&body) {
                 Ok((service, site)) => {
-                    self.carry(now, request, body, service, site, outputs);
+                    self.forward(now, request, body, service, site, outputs);
                     return;
                 }
                 Err(refusal) => refusal,
@@ -67,7 +67,7 @@
             }
             OperatorRequest::Explain { id } => route_plan(configuration, "id", id),
             OperatorRequest::AcceptLoss { service } => {
-                known_service(configuration, service)?;
+                configured_service(configuration, service)?;
                 Ok((service.clone(), self.settings.site.clone()))
             }
             OperatorRequest::Plans | OperatorRequest::Status { .. } => {
@@ -97,7 +97,7 @@
                 })
             }
             Intent::ChangeRetries { service, class, ratio, .. } => {
-                let configured = known_service(configuration, service)?;
+                let configured = configured_service(configuration, service)?;
                 if configured.class(class).is_none() {
                     let problem = format!("{service} has no class {class}");
                     return Err(OperatorReply::refused("intent.class", problem, "check the configuration"));
@@ -106,7 +106,8 @@
                     let problem = format!("a ratio of {ratio} percent is outside 0 to 100");
                     return Err(OperatorReply::refused("intent.ratio", problem, "give a ratio from 0 to 100"));
                 }
-                // One group runs all changes of a service's retries, so that the last one is the same everywhere.
+                // A single group commits all changes of a service's retries, so that the last change is the same at
+                // every site.
                 let first = configured.targets.iter().map(|target| &target.site).min();
                 let site = first.unwrap_or(&self.settings.site);
                 Ok((service.clone(), site.clone()))
@@ -115,7 +116,7 @@
         }
     }
 
-    fn carry(
+    fn forward(
         &mut self,
         now: Timestamp,
         request: RequestNumber,
@@ -124,15 +125,16 @@
         site: SiteName,
         outputs: &mut Vec<ControlOutput>,
     ) {
-        if self.desk.carried.len() >= MAXIMUM_REQUESTS {
+        if self.forwarder.forwarded.len() >= MAX_FORWARDED_REQUESTS {
             let reply = OperatorReply::refused("node", "too many requests are on their way", "ask again in a moment");
             outputs.push(ControlOutput::Operator { request, reply: Box::new(reply) });
             return;
         }
-        self.desk.next += 1;
-        let number = self.desk.next;
-        let carried = Carried { request, body, service, site, leader: None, attempt: 0, since: now, sent_at: now };
-        self.desk.carried.insert(number, carried);
+        self.forwarder.next += 1;
+        let number = self.forwarder.next;
+        let forwarded =
+            ForwardedRequest { request, body, service, site, leader: None, attempt: 0, since: now, sent_at: now };
+        self.forwarder.forwarded.insert(number, forwarded);
         self.send_request(now, number, outputs);
     }
 
@@ -140,52 +142,52 @@
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
         };
-        let Some(carried) = self.desk.carried.get_mut(&number) else {
+        let Some(forwarded) = self.forwarder.forwarded.get_mut(&number) else {
             return;
         };
-        carried.sent_at = now;
-        let member = nth_member(&configuration, &carried.service, &carried.site, carried.attempt);
-        let Some(recipient) = carried.leader.map(Recipient::Run).or(member.map(Recipient::Address)) else {
+        forwarded.sent_at = now;
+        let member = nth_member(&configuration, &forwarded.service, &forwarded.site, forwarded.attempt);
+        let Some(recipient) = forwarded.leader.map(Recipient::Run).or(member.map(Recipient::Address)) else {
             return;
         };
-        let body = GroupBody::Request { number, request: Box::new(carried.body.clone()) };
-        let (service, site) = (carried.service.clone(), carried.site.clone());
+        let body = GroupBody::Request { number, request: Box::new(forwarded.body.clone()) };
+        let (service, site) = (forwarded.service.clone(), forwarded.site.clone());
         self.send_about(recipient, &service, &site, body, outputs);
     }
 
     pub(crate) fn resend_requests(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
         let timing = self.settings.timing.clone();
-        let numbers: Vec<u64> = self.desk.carried.keys().copied().collect();
+        let numbers: Vec<u64> = self.forwarder.forwarded.keys().copied().collect();
         for number in numbers {
-            let Some(carried) = self.desk.carried.get_mut(&number) else {
+            let Some(forwarded) = self.forwarder.forwarded.get_mut(&number) else {
                 continue;
             };
-            if now.since(carried.since) >= timing.request_patience {
-                self.give_up(number, outputs);
-            } else if now.since(carried.sent_at) >= timing.resend {
-                carried.attempt += 1;
-                carried.leader = None;
+            if now.since(forwarded.since) >= timing.request_patience {
+                self.time_out_request(number, outputs);
+            } else if now.since(forwarded.sent_at) >= timing.resend {
+                forwarded.attempt += 1;
+                forwarded.leader = None;
                 self.send_request(now, number, outputs);
             }
         }
     }
 
-    fn give_up(&mut self, number: u64, outputs: &mut Vec<ControlOutput>) {
-        let Some(carried) = self.desk.carried.remove(&number) else {
+    fn time_out_request(&mut self, number: u64, outputs: &mut Vec<ControlOutput>) {
+        let Some(forwarded) = self.forwarder.forwarded.remove(&number) else {
             return;
         };
         let problem = format!(
             "no leader of the group of {} at {} answers: it has no majority, or cannot be reached from here",
-            carried.service, carried.site
+            forwarded.service, forwarded.site
         );
-        let changes_something = !matches!(carried.body, OperatorRequest::Plan { .. } | OperatorRequest::Explain { .. });
-        let reply = if changes_something {
+        let changes_state = !matches!(forwarded.body, OperatorRequest::Plan { .. } | OperatorRequest::Explain { .. });
+        let reply = if changes_state {
             let problem = format!("{problem}; ask `plans` once it answers, or ask the same again");
             OperatorReply::Undecided { problem }
         } else {
             OperatorReply::refused("group", problem, "ask a node on the other side of a cut link, or wait")
         };
-        outputs.push(ControlOutput::Operator { request: carried.request, reply: Box::new(reply) });
+        outputs.push(ControlOutput::Operator { request: forwarded.request, reply: Box::new(reply) });
     }
 
     pub(crate) fn on_not_leader(
@@ -199,27 +201,26 @@
         if *site == self.settings.site {
             self.on_gate_not_leader(service, leader);
         }
-        let concerned =
-            self.desk.carried.iter().filter(|(_, carried)| {
-                carried.service == *service && carried.site == *site && carried.leader.is_none()
-            });
-        let numbers: Vec<u64> = concerned.map(|(number, _)| *number).collect();
+        let without_leader = self.forwarder.forwarded.iter().filter(|(_, forwarded)| {
+            forwarded.service == *service && forwarded.site == *site && forwarded.leader.is_none()
+        });
+        let numbers: Vec<u64> = without_leader.map(|(number, _)| *number).collect();
         for number in numbers {
-            if let Some(carried) = self.desk.carried.get_mut(&number).filter(|_| leader.is_some()) {
-                carried.leader = leader;
+            if let Some(forwarded) = self.forwarder.forwarded.get_mut(&number).filter(|_| leader.is_some()) {
+                forwarded.leader = leader;
                 self.send_request(now, number, outputs);
             }
         }
     }
 
     pub(crate) fn on_reply(&mut self, number: u64, reply: &OperatorReply, outputs: &mut Vec<ControlOutput>) {
-        if let Some(carried) = self.desk.carried.remove(&number) {
-            outputs.push(ControlOutput::Operator { request: carried.request, reply: Box::new(reply.clone()) });
+        if let Some(forwarded) = self.forwarder.forwarded.remove(&number) {
+            outputs.push(ControlOutput::Operator { request: forwarded.request, reply: Box::new(reply.clone()) });
         }
     }
 }
 
-fn known_service<'a>(
+fn configured_service<'a>(
     configuration: &'a Configuration,
     service: &ServiceName,
 ) -> Result<&'a ServiceConfiguration, OperatorReply> {
@@ -229,7 +230,7 @@
     })
 }
 
-/// The group whose prefix a plan's id has.
+/// Finds the group of a plan by the prefix of the plan's id.
 fn route_plan(configuration: &Configuration, path: &str, id: &str) -> Route {
     let prefix = id.split('-').next().unwrap_or_default();
     let groups = configuration.services.values().flat_map(|service| {
--- a/crates/control/src/node/gate.rs
+++ b/crates/control/src/node/gate.rs
@@ -1,4 +1,4 @@
-//! The control side of this node's own gate: heartbeats, lease, opening and closing, and the planned stop.
+//! Controls the local gate: heartbeats to the leader, the lease, opening and closing, and the planned stop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::message::{GroupBody, Heartbeat};
 use crate::node::ControlNode;
 
-/// Heartbeats whose sending time is remembered for their answers.
-const MAXIMUM_SENT: usize = 16;
+/// The maximum number of unanswered heartbeats whose send time is retained.
+const MAX_PENDING_HEARTBEATS: usize = 16;
 
-/// Unanswered heartbeats after which another member is tried.
-const TRIES_PER_MEMBER: u32 = 2;
+/// The number of unanswered heartbeats after which the gate tries another member.
+const ATTEMPTS_PER_MEMBER: u32 = 2;
 
 #[derive(Clone, Debug)]
 pub(crate) struct GateClient {
@@ -25,7 +25,7 @@
     connections: u32,
     pub load: LoadReport,
     pub idle: bool,
-    leaving: bool,
+    draining: bool,
     open: Option<bool>,
     was_listed: bool,
     leader: Option<NodeId>,
@@ -35,7 +35,7 @@
     sent: BTreeMap<u64, Timestamp>,
     next_heartbeat: Timestamp,
     leased_until: Option<Timestamp>,
-    unsettled: Option<Epoch>,
+    unacknowledged_epoch: Option<Epoch>,
 }
 
 impl GateClient {
@@ -45,7 +45,7 @@
             connections,
             load: LoadReport::default(),
             idle: false,
-            leaving: false,
+            draining: false,
             open: None,
             was_listed: false,
             leader: None,
@@ -55,17 +55,17 @@
             sent: BTreeMap::new(),
             next_heartbeat: Timestamp::ZERO,
             leased_until: None,
-            unsettled: None,
+            unacknowledged_epoch: None,
         }
     }
 
-    pub fn settled(&mut self, epoch: Epoch) {
-        self.unsettled = Some(epoch);
+    pub fn report_settled(&mut self, epoch: Epoch) {
+        self.unacknowledged_epoch = Some(epoch);
     }
 
-    pub fn settled_known(&mut self, epoch: Epoch) {
-        if self.unsettled.is_some_and(|unsettled| unsettled <= epoch) {
-            self.unsettled = None;
+    pub fn acknowledge_settled(&mut self, epoch: Epoch) {
+        if self.unacknowledged_epoch.is_some_and(|settled| settled <= epoch) {
+            self.unacknowledged_epoch = None;
         }
     }
 
@@ -86,20 +86,20 @@
 }
 
 impl ControlNode {
-    /// Finds the service whose target this node stands before.
-    pub(crate) fn set_up_gate(&mut self) {
+    /// Creates or updates the gate for the service that has a target at this node's address.
+    pub(crate) fn configure_gate(&mut self) {
         let Some(configuration) = self.configuration.current() else {
             return;
         };
-        let me = self.settings.node.address;
+        let own_address = self.settings.node.address;
         let own = configuration.services.values().find_map(|service| {
             let mut targets = service.targets_at(&self.settings.site);
-            let target = targets.find(|target| target.node == me)?;
+            let target = targets.find(|target| target.node == own_address)?;
             Some((service.name.clone(), target.connections))
         });
         let Some((service, connections)) = own else {
-            // Not a target any more: it drains under the last known service and then simply is not listed.
-            self.with_gate(|gate| gate.leaving = true);
+            // The node is no longer a target: its gate drains under the last known service until the table omits it.
+            self.with_gate(|gate| gate.draining = true);
             return;
         };
         match &mut self.gate {
@@ -120,11 +120,11 @@
         gate.next_heartbeat = now + heartbeat_interval;
         gate.sequence += 1;
         gate.sent.insert(gate.sequence, now);
-        if gate.sent.len() > MAXIMUM_SENT {
+        if gate.sent.len() > MAX_PENDING_HEARTBEATS {
             gate.sent.pop_first();
         }
         gate.unanswered += 1;
-        if gate.unanswered > TRIES_PER_MEMBER {
+        if gate.unanswered > ATTEMPTS_PER_MEMBER {
             gate.unanswered = 0;
             gate.leader = None;
             gate.attempt += 1;
@@ -133,14 +133,14 @@
             sequence: gate.sequence,
             zone,
             connections: gate.connections,
-            leaving: gate.leaving,
+            leaving: gate.draining,
             idle: gate.idle && gate.open == Some(false),
             load: std::mem::take(&mut gate.load),
         };
         gate.load = LoadReport { protected_refusals: 0, ..heartbeat.load };
-        let (service, unsettled) = (gate.service.clone(), gate.unsettled);
+        let (service, unacknowledged_epoch) = (gate.service.clone(), gate.unacknowledged_epoch);
         self.send_to_leader(&service, GroupBody::Heartbeat(heartbeat), outputs);
-        if let Some(epoch) = unsettled {
+        if let Some(epoch) = unacknowledged_epoch {
             self.send_to_leader(&service, GroupBody::VotersSettled { epoch }, outputs);
         }
     }
@@ -156,8 +156,8 @@
     fn leader_of(&self, service: &ServiceName) -> Option<Recipient> {
         let hosted = self.hosts.get(service).and_then(|host| host.leader_hint());
         let gate = self.gate.as_ref().filter(|gate| gate.service == *service);
-        let heard = gate.and_then(|gate| gate.leader);
-        if let Some(leader) = hosted.or(heard) {
+        let gate_leader = gate.and_then(|gate| gate.leader);
+        if let Some(leader) = hosted.or(gate_leader) {
             return Some(Recipient::Run(leader));
         }
         let configuration = self.configuration.current()?;
@@ -179,7 +179,7 @@
         gate.leader = Some(from);
         gate.unanswered = 0;
         let service = gate.service.clone();
-        // The lease counts from the sending of the question, so a late answer cannot stretch it.
+        // The lease starts when the heartbeat was sent, so a delayed answer cannot extend it.
         if let Some(sent) = gate.sent.remove(&sequence).filter(|_| !lease.is_zero()) {
             let until = sent + lease;
             if gate.leased_until.is_none_or(|known| until > known) {
@@ -191,8 +191,8 @@
         if newest > known {
             let (generation, epoch) = known;
             let site = self.settings.site.clone();
-            let ask = GroupBody::AskTable { generation, epoch };
-            self.send_about(Recipient::Run(from), &service, &site, ask, outputs);
+            let request = GroupBody::AskTable { generation, epoch };
+            self.send_about(Recipient::Run(from), &service, &site, request, outputs);
         }
     }
 
@@ -204,26 +204,27 @@
         }
     }
 
-    /// Opens or closes the own gate as the agreed table says.
-    pub(crate) fn heed_table(&mut self, table: &ServiceTable, outputs: &mut Vec<ControlOutput>) {
-        let me = self.settings.node;
+    /// Opens or closes the local gate according to its status in the routing table.
+    pub(crate) fn update_gate_from_table(&mut self, table: &ServiceTable, outputs: &mut Vec<ControlOutput>) {
+        let own_node = self.settings.node;
         let closes = self.settings.mechanisms.drain_closes_gate;
         let ready = self.readiness.is_ready();
         let Some(gate) = self.gate.as_mut().filter(|gate| gate.service == table.service) else {
             return;
         };
-        let entry = table.gates.iter().find(|entry| entry.node == me);
+        let entry = table.gates.iter().find(|entry| entry.node == own_node);
         let listed_before = std::mem::replace(&mut gate.was_listed, entry.is_some());
         match entry.map(|entry| entry.status) {
-            Some(GateStatus::Serving) if ready && !gate.leaving => gate.reopen(outputs),
+            Some(GateStatus::Serving) if ready && !gate.draining => gate.reopen(outputs),
             Some(GateStatus::Draining) if closes => gate.close(RefusalReason::Draining, outputs),
             None if listed_before && closes => gate.close(RefusalReason::Draining, outputs),
             _ => {}
         }
     }
 
-    /// The platform lists this machine as leaving, or as live again.
-    pub(crate) fn leave_if_listed(&mut self, outputs: &mut Vec<ControlOutput>) {
+    /// Starts draining the gate if the platform lists this machine as leaving, and stops draining it if the machine is
+    /// live again.
+    pub(crate) fn update_drain_from_platform(&mut self, outputs: &mut Vec<ControlOutput>) {
         let listed = self.machines.get(&self.settings.node.address).copied();
         let stopping = self.stopping.is_some();
         let closes = self.settings.mechanisms.drain_closes_gate;
@@ -232,23 +233,23 @@
         };
         match listed {
             Some(MachineStatus::Leaving) => {
-                gate.leaving = true;
+                gate.draining = true;
                 if closes {
                     gate.close(RefusalReason::Draining, outputs);
                 }
             }
-            Some(MachineStatus::Live) if !stopping => gate.leaving = false,
+            Some(MachineStatus::Live) if !stopping => gate.draining = false,
             _ => {}
         }
-        self.heed_known_table(outputs);
+        self.update_gate_from_known_table(outputs);
     }
 
-    /// The last table counts again when the gate's own wish has changed.
-    pub(crate) fn heed_known_table(&mut self, outputs: &mut Vec<ControlOutput>) {
+    /// Applies the last known table again after readiness or the gate's drain state may have changed.
+    pub(crate) fn update_gate_from_known_table(&mut self, outputs: &mut Vec<ControlOutput>) {
         let service = self.gate.as_ref().map(|gate| gate.service.clone());
         let table = service.and_then(|service| self.tables.get(&service, &self.settings.site).cloned());
         if let Some(table) = table {
-            self.heed_table(&table, outputs);
+            self.update_gate_from_table(&table, outputs);
         }
     }
 
@@ -258,7 +259,7 @@
         }
         self.stopping = Some(now + grace);
         if let Some(gate) = &mut self.gate {
-            gate.leaving = true;
+            gate.draining = true;
             gate.next_heartbeat = now;
             gate.close(RefusalReason::Stopping, outputs);
         }
@@ -276,7 +277,8 @@
         }
     }
 
-    /// After a stop: leaves when nothing runs, no slot is owned and no group needs its vote, or when the grace is over.
+    /// After a stop, reports [`ControlOutput::ReadyToExit`] once no call runs, no slot is owned and no group needs this
+    /// node's vote, or once the grace period has passed.
     pub(crate) fn announce_exit(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
         let Some(deadline) = self.stopping.filter(|_| !self.exit_announced) else {
             return;
@@ -289,20 +291,21 @@
         }
     }
 
-    /// Whether a group that goes on without this node still counts it as a voter.
+    /// Whether this node is still a voter of a group whose electorate no longer contains it.
     ///
-    /// If several nodes were replaced one after the other and left before others had taken their places, the group would
-    /// lose its majority. A node that will come back at the same address keeps its place and is not waited for.
+    /// If several nodes were replaced one after another and exited before their replacements had become voters, the
+    /// group would lose its majority. A node that restarts at the same address remains in the electorate, so its exit
+    /// isn't delayed.
     fn is_vote_needed(&self) -> bool {
         let Some(configuration) = self.configuration.current() else {
             return false;
         };
-        let me = self.settings.node.address;
-        let goes_on_without_me = |service: &ServiceName| {
+        let own_address = self.settings.node.address;
+        let continues_without_node = |service: &ServiceName| {
             let wanted = electorate(configuration, service, &self.settings.site);
-            !wanted.is_empty() && !wanted.contains(&me)
+            !wanted.is_empty() && !wanted.contains(&own_address)
         };
-        self.hosts.iter().any(|(service, host)| host.is_voter() && goes_on_without_me(service))
+        self.hosts.iter().any(|(service, host)| host.is_voter() && continues_without_node(service))
     }
 
     fn owns_slots(&self, service: &ServiceName) -> bool {
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -1,10 +1,10 @@
-//! The control part of one node: configuration, tables, the groups it is a member of, and its own gate.
+//! The control part of one node: its configuration, its routing tables, the groups that it hosts and its local gate.
 
+mod claim_transfers;
 mod configuration;
-mod desk;
+mod forwarder;
 mod gate;
 mod pages;
-mod parcels;
 mod readiness;
 mod status;
 mod tables;
@@ -26,17 +26,18 @@
 use crate::message::{ControlMessage, GroupBody};
 use crate::settings::ControlSettings;
 
+use claim_transfers::ClaimTransfers;
 use configuration::ConfigurationStore;
-use desk::RequestDesk;
+use forwarder::RequestForwarder;
 use gate::GateClient;
-use parcels::Parcels;
 use readiness::Readiness;
 use tables::TableStore;
 
-/// The most messages to itself that a node handles in one step; the rest is handled with the next.
-const MAXIMUM_LOCAL_MESSAGES: usize = 1_024;
+/// The maximum number of messages to itself that a node handles in one step. The rest stays in the
+/// outputs.
+const MAX_LOCAL_MESSAGES: usize = 1_024;
 
-/// The control part of one node; see the module.
+/// The control part of one node, driven by [`ControlInput`]s.
 pub struct ControlNode {
     settings: ControlSettings,
     random: Pcg64,
@@ -46,8 +47,8 @@
     tables: TableStore,
     hosts: BTreeMap<ServiceName, ServiceHost>,
     gate: Option<GateClient>,
-    parcels: Parcels,
-    desk: RequestDesk,
+    claim_transfers: ClaimTransfers,
+    forwarder: RequestForwarder,
     machines: Arc<BTreeMap<NodeAddress, MachineStatus>>,
     members: BTreeMap<NodeAddress, MemberChange>,
     stopping: Option<Timestamp>,
@@ -56,7 +57,8 @@
 }
 
 impl ControlNode {
-    /// A node that knows nothing yet. `seed` drives its random choices of peers and the timeouts of its groups.
+    /// Creates a node without configuration or tables. `seed` determines its random choice of peers and the timeouts of
+    /// its groups.
     pub fn new(settings: ControlSettings, seed: u64) -> Self {
         Self {
             random: Pcg64::seed_from_u64(seed),
@@ -66,8 +68,8 @@
             tables: TableStore::default(),
             hosts: BTreeMap::new(),
             gate: None,
-            parcels: Parcels::default(),
-            desk: RequestDesk::default(),
+            claim_transfers: ClaimTransfers::default(),
+            forwarder: RequestForwarder::default(),
             machines: Arc::default(),
             members: BTreeMap::new(),
             stopping: None,
@@ -77,36 +79,36 @@
         }
     }
 
-    /// Takes one input and appends what must be done to `outputs`.
+    /// Handles one input and appends the resulting actions to `outputs`.
     pub fn step(&mut self, now: Timestamp, input: ControlInput, outputs: &mut Vec<ControlOutput>) {
         let first = outputs.len();
         self.dispatch(now, input, outputs);
         self.handle_local_messages(now, first, outputs);
     }
 
-    /// When the driver should step with [`ControlInput::Tick`].
+    /// The time by which the driver should call [`step`](Self::step) with [`ControlInput::Tick`].
     pub fn next_wake(&self) -> Option<Timestamp> {
         let own = self.last_tick + self.settings.timing.tick;
         let groups = self.hosts.values().filter_map(ServiceHost::next_wake);
         Some(groups.min().map_or(own, |group| group.min(own)))
     }
 
-    /// The configuration revision in force, zero if none; belongs into every envelope.
+    /// The configuration revision in force, or zero if there is none; the driver puts it into every envelope.
     pub fn revision(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// Whether the node may take calls.
+    /// Whether the node may accept calls.
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready()
     }
 
-    /// Messages that a node sends to itself, such as a gate to its leader, never leave it.
+    /// Handles the messages that the node sends to itself, such as a gate's heartbeat to a leader on the same node.
     fn handle_local_messages(&mut self, now: Timestamp, first: usize, outputs: &mut Vec<ControlOutput>) {
         let mut handled = 0;
         let mut position = first;
-        while position < outputs.len() && handled < MAXIMUM_LOCAL_MESSAGES {
-            let local = matches!(&outputs[position], ControlOutput::Send { to, .. } if self.is_me(*to));
+        while position < outputs.len() && handled < MAX_LOCAL_MESSAGES {
+            let local = matches!(&outputs[position], ControlOutput::Send { to, .. } if self.is_local_node(*to));
             if !local {
                 position += 1;
                 continue;
@@ -119,7 +121,7 @@
         }
     }
 
-    fn is_me(&self, recipient: Recipient) -> bool {
+    fn is_local_node(&self, recipient: Recipient) -> bool {
         match recipient {
             Recipient::Run(node) => node == self.settings.node,
             Recipient::Address(address) => address == self.settings.node.address,
@@ -148,7 +150,7 @@
             ControlInput::SlotExported { service, slot, epoch, claims } => {
                 self.on_slot_exported(&service, slot, epoch, &claims, outputs);
             }
-            ControlInput::VotersSettled { epoch, .. } => self.with_gate(|gate| gate.settled(epoch)),
+            ControlInput::VotersSettled { epoch, .. } => self.with_gate(|gate| gate.report_settled(epoch)),
             ControlInput::Member(change) => self.on_member(change),
             ControlInput::FetchTable { service, site } => self.on_fetch_table(now, service, site, outputs),
             ControlInput::Stop { grace } => self.on_stop(now, grace, outputs),
@@ -167,9 +169,9 @@
         self.last_tick = now;
         self.tick_hosts(now, outputs);
         self.tick_gate(now, outputs);
-        self.ask_peers_until_ready(now, outputs);
+        self.query_peers_until_ready(now, outputs);
         self.gossip_if_due(now, outputs);
-        self.ask_due_tables(now, outputs);
+        self.request_due_tables(now, outputs);
         self.resend_requests(now, outputs);
         self.announce_exit(now, outputs);
     }
@@ -181,17 +183,17 @@
         for host in self.hosts.values_mut() {
             host.tick(&mut HostStep { now, configuration: &configuration, outputs });
         }
-        let me = self.settings.node.address;
-        // A node that is no candidate any more goes on until the group has let it go.
-        self.hosts.retain(|_, host| !host.is_outsider() || host.wants(me));
+        let own_address = self.settings.node.address;
+        // A node that is no longer in the electorate hosts the group until the group has removed it.
+        self.hosts.retain(|_, host| !host.is_outsider() || host.wants(own_address));
     }
 
-    /// Hosts a group of every service that this node is in the electorate of.
+    /// Hosts the group of every service whose electorate contains this node.
     pub(crate) fn join_groups(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
         };
-        // A node that stops must not be taken in again: it would be a voter that leaves in a moment.
+        // A stopping node must not rejoin a group: it would become a voter that leaves a moment later.
         if self.stopping.is_some() {
             return;
         }
@@ -268,7 +270,7 @@
             }
             GroupBody::Export { slot, epoch } => self.on_export(from, &service, slot, epoch, outputs),
             GroupBody::Import(claims) => self.on_import(&service, claims, outputs),
-            GroupBody::SettledKnown { epoch } => self.with_gate(|gate| gate.settled_known(epoch)),
+            GroupBody::SettledKnown { epoch } => self.with_gate(|gate| gate.acknowledge_settled(epoch)),
             GroupBody::Table { .. } | GroupBody::NotLeader { .. } | GroupBody::Reply { .. } => {}
             request => self.on_group_request(now, from, service, request, outputs),
         }
@@ -286,7 +288,7 @@
             self.with_host(now, &service, outputs, |host, step| host.on_message(step, from, body));
             return;
         }
-        // A node that holds the table but is no member can still tell it.
+        // A node that is not a member can still answer with a table that it holds.
         if let GroupBody::AskTable { generation, epoch } = body {
             self.answer_table(from, &service, (generation, epoch), outputs);
         }
@@ -326,14 +328,14 @@
         }
     }
 
-    /// Whether the platform listed the same machines before; a list of a large fleet is not stored anew at every reading.
-    fn is_list_known(&self, listed: &[Machine]) -> bool {
+    /// Whether `listed` equals the stored list of machines. Avoids rebuilding a large fleet's list at every reading.
+    fn is_machine_list_unchanged(&self, listed: &[Machine]) -> bool {
         let known = |machine: &Machine| self.machines.get(&machine.address) == Some(&machine.status);
         listed.len() == self.machines.len() && listed.iter().all(known)
     }
 
     fn on_platform(&mut self, now: Timestamp, reading: PlatformReading, outputs: &mut Vec<ControlOutput>) {
-        if !reading.machines.is_empty() && !self.is_list_known(&reading.machines) {
+        if !reading.machines.is_empty() && !self.is_machine_list_unchanged(&reading.machines) {
             let machines = reading.machines.iter().map(|machine| (machine.address, machine.status));
             self.machines = Arc::new(machines.collect());
             for host in self.hosts.values_mut() {
@@ -341,9 +343,9 @@
             }
         }
         if let Some(configuration) = reading.configuration {
-            self.offer(now, configuration, outputs);
+            self.accept_if_newer(now, configuration, outputs);
         }
-        self.leave_if_listed(outputs);
+        self.update_drain_from_platform(outputs);
     }
 
     fn send(&self, to: Recipient, message: ControlMessage, outputs: &mut Vec<ControlOutput>) {
--- a/crates/control/src/node/pages.rs
+++ b/crates/control/src/node/pages.rs
@@ -1,4 +1,4 @@
-//! A configuration in pages that fit into frames, cut between services, and gathered again by the receiver.
+//! Splits a configuration between services into pages that fit into frames, and reassembles it at the receiver.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,24 +7,24 @@
 
 use crate::message::ConfigurationContent;
 
-/// The size above which a page gets no further service, in bytes of JSON.
+/// A page that exceeds this size, in bytes of JSON, gets no further service.
 const PAGE_BYTES: usize = 64 * 1024;
 
-/// Cuts the content into pages.
+/// Splits the content into pages.
 pub(crate) fn into_pages(content: ConfigurationContent) -> Vec<ConfigurationContent> {
     match content {
         ConfigurationContent::Nothing => vec![ConfigurationContent::Nothing],
         ConfigurationContent::Whole(configuration) => {
-            cut(&configuration).into_iter().map(ConfigurationContent::Whole).collect()
+            split_by_service(&configuration).into_iter().map(ConfigurationContent::Whole).collect()
         }
         ConfigurationContent::Difference { base, changed, removed } => {
             let page = |changed| ConfigurationContent::Difference { base, changed, removed: removed.clone() };
-            cut(&changed).into_iter().map(page).collect()
+            split_by_service(&changed).into_iter().map(page).collect()
         }
     }
 }
 
-fn cut(configuration: &Arc<Configuration>) -> Vec<Arc<Configuration>> {
+fn split_by_service(configuration: &Arc<Configuration>) -> Vec<Arc<Configuration>> {
     let mut parts: Vec<BTreeMap<ServiceName, ServiceConfiguration>> = vec![BTreeMap::new()];
     let mut size = 0;
     for (name, service) in &configuration.services {
@@ -40,8 +40,8 @@
     if parts.len() == 1 {
         return vec![configuration.clone()];
     }
-    let with = |services| Arc::new(Configuration { services, ..without_services(configuration) });
-    parts.into_iter().map(with).collect()
+    let with_services = |services| Arc::new(Configuration { services, ..without_services(configuration) });
+    parts.into_iter().map(with_services).collect()
 }
 
 fn without_services(configuration: &Configuration) -> Configuration {
@@ -54,16 +54,16 @@
     }
 }
 
-/// Pages of one peer's configuration that have come so far.
+/// The pages of one peer's configuration received so far.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PageGatherer {
+pub(crate) struct PageAssembler {
     source: Option<(NodeId, Revision, u32)>,
     pages: BTreeMap<u32, ConfigurationContent>,
 }
 
-impl PageGatherer {
-    /// Takes a page in; gives the whole content once the last page has come.
-    pub fn gather(
+impl PageAssembler {
+    /// Adds a page. Returns the whole content once all pages have been received.
+    pub fn add_page(
         &mut self,
         (peer, revision): (NodeId, Revision),
         (page, pages): (u32, u32),
@@ -82,11 +82,11 @@
             return None;
         }
         self.source = None;
-        std::mem::take(&mut self.pages).into_values().reduce(join)
+        std::mem::take(&mut self.pages).into_values().reduce(join_pages)
     }
 }
 
-fn join(first: ConfigurationContent, next: ConfigurationContent) -> ConfigurationContent {
+fn join_pages(first: ConfigurationContent, next: ConfigurationContent) -> ConfigurationContent {
     match (first, next) {
         (ConfigurationContent::Whole(first), ConfigurationContent::Whole(next)) => {
             ConfigurationContent::Whole(join_services(&first, &next))
@@ -95,7 +95,7 @@
             ConfigurationContent::Difference { base, changed: first, removed },
             ConfigurationContent::Difference { base: same, changed: next, .. },
         ) if base == same => ConfigurationContent::Difference { base, changed: join_services(&first, &next), removed },
-        // Pages of two kinds do not belong together; the configuration is asked for again.
+        // Pages of different kinds don't belong together; the node requests the configuration again.
         _ => ConfigurationContent::Nothing,
     }
 }
--- a/crates/control/src/node/readiness.rs
+++ b/crates/control/src/node/readiness.rs
@@ -1,6 +1,6 @@
-//! A starting node takes no calls until a majority of its peers has told it their configuration.
+//! A starting node accepts no calls until a majority of its peers has answered with their configuration.
 //!
-//! Otherwise a platform that is stale could take the node, and whoever it talks to, back in time.
+//! Otherwise a stale platform could make the node, and the nodes that it talks to, use an outdated configuration.
 
 use std::collections::BTreeSet;
 
@@ -10,13 +10,13 @@
 use crate::message::ControlMessage;
 use crate::node::ControlNode;
 
-/// The most peers that a starting node asks.
-const MAXIMUM_PEERS: usize = 15;
+/// The maximum number of peers that a starting node queries.
+const MAX_QUERIED_PEERS: usize = 15;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness {
     ready: bool,
-    asked_at: Option<Timestamp>,
+    queried_at: Option<Timestamp>,
     answered: BTreeSet<NodeAddress>,
 }
 
@@ -27,41 +27,43 @@
 }
 
 impl ControlNode {
-    /// The gates of the same service at this site; for a node without a gate, the targets in its zone.
+    /// The peers to query: the targets of the same service at this site or, for a node without a gate, all targets in
+    /// its zone.
     fn readiness_peers(&self) -> Vec<NodeAddress> {
         let Some(configuration) = self.configuration.current() else {
-            return self.known_addresses().into_iter().take(MAXIMUM_PEERS).collect();
+            return self.known_addresses().into_iter().take(MAX_QUERIED_PEERS).collect();
         };
-        let me = self.settings.node.address;
+        let own_address = self.settings.node.address;
         let own_service = self.gate.as_ref().map(|gate| gate.service.clone());
         let targets = configuration.services.values().flat_map(|service| {
-            let wanted = own_service.as_ref().is_none_or(|own| *own == service.name);
-            service.targets_at(&self.settings.site).filter(move |_| wanted)
+            let matches_service = own_service.as_ref().is_none_or(|own| *own == service.name);
+            service.targets_at(&self.settings.site).filter(move |_| matches_service)
         });
-        let near = targets.filter(|target| own_service.is_some() || target.zone == self.settings.zone);
-        let addresses: BTreeSet<NodeAddress> = near.map(|target| target.node).filter(|node| *node != me).collect();
-        addresses.into_iter().take(MAXIMUM_PEERS).collect()
+        let eligible = targets.filter(|target| own_service.is_some() || target.zone == self.settings.zone);
+        let addresses: BTreeSet<NodeAddress> =
+            eligible.map(|target| target.node).filter(|node| *node != own_address).collect();
+        addresses.into_iter().take(MAX_QUERIED_PEERS).collect()
     }
 
-    pub(crate) fn ask_peers_until_ready(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
+    pub(crate) fn query_peers_until_ready(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
         if self.readiness.ready {
             return;
         }
         let peers = self.readiness_peers();
-        let due = self.readiness.asked_at.is_none_or(|at| now.since(at) >= self.settings.timing.resend);
+        let due = self.readiness.queried_at.is_none_or(|at| now.since(at) >= self.settings.timing.resend);
         if due && !peers.is_empty() {
-            self.readiness.asked_at = Some(now);
+            self.readiness.queried_at = Some(now);
             let revision = self.configuration.revision();
-            let silent: Vec<NodeAddress> =
+            let unanswered: Vec<NodeAddress> =
                 peers.iter().filter(|peer| !self.readiness.answered.contains(peer)).copied().collect();
-            for peer in silent {
+            for peer in unanswered {
                 self.send(Recipient::Address(peer), ControlMessage::AskConfiguration { revision }, outputs);
             }
         }
         self.become_ready_if_possible(outputs);
     }
 
-    pub(crate) fn on_peer_asked(&mut self, from: NodeId, outputs: &mut Vec<ControlOutput>) {
+    pub(crate) fn on_peer_answered(&mut self, from: NodeId, outputs: &mut Vec<ControlOutput>) {
         if !self.readiness.ready {
             self.readiness.answered.insert(from.address);
             self.become_ready_if_possible(outputs);
@@ -78,7 +80,7 @@
         if enough {
             self.readiness.ready = true;
             outputs.push(ControlOutput::Ready);
-            self.heed_known_table(outputs);
+            self.update_gate_from_known_table(outputs);
         }
     }
 }
--- a/crates/control/src/node/status.rs
+++ b/crates/control/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What this node tells of what is in force.
+//! Answers operators' requests for plans, the status and the exported configuration.
 
 use std::sync::Arc;
 
@@ -34,7 +34,8 @@
         OperatorReply::Status { report: Box::new(report) }
     }
 
-    /// What is in force as a configuration: for a fleet that may lose all memory, this is what must be stored.
+    /// Exports the configuration in force, updated from the tables. It is what must be stored for a fleet that may lose
+    /// the memory of all its nodes.
     fn export(&self) -> OperatorReply {
         let Some(published) = &self.published else {
             let advice = "ask a node that is ready";
@@ -55,11 +56,11 @@
         return;
     };
     service.minimum_epoch = service.minimum_epoch.max(table.epoch);
-    let here = |state: &SlotState| matches!(state, SlotState::Owned { .. } | SlotState::Vacant);
-    let own = table.slots.iter().filter(|assignment| here(&assignment.state)).count();
+    let at_this_site = |state: &SlotState| matches!(state, SlotState::Owned { .. } | SlotState::Vacant);
+    let own = table.slots.iter().filter(|assignment| at_this_site(&assignment.state)).count();
     let percent = (own * 100 + table.slots.len() / 2) / table.slots.len().max(1);
     let share = u8::try_from(percent.min(100)).unwrap_or(100);
-    // With two sites the other one has the rest; with more, each site's own table says its share.
+    // With two sites the other one has the remaining share; with more, each site's share comes from its own table.
     let others: Vec<_> = service.site_shares.keys().filter(|site| **site != table.site).cloned().collect();
     service.site_shares.insert(table.site.clone(), share);
     if let [other] = others.as_slice() {
--- a/crates/control/src/node/tables.rs
+++ b/crates/control/src/node/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that this node uses, fetched from any member of the service's group and kept fresh while in use.
+//! The routing tables that this node uses, fetched from any member of the service's group and refreshed while in use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 use crate::node::ControlNode;
 use crate::state::RetryLimits;
 
-/// How often a table in use is compared with a member's.
+/// How often a table in use is compared with that of a group member.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
     table: Option<Arc<ServiceTable>>,
     retries: Vec<RetryLimits>,
-    wanted_at: Option<Timestamp>,
-    ask_at: Option<Timestamp>,
+    last_used_at: Option<Timestamp>,
+    request_at: Option<Timestamp>,
     attempt: usize,
 }
 
@@ -38,7 +38,7 @@
         self.entries.values().filter_map(|entry| entry.table.as_ref())
     }
 
-    /// The highest generation and epoch that this node remembers of a group.
+    /// The generation and epoch of the newest table that this node has from a group.
     pub fn floor(&self, service: &ServiceName, site: &SiteName) -> (Generation, Epoch) {
         self.get(service, site).map(|table| (table.generation, table.epoch)).unwrap_or_default()
     }
@@ -48,8 +48,8 @@
         &'a self,
         site: &'a SiteName,
     ) -> impl Iterator<Item = (&'a ServiceName, &'a Vec<RetryLimits>)> + 'a {
-        let here = self.entries.iter().filter(move |((_, known), _)| known == site);
-        here.map(|((service, _), entry)| (service, &entry.retries))
+        let at_site = self.entries.iter().filter(move |((_, known), _)| known == site);
+        at_site.map(|((service, _), entry)| (service, &entry.retries))
     }
 }
 
@@ -62,35 +62,35 @@
         outputs: &mut Vec<ControlOutput>,
     ) {
         let entry = self.tables.entries.entry((service, site)).or_default();
-        entry.wanted_at = Some(now);
-        // Asked for again means that an answer spoke of a newer table, so there is no point in waiting.
+        entry.last_used_at = Some(now);
+        // A repeated request means that an answer mentioned a newer table, so the refresh interval isn't awaited.
         let soon = now + self.settings.timing.tick;
-        entry.ask_at = Some(entry.ask_at.map_or(now, |at| at.min(soon)));
-        self.ask_due_tables(now, outputs);
+        entry.request_at = Some(entry.request_at.map_or(now, |at| at.min(soon)));
+        self.request_due_tables(now, outputs);
     }
 
-    /// Asks members for tables that are wanted and due, each time another member.
-    pub(crate) fn ask_due_tables(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
+    /// Requests the tables in use that are due for a refresh, from a different member each time.
+    pub(crate) fn request_due_tables(&mut self, now: Timestamp, outputs: &mut Vec<ControlOutput>) {
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
         };
         let idle = self.settings.timing.table_idle;
         let mut due = Vec::new();
         for ((service, site), entry) in &mut self.tables.entries {
-            let in_use = entry.wanted_at.is_some_and(|at| now.since(at) < idle);
-            if !in_use || entry.ask_at.is_none_or(|at| at > now) {
+            let in_use = entry.last_used_at.is_some_and(|at| now.since(at) < idle);
+            if !in_use || entry.request_at.is_none_or(|at| at > now) {
                 continue;
             }
             let interval = if entry.table.is_some() { REFRESH_INTERVAL } else { self.settings.timing.resend };
-            entry.ask_at = Some(now + interval);
+            entry.request_at = Some(now + interval);
             entry.attempt += 1;
             due.push((service.clone(), site.clone(), entry.attempt));
         }
         for (service, site, attempt) in due {
             if let Some(address) = nth_member(&configuration, &service, &site, attempt) {
                 let (generation, epoch) = self.tables.floor(&service, &site);
-                let ask = GroupBody::AskTable { generation, epoch };
-                self.send_about(Recipient::Address(address), &service, &site, ask, outputs);
+                let request = GroupBody::AskTable { generation, epoch };
+                self.send_about(Recipient::Address(address), &service, &site, request, outputs);
             }
         }
     }
@@ -116,7 +116,7 @@
         self.event(event, outputs);
         if table.site == self.settings.site {
             self.publish_configuration(outputs);
-            self.heed_table(table, outputs);
+            self.update_gate_from_table(table, outputs);
         }
     }
 
