--- a/crates/control/src/convert.rs
+++ b/crates/control/src/convert.rs
@@ -10,17 +10,17 @@
 use crate::io::LoadReport;
 use crate::state::RetryLimits;
 
-type Decoded<T> = Result<T, DecodeError>;
+type DecodeResult<T> = Result<T, DecodeError>;
 
 pub(crate) fn run_to_wire(node: NodeId) -> wire::Run {
     wire::Run { address: node.address.to_string(), incarnation: node.incarnation.0 }
 }
 
-pub(crate) fn address_from_wire(text: &str) -> Decoded<NodeAddress> {
+pub(crate) fn address_from_wire(text: &str) -> DecodeResult<NodeAddress> {
     text.parse().map(NodeAddress).map_err(|_| field("address"))
 }
 
-pub(crate) fn run_from_wire(run: &wire::Run) -> Decoded<NodeId> {
+pub(crate) fn run_from_wire(run: &wire::Run) -> DecodeResult<NodeId> {
     Ok(NodeId { address: address_from_wire(&run.address)?, incarnation: Incarnation(run.incarnation) })
 }
 
@@ -28,15 +28,15 @@
     nodes.into_iter().map(|node| run_to_wire(*node)).collect()
 }
 
-pub(crate) fn runs_from_wire<C: FromIterator<NodeId>>(runs: &[wire::Run]) -> Decoded<C> {
+pub(crate) fn runs_from_wire<C: FromIterator<NodeId>>(runs: &[wire::Run]) -> DecodeResult<C> {
     runs.iter().map(run_from_wire).collect()
 }
 
-pub(crate) fn required_run(run: &Option<wire::Run>) -> Decoded<NodeId> {
+pub(crate) fn required_run(run: &Option<wire::Run>) -> DecodeResult<NodeId> {
     run_from_wire(run.as_ref().ok_or(field("run"))?)
 }
 
-pub(crate) fn slot_from_wire(slot: u32) -> Decoded<SlotId> {
+pub(crate) fn slot_from_wire(slot: u32) -> DecodeResult<SlotId> {
     u16::try_from(slot).map(SlotId).map_err(|_| field("slot"))
 }
 
@@ -44,7 +44,7 @@
     slots.iter().map(|slot| u32::from(slot.0)).collect()
 }
 
-pub(crate) fn slots_from_wire(slots: &[u32]) -> Decoded<Vec<SlotId>> {
+pub(crate) fn slots_from_wire(slots: &[u32]) -> DecodeResult<Vec<SlotId>> {
     slots.iter().map(|slot| slot_from_wire(*slot)).collect()
 }
 
@@ -52,7 +52,7 @@
     plan.as_ref().map(PlanId::to_string).unwrap_or_default()
 }
 
-pub(crate) fn optional_plan_from_wire(plan: &str) -> Decoded<Option<PlanId>> {
+pub(crate) fn optional_plan_from_wire(plan: &str) -> DecodeResult<Option<PlanId>> {
     if plan.is_empty() {
         return Ok(None);
     }
@@ -69,7 +69,7 @@
     wire::Slot { epoch: assignment.epoch.0, kind, owner, site }
 }
 
-pub(crate) fn assignment_from_wire(number: usize, slot: &wire::Slot) -> Decoded<SlotAssignment> {
+pub(crate) fn assignment_from_wire(number: usize, slot: &wire::Slot) -> DecodeResult<SlotAssignment> {
     let state = match slot.kind {
         wire::SlotKind::VACANT => SlotState::Vacant,
         wire::SlotKind::OWNED => SlotState::Owned { owner: required_run(&slot.owner)? },
@@ -89,7 +89,7 @@
     }
 }
 
-pub(crate) fn gate_from_wire(gate: &wire::Gate) -> Decoded<GateEntry> {
+pub(crate) fn gate_from_wire(gate: &wire::Gate) -> DecodeResult<GateEntry> {
     Ok(GateEntry {
         node: required_run(&gate.node)?,
         zone: ZoneName::new(&gate.zone)?,
@@ -106,7 +106,7 @@
     }
 }
 
-pub(crate) fn limits_from_wire(limits: &wire::RetryLimits) -> Decoded<RetryLimits> {
+pub(crate) fn limits_from_wire(limits: &wire::RetryLimits) -> DecodeResult<RetryLimits> {
     Ok(RetryLimits {
         class: ClassName::new(&limits.class)?,
         budget: u16::try_from(limits.budget).map_err(|_| field("budget"))?,
@@ -123,7 +123,7 @@
     }
 }
 
-pub(crate) fn load_from_wire(load: &wire::Load) -> Decoded<LoadReport> {
+pub(crate) fn load_from_wire(load: &wire::Load) -> DecodeResult<LoadReport> {
     if !load.completions.is_finite() {
         return Err(field("completions"));
     }
--- a/crates/control/src/electorate.rs
+++ b/crates/control/src/electorate.rs
@@ -1,32 +1,33 @@
-//! From which nodes a service's group at a site is formed.
+//! Selects the nodes that form a service's group at a site.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use quillhatch_types::hash::digest;
 use quillhatch_types::{Configuration, NodeAddress, ServiceName, SiteName, ZoneName};
 
-/// The largest electorate.
-pub const LARGEST_ELECTORATE: usize = 5;
+/// The maximum size of an electorate.
+pub const MAX_ELECTORATE_SIZE: usize = 5;
 
-/// The smallest electorate that outlives the loss of a node.
-pub const SMALLEST_ELECTORATE: usize = 3;
+/// The minimum size of an electorate that tolerates the loss of a node.
+pub const MIN_ELECTORATE_SIZE: usize = 3;
 
-/// The addresses that the group of `service` at `site` is formed from, the same on every node with this configuration.
+/// The addresses that form the group of `service` at `site`. Every node with the same configuration computes the same
+/// result.
 ///
-/// They are the service's own targets, spread over the zones, topped up by rank from the site's other targets if there
-/// are fewer than [`SMALLEST_ELECTORATE`]. Their number is odd: an even one outlives no more losses than one less.
+/// They are the service's own targets, spread over the zones. If there are fewer than [`MIN_ELECTORATE_SIZE`], the
+/// site's other targets are added by rank. The size is odd, because one more member would not tolerate more losses.
 pub fn electorate(configuration: &Configuration, service: &ServiceName, site: &SiteName) -> Vec<NodeAddress> {
     let own = ranked_targets(configuration, service, site, |name| name == service);
     let own_count = own.len();
-    let mut chosen = spread_over_zones(own, LARGEST_ELECTORATE);
+    let mut chosen = spread_over_zones(own, MAX_ELECTORATE_SIZE);
     if own_count == 0 {
         return Vec::new();
     }
-    if chosen.len() < SMALLEST_ELECTORATE {
-        let neighbours = ranked_targets(configuration, service, site, |name| name != service);
-        let known: BTreeSet<NodeAddress> = chosen.iter().copied().collect();
-        let others = neighbours.into_iter().filter(|(address, _)| !known.contains(address)).collect();
-        chosen.extend(spread_over_zones(others, SMALLEST_ELECTORATE - chosen.len()));
+    if chosen.len() < MIN_ELECTORATE_SIZE {
+        let other_targets = ranked_targets(configuration, service, site, |name| name != service);
+        let own_addresses: BTreeSet<NodeAddress> = chosen.iter().copied().collect();
+        let others = other_targets.into_iter().filter(|(address, _)| !own_addresses.contains(address)).collect();
+        chosen.extend(spread_over_zones(others, MIN_ELECTORATE_SIZE - chosen.len()));
     }
     if chosen.len() % 2 == 0 {
         chosen.pop();
@@ -42,9 +43,9 @@
     configuration: &Configuration,
     service: &ServiceName,
     site: &SiteName,
-    wanted: impl Fn(&ServiceName) -> bool,
+    matches: impl Fn(&ServiceName) -> bool,
 ) -> Vec<(NodeAddress, ZoneName)> {
-    let services = configuration.services.values().filter(|candidate| wanted(&candidate.name));
+    let services = configuration.services.values().filter(|candidate| matches(&candidate.name));
     let targets = services.flat_map(|candidate| candidate.targets_at(site));
     let zones: BTreeMap<NodeAddress, ZoneName> = targets.map(|target| (target.node, target.zone.clone())).collect();
     let mut ranked: Vec<(NodeAddress, ZoneName)> = zones.into_iter().collect();
@@ -52,7 +53,7 @@
     ranked
 }
 
-/// Takes one address of each zone in turn, each zone's in the given order.
+/// Selects up to `count` addresses round-robin over the zones, in the given order within each zone.
 fn spread_over_zones(ranked: Vec<(NodeAddress, ZoneName)>, count: usize) -> Vec<NodeAddress> {
     let mut zones: Vec<(ZoneName, VecDeque<NodeAddress>)> = Vec::new();
     for (address, zone) in ranked {
--- a/crates/control/src/electorate_tests.rs
+++ b/crates/control/src/electorate_tests.rs
@@ -1,4 +1,4 @@
-//! Electorates are odd, spread over zones, and the same wherever they are computed.
+//! Tests that electorates have an odd size, prefer the service's own targets and are spread over the zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -52,14 +52,14 @@
 }
 
 #[test_case(0, 5 => (0, 0); "no target at the site")]
-#[test_case(1, 0 => (1, 1); "alone")]
-#[test_case(2, 0 => (1, 1); "two outlive no more losses than one")]
-#[test_case(1, 5 => (1, 3); "one, topped up")]
-#[test_case(2, 5 => (2, 3); "two, topped up")]
+#[test_case(1, 0 => (1, 1); "a single target")]
+#[test_case(2, 0 => (1, 1); "two tolerate no more losses than one")]
+#[test_case(1, 5 => (1, 3); "one and targets of another service")]
+#[test_case(2, 5 => (2, 3); "two and a target of another service")]
 #[test_case(3, 5 => (3, 3); "three")]
 #[test_case(4, 5 => (3, 3); "four")]
 #[test_case(9, 5 => (5, 5); "many")]
-fn own_and_all_members(own: u8, others: u8) -> (usize, usize) {
+fn the_electorate_has_an_odd_size_and_prefers_own_targets(own: u8, others: u8) -> (usize, usize) {
     let configuration = configuration(own, others);
     let members = electorate(&configuration, &ServiceName::new("own").unwrap(), &site());
     let own_targets: BTreeSet<NodeAddress> =
--- a/crates/control/src/host/agreement.rs
+++ b/crates/control/src/host/agreement.rs
@@ -8,7 +8,7 @@
 use crate::host::{Asker, HostStep, ServiceHost};
 use crate::io::ControlEvent;
 use crate::operator::OperatorReply;
-use crate::state::{Command, Rejection, ServiceState, MAXIMUM_HISTORY};
+use crate::state::{Command, Rejection, ServiceState, MAX_HISTORY_ENTRIES};
 
 /// How long a leader waits before it proposes a rejected command again.
 const REJECTION_PAUSE: Duration = Duration::from_millis(500);
@@ -59,7 +59,7 @@
             Ok(command)
         });
         self.applied_at.insert(sequence, step.now);
-        self.applied_at.retain(|known, _| known + MAXIMUM_HISTORY as u64 > sequence);
+        self.applied_at.retain(|known, _| known + MAX_HISTORY_ENTRIES as u64 > sequence);
         if let Ok(command) = &result {
             self.on_applied(step, command);
         }
--- a/crates/control/src/host/founding.rs
+++ b/crates/control/src/host/founding.rs
@@ -96,7 +96,7 @@
         let complete = silent.next().is_none();
         let new = step.configuration.formation == Formation::New && !self.founding.claims_lost;
         let asked = step.now.since(formed_at) >= self.settings.timing.resend;
-        let patience_over = step.now.since(formed_at) >= self.settings.timing.founding_patience;
+        let patience_over = step.now.since(formed_at) >= self.settings.timing.founding_timeout;
         let known = new || (asked && complete) || patience_over;
         if !known {
             return None;
--- a/crates/control/src/host/requests.rs
+++ b/crates/control/src/host/requests.rs
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn expire_requests(&mut self, step: &mut HostStep<'_>) {
-        let patience = self.settings.timing.request_patience / 2;
+        let patience = self.settings.timing.request_timeout / 2;
         let waiting = std::mem::take(&mut self.desk.waiting);
         for (asker, request, site, since) in waiting {
             if step.now.since(since) < patience {
--- a/crates/control/src/io.rs
+++ b/crates/control/src/io.rs
@@ -1,7 +1,7 @@
 //! Inputs and outputs of a control node.
 //!
 //! The driver (the program or the simulation) turns frames, platform readings and operator requests into
-//! [`ControlInput`] and carries out each [`ControlOutput`]. Everything else in this crate is reached through them.
+//! [`ControlInput`] and executes each [`ControlOutput`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 use crate::message::ControlMessage;
 use crate::operator::{OperatorReply, OperatorRequest};
 
-/// The driver's number of an operator request; its reply carries the same number.
+/// A number that the driver assigns to an operator request; the reply has the same number.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestNumber(pub u64);
 
-/// Which group a group message belongs to: the payload of a frame of kind `GROUP`.
+/// A group message with the group that it belongs to: the payload of a frame of kind `GROUP`.
 ///
 /// A node is only ever a member of groups of its own site.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
     pub message: GroupMessage,
 }
 
-/// What one node's control part says to another's.
+/// A message between the control parts of two nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlPayload {
     /// The payload of a frame of kind `CONTROL`.
@@ -43,19 +43,19 @@
     Group(Box<GroupFrame>),
 }
 
-/// Whom a message is for.
+/// The recipient of a message.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Recipient {
-    /// One run of a node; another run at the address must not take it.
+    /// One incarnation of a node; another incarnation at the same address must not accept the message.
     #[display("{_0}")]
     Run(NodeId),
-    /// Whatever runs at the address (an envelope with receiver incarnation zero).
+    /// Any incarnation at the address (an envelope with receiver incarnation zero).
     #[display("{_0}")]
     Address(NodeAddress),
 }
 
 impl Recipient {
-    /// Where the message goes.
+    /// The address that the message is sent to.
     pub fn address(self) -> NodeAddress {
         match self {
             Recipient::Run(node) => node.address,
@@ -64,87 +64,87 @@
     }
 }
 
-/// Whether the platform lists a machine as live.
+/// The status of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineStatus {
-    /// In use.
+    /// The machine is in use.
     #[display("live")]
     Live,
-    /// About to be taken away.
+    /// The machine is about to be removed.
     #[display("leaving")]
     Leaving,
 }
 
-/// One entry of the platform's lagging list.
+/// One entry of the platform's list of machines, which may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// The peer address of the machine's node.
     pub address: NodeAddress,
-    /// What the platform says of it.
+    /// The status that the platform reports.
     pub status: MachineStatus,
 }
 
-/// What a reading of the platform's service gave; parts that could not be read are absent.
+/// The result of reading the platform's service. Parts that could not be read are absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlatformReading {
-    /// The checked configuration document; an invalid one is refused by the reader and never gets here.
+    /// The validated configuration; the driver rejects an invalid one before it reaches the node.
     pub configuration: Option<Arc<Configuration>>,
     /// The list of machines; empty if it could not be read.
     pub machines: Vec<Machine>,
 }
 
-/// What membership says of a node.
+/// The status of a node according to the membership protocol.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberStatus {
-    /// Answers probes.
+    /// The node answers probes.
     #[display("alive")]
     Alive,
-    /// Did not answer; may still refute.
+    /// The node did not answer a probe but may still refute the suspicion.
     #[display("suspected")]
     Suspected,
-    /// Did not refute in time.
+    /// The node did not refute the suspicion in time.
     #[display("failed")]
     Failed,
-    /// Said that it leaves.
+    /// The node announced that it leaves.
     #[display("left")]
     Left,
 }
 
-/// A change that membership has seen.
+/// A status change that membership observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberChange {
-    /// The node and its run.
+    /// The address and incarnation of the node.
     pub node: NodeId,
-    /// Its site.
+    /// The site of the node.
     pub site: SiteName,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: ZoneName,
     /// The service of its gate, if it has one.
     pub service: Option<ServiceName>,
-    /// What became of it.
+    /// The new status of the node.
     pub status: MemberStatus,
 }
 
-/// What the local gate measured since the last report.
+/// Load measurements of the local gate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls running at the back end.
+    /// The number of calls running at the back end.
     pub running: u32,
     /// The gate's measured concurrency limit.
     pub limit: u32,
-    /// Calls completed per second.
+    /// The rate of completed calls, per second.
     pub completions_per_second: f64,
-    /// Protected calls refused since the last report.
+    /// The number of protected calls refused since the last report.
     pub protected_refusals: u32,
 }
 
-/// One claim, encoded by the claims crate; control only carries it.
+/// One claim, encoded by the claims crate and opaque to this crate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EncodedClaim(pub Vec<u8>);
 
-/// What can happen to a control node.
+/// An input of a control node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlInput {
     /// A frame of kind `CONTROL` arrived.
@@ -161,25 +161,26 @@
         /// The message and its group.
         frame: Box<GroupFrame>,
     },
-    /// A frame of any kind, or an answer, told a peer's configuration revision.
+    /// A frame of any kind, or an answer, contained a peer's configuration revision.
     PeerRevision {
         /// The peer.
         from: NodeId,
-        /// Its revision in force.
+        /// The revision in force at the peer.
         revision: Revision,
     },
     /// The platform's service was read.
     Platform(PlatformReading),
-    /// An operator asks something of this node.
+    /// An operator sent a request to this node.
     Operator {
         /// The number of the request, repeated in the reply.
         request: RequestNumber,
         /// The request.
         body: Box<OperatorRequest>,
     },
-    /// The local gate measured its load; wanted about once a second.
+    /// The local gate measured its load. The driver should report it about once a second.
     Load(LoadReport),
-    /// The local claim owner has recorded the claims of a slot of another site; it opens when the table says so.
+    /// The local claim owner has recorded the claims of a slot of another site; the slot
+    /// opens when the table names this node as its owner.
     SlotImported {
         /// The service.
         service: ServiceName,
@@ -196,7 +197,7 @@
         slot: SlotId,
         /// The epoch of the seal.
         epoch: Epoch,
-        /// All its claims.
+        /// All claims of the slot.
         claims: Vec<EncodedClaim>,
     },
     /// The local claim owner has recorded its claims on a majority of the voters of the table at `epoch`.
@@ -206,62 +207,62 @@
         /// The epoch of the table.
         epoch: Epoch,
     },
-    /// Membership saw a change.
+    /// Membership observed a status change.
     Member(MemberChange),
-    /// The edge needs a table that it does not hold, or a newer one.
+    /// The local edge needs a table that it does not have, or a newer one.
     FetchTable {
         /// The service.
         service: ServiceName,
         /// The site.
         site: SiteName,
     },
-    /// The node is to stop: it hands its slots on, finishes what runs, and exits after `grace` at the latest.
+    /// The node must stop: its slots are reassigned, running calls finish, and it exits after `grace` at the latest.
     Stop {
-        /// The longest time to wait for running calls.
+        /// The maximum time to wait for running calls.
         grace: Duration,
     },
-    /// The last attempt of the closed gate ended.
+    /// The last running attempt of the closed gate has ended.
     GateIdle,
     /// Time has passed.
     Tick,
 }
 
-/// What a control node wants done.
+/// An action that the driver executes for a control node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlOutput {
     /// Send a frame.
     Send {
-        /// To whom.
+        /// The recipient.
         to: Recipient,
-        /// What.
+        /// The message to send.
         payload: ControlPayload,
     },
-    /// Answer an operator. Each request gets exactly one reply.
+    /// Reply to an operator. Each request gets exactly one reply.
     Operator {
         /// The number of the request.
         request: RequestNumber,
         /// The reply.
         reply: Box<OperatorReply>,
     },
-    /// Hand a newer table to the local edge, and to gate, claim owner and voter if it is of the local site.
+    /// Pass a newer table to the local edge and, if it belongs to the local site, to the gate, claim owner and voter.
     Table(Arc<ServiceTable>),
-    /// Hand the configuration in force, with retry limits changed by plans, to all local parts.
+    /// Pass the configuration in force, with the retry limits that plans have set, to all local parts.
     ///
-    /// It may come again under the same revision when a plan changed retry limits.
+    /// The same revision is passed again when a plan has changed retry limits.
     Configuration(Arc<Configuration>),
-    /// The local gate may act as the owner of its slots until then.
+    /// The local gate may act as the owner of its slots until the given time.
     Lease {
         /// The service.
         service: ServiceName,
-        /// The end on the local monotonic clock.
+        /// The end of the lease on the local monotonic clock.
         until: Timestamp,
     },
     /// The local gate must refuse new attempts.
     CloseGate {
-        /// What refused attempts are told.
+        /// The reason that refused attempts receive.
         reason: RefusalReason,
     },
-    /// The local gate may take attempts.
+    /// The local gate may accept attempts.
     OpenGate,
     /// Have the local claim owner collect the claims of a sealed slot; answered by [`ControlInput::SlotExported`].
     ExportSlot {
@@ -272,7 +273,7 @@
         /// The epoch of the seal.
         epoch: Epoch,
     },
-    /// Have the local claim owner take a slot over with the claims of another site; answered by
+    /// Have the local claim owner import a slot with the claims of another site; answered by
     /// [`ControlInput::SlotImported`] once they are recorded on a majority of the voters under `epoch`. The slot
     /// opens when the table names this node its owner at `epoch`.
     ImportSlot {
@@ -280,14 +281,14 @@
         service: ServiceName,
         /// The slot.
         slot: SlotId,
-        /// The epoch under which the slot opens here.
+        /// The epoch at which the slot opens at this site.
         epoch: Epoch,
         /// The claims of the other site.
         claims: Vec<EncodedClaim>,
     },
-    /// The node has asked a majority of its peers and may take calls.
+    /// A majority of the node's peers has answered, so the node may accept calls.
     Ready,
-    /// After a stop: nothing is left to finish, or the grace has passed.
+    /// After a stop: no work is left, or the grace period has passed.
     ReadyToExit,
     /// A change of state worth a log line.
     Event(ControlEvent),
@@ -300,7 +301,7 @@
     /// A configuration came into force.
     #[display("configuration revision {revision} is in force")]
     ConfigurationAccepted {
-        /// Its revision.
+        /// The revision of the configuration.
         revision: Revision,
     },
     /// An older configuration was offered and ignored.
@@ -314,10 +315,10 @@
     /// A configuration of another deployment was offered and refused.
     #[display("configuration of deployment {offered} refused")]
     ForeignConfiguration {
-        /// Its deployment.
+        /// The deployment of the configuration offered.
         offered: String,
     },
-    /// This node began or ceased to lead a group.
+    /// This node became the leader of a group or lost the leadership.
     #[display("leader of {service} at {site}: {leading}")]
     Leadership {
         /// The service.
@@ -344,7 +345,7 @@
         service: ServiceName,
         /// The plan.
         plan: PlanId,
-        /// What it does now, in words.
+        /// A description of its new state.
         state: String,
     },
     /// The table of a service changed.
@@ -354,7 +355,7 @@
         service: ServiceName,
         /// The site.
         site: SiteName,
-        /// Its epoch.
+        /// The epoch of the table.
         epoch: Epoch,
     },
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! The nodes' joint decisions: slot tables, configuration, drains, plans and moves between sites.
+//! The control plane of a node: slot tables, configuration, drains, plans and slot moves between sites.
 //!
-//! [`ControlNode`] is sans-I/O: the driver hands in frames, platform readings, operators' requests and time as
-//! [`ControlInput`] and carries out each [`ControlOutput`]. Inside, a [`state::ServiceState`] per service is what the
-//! service's group at a site agrees on; everything else can be lost and is found out again.
+//! [`ControlNode`] is sans-I/O: the driver passes in frames, platform readings, operators' requests and time as
+//! [`ControlInput`] and executes each [`ControlOutput`]. The group of a service at a site replicates a
+//! [`state::ServiceState`]; all other state is volatile and is rebuilt after a loss.
 
 mod convert;
 mod electorate;
@@ -18,7 +18,7 @@
 mod settings;
 pub mod state;
 
-pub use electorate::{electorate, LARGEST_ELECTORATE, SMALLEST_ELECTORATE};
+pub use electorate::{electorate, MAX_ELECTORATE_SIZE, MIN_ELECTORATE_SIZE};
 pub use error::DecodeError;
 pub use io::{ControlInput, ControlOutput, ControlPayload};
 pub use mechanisms::ControlMechanisms;
--- a/crates/control/src/mechanisms.rs
+++ b/crates/control/src/mechanisms.rs
@@ -1,25 +1,25 @@
-//! Switches that take one mechanism out, so that a test or the simulation can show what it is for.
+//! Switches that disable single mechanisms, so that a test or the simulation can show what each one prevents.
 
-/// The mechanisms in force; all of them outside tests. Every node of a fleet must have the same.
+/// The enabled mechanisms. Outside tests all are enabled. Every node of a fleet must have the same set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ControlMechanisms {
     /// A configuration with a lower revision than the one in force is ignored.
     pub configuration_monotonic: bool,
-    /// A starting node asks a majority of its peers for their configuration before it is ready.
+    /// A starting node queries a majority of its peers for their configuration before it is ready.
     pub readiness_asks_peers: bool,
-    /// A slot has no owner while it is on its way to another site.
+    /// A slot has no owner while it is in transfer to another site.
     pub seal_before_move: bool,
-    /// A sealed slot is opened again only when the other site has agreed never to accept it.
+    /// A sealed slot is reopened only after the other site's group has committed a refusal to accept it.
     pub unseal_needs_proof: bool,
-    /// A slot opens at the new site only after the claims of the old one are recorded there.
+    /// A slot opens at the new site only after the claims from the old site are recorded there.
     pub import_before_open: bool,
     /// A move waits while the new site refuses protected calls.
     pub hold_on_refusals: bool,
-    /// A gate refuses new calls from the moment that it knows of its drain.
+    /// A gate refuses new calls as soon as it knows that it drains.
     pub drain_closes_gate: bool,
-    /// A plan is confirmed only if nothing that it rests on has changed.
+    /// A plan is confirmed only if the generation, epoch and revision that it is based on are unchanged.
     pub confirm_checks_base: bool,
-    /// A failed owner's slots are given to others only after its lease has run out.
+    /// The slots of a failed owner are reassigned only after its lease has expired.
     pub takeover_waits_for_lease: bool,
 }
 
--- a/crates/control/src/node/forwarder.rs
+++ b/crates/control/src/node/forwarder.rs
@@ -162,7 +162,7 @@
             let Some(forwarded) = self.forwarder.forwarded.get_mut(&number) else {
                 continue;
             };
-            if now.since(forwarded.since) >= timing.request_patience {
+            if now.since(forwarded.since) >= timing.request_timeout {
                 self.time_out_request(number, outputs);
             } else if now.since(forwarded.sent_at) >= timing.resend {
                 forwarded.attempt += 1;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -7,34 +7,34 @@
 
 use crate::mechanisms::ControlMechanisms;
 
-/// Times and bounds of the control part; all nodes of a fleet must use the same.
+/// Intervals and timeouts of the control part. All nodes of a fleet must use the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlTiming {
-    /// How often the driver should step the node at least.
+    /// The maximum interval between two [`ControlInput::Tick`](crate::ControlInput::Tick)s from the driver.
     pub tick: Duration,
-    /// How often a gate shows itself to the leader of its group.
+    /// The interval between a gate's heartbeats to the leader of its group.
     pub gate_heartbeat: Duration,
-    /// How long a leader does without a gate's heartbeat before it takes the gate for failed.
+    /// The time without a heartbeat after which the leader considers a gate failed.
     pub gate_timeout: Duration,
     /// How much longer than the leader's own lease a gate's lease may last.
     ///
-    /// A new leader waits for this long before it gives a failed owner's slots away.
+    /// A new leader waits for this long before it reassigns the slots of a failed owner.
     pub gate_lease_extension: Duration,
-    /// How often an unanswered message to another site or node is sent again.
+    /// The interval at which an unanswered message to another site or node is resent.
     pub resend: Duration,
-    /// How old an answer about the other site's readiness may be for a step to rest on it.
+    /// The maximum age of another site's readiness report that a plan step may rely on.
     pub readiness_age: Duration,
-    /// How long protected calls are watched after a step of a move before the next one.
+    /// How long refusals of protected calls are observed after a step of a move before the next step.
     pub settle: Duration,
-    /// How long a move waits while the new site refuses protected calls, before it is undone.
+    /// How long a move waits while the new site refuses protected calls before the move is undone.
     pub hold: Duration,
-    /// How long a group founded for a service that has served before waits for the other sites' tables.
-    pub founding_patience: Duration,
-    /// How long a request of an operator is tried before it is answered that no leader was found.
-    pub request_patience: Duration,
-    /// How often a node compares its configuration revision with one random peer's.
+    /// How long the founding of a group waits for the other sites' tables if the service may have been in use before.
+    pub founding_timeout: Duration,
+    /// How long an operator's request is retried before the reply reports that no leader was found.
+    pub request_timeout: Duration,
+    /// The interval at which a node compares its configuration revision with that of a random peer.
     pub gossip: Duration,
-    /// After how long a table that nobody asked for again is refreshed no more.
+    /// The time after the last request for a table at which the node stops refreshing it.
     pub table_idle: Duration,
 }
 
@@ -49,29 +49,29 @@
             readiness_age: Duration::from_millis(1_000),
             settle: Duration::from_millis(500),
             hold: Duration::from_secs(10),
-            founding_patience: Duration::from_secs(10),
-            request_patience: Duration::from_secs(5),
+            founding_timeout: Duration::from_secs(10),
+            request_timeout: Duration::from_secs(5),
             gossip: Duration::from_secs(1),
             table_idle: Duration::from_secs(60),
         }
     }
 }
 
-/// Everything that a control node must be told at its start.
+/// The settings that a control node is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// This run of the node.
+    /// The address and incarnation of the node.
     pub node: NodeId,
-    /// Its site.
+    /// The site of the node.
     pub site: SiteName,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: ZoneName,
     /// The deployment; configurations of another are refused.
     pub deployment: DeploymentName,
-    /// Times and bounds.
+    /// Intervals and timeouts of the control part.
     pub timing: ControlTiming,
-    /// Times and bounds of the groups.
+    /// The settings of the groups that the node hosts.
     pub group: GroupSettings,
-    /// The mechanisms in force.
+    /// The enabled mechanisms.
     pub mechanisms: ControlMechanisms,
 }
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -26,10 +26,10 @@
 pub use command::{Command, PlanNote, SlotHome, SlotTransfer};
 
 /// The number of finished plans retained for `explain`.
-pub const MAXIMUM_FINISHED_PLANS: usize = 32;
+pub const MAX_FINISHED_PLANS: usize = 32;
 
 /// The number of history entries retained for `explain`.
-pub const MAXIMUM_HISTORY: usize = 512;
+pub const MAX_HISTORY_ENTRIES: usize = 512;
 
 /// The retry limits that a plan set for a class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -279,7 +279,7 @@
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.history.push_back(HistoryRecord { sequence, plan, what: what.into() });
-        if self.history.len() > MAXIMUM_HISTORY {
+        if self.history.len() > MAX_HISTORY_ENTRIES {
             self.history.pop_front();
         }
     }
--- a/crates/control/src/state/plans.rs
+++ b/crates/control/src/state/plans.rs
@@ -3,7 +3,7 @@
 use quillhatch_types::PlanId;
 
 use crate::operator::{Plan, PlanBasis, PlanState};
-use crate::state::{PlanNote, PlanRecord, Rejection, RetryLimits, ServiceState, MAXIMUM_FINISHED_PLANS};
+use crate::state::{PlanNote, PlanRecord, Rejection, RetryLimits, ServiceState, MAX_FINISHED_PLANS};
 
 impl ServiceState {
     /// The generation, epoch and revision that a plan made now is based on.
@@ -93,7 +93,7 @@
 
     fn drop_oldest_finished_plans(&mut self) {
         let finished = |record: &&PlanRecord| !record.state.is_active();
-        while self.plans.values().filter(finished).count() > MAXIMUM_FINISHED_PLANS {
+        while self.plans.values().filter(finished).count() > MAX_FINISHED_PLANS {
             let oldest = self.plans.values().filter(finished).min_by_key(|record| record.order);
             let Some(id) = oldest.map(|record| record.plan.id.clone()) else {
                 return;
