--- a/crates/control/src/host/agreement.rs
+++ b/crates/control/src/host/agreement.rs
@@ -1,25 +1,25 @@
-//! Commands on their way through the group, and what happens when they are agreed.
+//! Proposes commands to the group and handles their commit.
 
 use std::time::Duration;
 
 use quillhatch_group::{GroupInput, ProposalResult};
 use quillhatch_types::{PlanId, Timestamp};
 
-use crate::host::{Asker, HostStep, ServiceHost};
+use crate::host::{HostStep, Requester, ServiceHost};
 use crate::io::ControlEvent;
 use crate::operator::OperatorReply;
 use crate::state::{Command, Rejection, ServiceState, MAX_HISTORY_ENTRIES};
 
 /// How long a leader waits before it proposes a rejected command again.
-const REJECTION_PAUSE: Duration = Duration::from_millis(500);
+const REJECTED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A command on its way through the group.
+/// A proposed command that is not yet committed.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub ticket: u64,
-    pub place: Option<(u64, u64)>,
+    pub log_position: Option<(u64, u64)>,
     pub command: Command,
-    pub askers: Vec<Asker>,
+    pub requesters: Vec<Requester>,
 }
 
 impl ServiceHost {
@@ -28,14 +28,14 @@
             return;
         };
         let problem = "the group lost its majority before it could agree; ask `plans` once it has one again";
-        for asker in pending.askers {
-            self.reply(step, asker, OperatorReply::Undecided { problem: problem.to_owned() });
+        for requester in pending.requesters {
+            self.reply(step, requester, OperatorReply::Undecided { problem: problem.to_owned() });
         }
     }
 
     pub(super) fn on_snapshot(&mut self, step: &mut HostStep<'_>, index: u64, bytes: &[u8]) {
         let decoded = ServiceState::decode(bytes, self.service.clone(), self.site().clone(), self.settings.mechanisms);
-        // The bytes come from a member of the same group; if they cannot be read, this node stays without state.
+        // The bytes come from a member of the same group. If they cannot be decoded, this node keeps its present state.
         let Ok(state) = decoded else {
             return;
         };
@@ -45,7 +45,7 @@
         self.publish_table(step);
     }
 
-    pub(super) fn hand_in_snapshot(&mut self, step: &mut HostStep<'_>) {
+    pub(super) fn provide_snapshot(&mut self, step: &mut HostStep<'_>) {
         let input = GroupInput::Snapshot { index: self.committed_index, bytes: self.state.encode() };
         self.step_group(step, input);
     }
@@ -66,8 +66,8 @@
         if self.state.epoch() != epoch {
             self.publish_table(step);
         }
-        let mine = self.pending.as_ref().is_some_and(|pending| pending.place == Some((index, term)));
-        if mine {
+        let is_own_proposal = self.pending.as_ref().is_some_and(|pending| pending.log_position == Some((index, term)));
+        if is_own_proposal {
             self.on_pending_done(step, result.err());
         }
     }
@@ -97,11 +97,11 @@
         self.event(step, ControlEvent::Plan { service: self.service.clone(), plan: plan.clone(), state });
     }
 
-    pub(super) fn propose(&mut self, step: &mut HostStep<'_>, command: Command, askers: Vec<Asker>) {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    pub(super) fn propose(&mut self, step: &mut HostStep<'_>, command: Command, requesters: Vec<Requester>) {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let bytes = command.encode();
-        self.pending = Some(Pending { ticket, place: None, command, askers });
+        self.pending = Some(Pending { ticket, log_position: None, command, requesters });
         self.step_group(step, GroupInput::Propose { ticket, command: bytes });
     }
 
@@ -112,14 +112,14 @@
         };
         match result {
             ProposalResult::Accepted { index, term } => {
-                pending.place = Some((index, term));
+                pending.log_position = Some((index, term));
             }
             ProposalResult::Refused(refusal) => {
                 self.proposals_refused += 1;
-                let askers = self.pending.take().map(|pending| pending.askers).unwrap_or_default();
+                let requesters = self.pending.take().map(|pending| pending.requesters).unwrap_or_default();
                 let advice = "ask again in a moment";
-                for asker in askers {
-                    self.reply(step, asker, OperatorReply::refused("group", refusal.to_string(), advice));
+                for requester in requesters {
+                    self.reply(step, requester, OperatorReply::refused("group", refusal.to_string(), advice));
                 }
             }
         }
@@ -132,15 +132,16 @@
         if rejection.is_some() {
             self.rejected = Some((pending.command.clone(), step.now));
         }
-        for asker in pending.askers {
+        for requester in pending.requesters {
             let reply = self.reply_to_command(&pending.command, rejection.as_ref());
-            self.reply(step, asker, reply);
+            self.reply(step, requester, reply);
         }
     }
 
-    /// A duty that asks again for what the state has just rejected must not keep the group busy.
+    /// Whether the state rejected `command` recently. Prevents a task that retries it from keeping the group busy.
     pub(super) fn was_just_rejected(&self, now: Timestamp, command: &Command) -> bool {
-        let recent = |(rejected, at): &(Command, Timestamp)| rejected == command && now.since(*at) < REJECTION_PAUSE;
+        let recent =
+            |(rejected, at): &(Command, Timestamp)| rejected == command && now.since(*at) < REJECTED_RETRY_DELAY;
         self.rejected.as_ref().is_some_and(recent)
     }
 }
--- a/crates/control/src/host/exports.rs
+++ b/crates/control/src/host/exports.rs
@@ -1,4 +1,4 @@
-//! The old site's side of a move: every sealed slot is offered to its destination until it is accepted or refused.
+//! The old site's side of a move: offers every sealed slot to its destination until it is accepted or refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,10 +14,10 @@
     pages: BTreeMap<u32, SlotClaims>,
     page_count: Option<u32>,
     wanted_page: u32,
-    asked: usize,
+    attempts: usize,
     sent_at: Option<Timestamp>,
     outcome: Option<OfferOutcome>,
-    /// The other site has agreed on the take-over, so it can no longer be withdrawn.
+    /// The other site has committed the import, so the offer can no longer be withdrawn.
     must_complete: bool,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The sealed slots that the leader works on; lost with its leadership and rebuilt by the next leader.
+/// The sealed slots that the leader exports; discarded when it loses the leadership and rebuilt by the next leader.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Exports {
     slots: BTreeMap<SlotId, Export>,
@@ -35,12 +35,12 @@
 }
 
 impl Exports {
-    /// Asks the other site for a proof that it did not accept, instead of offering.
+    /// Withdraws the offers of `slots`: requests proof from the other site that it has not accepted them.
     pub fn withdraw(&mut self, slots: impl IntoIterator<Item = SlotId>) {
         self.withdrawn.extend(slots);
     }
 
-    pub fn withdraw_none(&mut self) {
+    pub fn clear_withdrawals(&mut self) {
         self.withdrawn.clear();
     }
 }
@@ -56,9 +56,9 @@
 
     pub(crate) fn send_exports(&mut self, step: &mut HostStep<'_>) {
         let sealed = self.sealed_slots();
-        let still = |slot: &SlotId| sealed.iter().any(|(known, _, _)| known == slot);
-        self.exports.slots.retain(|slot, _| still(slot));
-        self.exports.withdrawn.retain(still);
+        let still_sealed = |slot: &SlotId| sealed.iter().any(|(known, _, _)| known == slot);
+        self.exports.slots.retain(|slot, _| still_sealed(slot));
+        self.exports.withdrawn.retain(still_sealed);
         for (slot, seal_epoch, destination) in sealed {
             let export = self.exports.slots.entry(slot).or_default();
             if export.seal_epoch != seal_epoch {
@@ -87,14 +87,14 @@
             self.send_to_site(step, destination, GroupBody::Offer { from, claims });
             return;
         }
-        export.asked += 1;
-        let attempt = export.asked - 1;
+        export.attempts += 1;
+        let attempt = export.attempts - 1;
         if let Some(gate) = self.exporter(slot, attempt) {
             self.answer(step, gate, GroupBody::Export { slot, epoch: seal_epoch });
         }
     }
 
-    /// The gate that collects the claims: the owner at the seal, or another if it does not answer.
+    /// The gate that collects the claims: the owner at the time of the seal or, if it does not answer, another gate.
     fn exporter(&self, slot: SlotId, attempt: usize) -> Option<NodeId> {
         let owner = self.state.slot(slot)?.sealed_owner;
         let owner = owner.filter(|node| self.state.gate(*node).is_some());
@@ -104,7 +104,7 @@
         candidates.get(index).copied()
     }
 
-    /// A gate has collected claims: a page of them.
+    /// Handles a page of the claims that a gate has collected.
     pub(crate) fn on_exported(&mut self, step: &mut HostStep<'_>, claims: SlotClaims) {
         let slot = claims.slot;
         let Some(export) = self.exports.slots.get_mut(&slot).filter(|export| export.seal_epoch == claims.epoch) else {
@@ -114,7 +114,7 @@
             return;
         }
         if export.page_count != Some(claims.pages) {
-            // Another collector may have paged the claims otherwise; pages of two must not be mixed.
+            // Another gate may have split the claims into different pages, which must not be mixed.
             export.pages.clear();
             export.page_count = Some(claims.pages);
         }
@@ -148,7 +148,7 @@
         self.lead(step);
     }
 
-    /// What the other site's answers allow this group to agree on.
+    /// The next command that the other site's answers allow.
     pub(crate) fn export_command(&self) -> Option<Command> {
         if let Some(slot) = self.slot_unsealed_without_proof() {
             return Some(Command::Unseal(slot));
--- a/crates/control/src/host/founding.rs
+++ b/crates/control/src/host/founding.rs
@@ -1,4 +1,4 @@
-//! The first command of a group: who has which slot, from the other sites' tables or the configuration.
+//! Founds a group: determines the owning site of each slot from the other sites' tables or the configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 use crate::message::GroupBody;
 use crate::state::{Command, SlotHome};
 
-/// Machines of the platform's list that are asked for an earlier table.
-const MAXIMUM_ASKED: usize = 64;
+/// The maximum number of listed machines that are queried for a table of an earlier group.
+const MAX_QUERIED_MACHINES: usize = 64;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Founding {
@@ -21,17 +21,17 @@
     claims_lost: bool,
     epoch: Epoch,
     tables: BTreeMap<SiteName, Arc<ServiceTable>>,
-    asked_at: Option<Timestamp>,
+    queried_at: Option<Timestamp>,
     attempt: usize,
 }
 
 impl ServiceHost {
     pub(crate) fn on_formed(&mut self, step: &mut HostStep<'_>, claims_lost: bool, epoch: Epoch) {
-        self.forget(step);
+        self.reset(step);
         self.founding = Founding { formed_at: Some(step.now), claims_lost, epoch, ..Founding::default() };
     }
 
-    /// A table of another site; one without slots says that the site's group is not founded either.
+    /// Handles a table of another site. A table without slots means that the site's group is not founded either.
     pub(crate) fn on_other_sites_table(&mut self, table: &Arc<ServiceTable>) {
         if !self.state.is_founded() && table.site != *self.site() {
             self.founding.tables.insert(table.site.clone(), table.clone());
@@ -46,44 +46,45 @@
         sites.into_iter().filter(|site| *site != self.site())
     }
 
-    pub(crate) fn ask_other_sites_if_unfounded(&mut self, step: &mut HostStep<'_>) {
+    pub(crate) fn query_other_sites_if_unfounded(&mut self, step: &mut HostStep<'_>) {
         if self.state.is_founded() {
             return;
         }
         let Some(service) = step.configuration.services.get(&self.service) else {
             return;
         };
-        let due = self.founding.asked_at.is_none_or(|at| step.now.since(at) >= self.settings.timing.resend);
+        let due = self.founding.queried_at.is_none_or(|at| step.now.since(at) >= self.settings.timing.resend);
         if !due {
             return;
         }
-        self.founding.asked_at = Some(step.now);
+        self.founding.queried_at = Some(step.now);
         self.founding.attempt += 1;
-        let silent: Vec<SiteName> =
+        let unanswered: Vec<SiteName> =
             self.other_sites(service).filter(|site| !self.founding.tables.contains_key(site)).cloned().collect();
-        self.ask_own_sites_edges(step);
-        for site in silent {
+        self.query_local_edges(step);
+        for site in unanswered {
             let member = nth_member(step.configuration, &self.service, &site, self.founding.attempt);
             let Some(address) = member else {
                 continue;
             };
-            let ask = GroupBody::AskTable { generation: Default::default(), epoch: Epoch::default() };
-            self.send(step, Recipient::Address(address), &site, ask);
+            let request = GroupBody::AskTable { generation: Default::default(), epoch: Epoch::default() };
+            self.send(step, Recipient::Address(address), &site, request);
         }
     }
 
-    /// Edges may remember a table of an earlier group of this site; the new one must start above its epoch.
-    fn ask_own_sites_edges(&self, step: &mut HostStep<'_>) {
+    /// Queries the listed machines, whose edges may have a table of an earlier group of this site. The new group must
+    /// start above its epoch.
+    fn query_local_edges(&self, step: &mut HostStep<'_>) {
         let site = self.site().clone();
-        let listed: Vec<NodeAddress> = self.gates.machines().take(MAXIMUM_ASKED).collect();
-        for address in listed.into_iter().filter(|address| *address != self.me().address) {
-            let ask = GroupBody::AskTable { generation: Default::default(), epoch: Epoch::default() };
-            self.send(step, Recipient::Address(address), &site, ask);
+        let listed: Vec<NodeAddress> = self.gates.machines().take(MAX_QUERIED_MACHINES).collect();
+        for address in listed.into_iter().filter(|address| *address != self.own_node().address) {
+            let request = GroupBody::AskTable { generation: Default::default(), epoch: Epoch::default() };
+            self.send(step, Recipient::Address(address), &site, request);
         }
     }
 
-    /// A table of an earlier group of this site.
-    pub(crate) fn on_earlier_table(&mut self, table: &ServiceTable) {
+    /// Handles a table of an earlier group of this site.
+    pub(crate) fn on_earlier_local_table(&mut self, table: &ServiceTable) {
         if !self.state.is_founded() {
             self.founding.epoch = self.founding.epoch.max(table.epoch);
         }
@@ -92,16 +93,17 @@
     pub(crate) fn found_command(&self, step: &HostStep<'_>) -> Option<Command> {
         let formed_at = self.founding.formed_at?;
         let service = step.configuration.services.get(&self.service)?;
-        let mut silent = self.other_sites(service).filter(|site| !self.founding.tables.contains_key(*site));
-        let complete = silent.next().is_none();
+        let mut unanswered = self.other_sites(service).filter(|site| !self.founding.tables.contains_key(*site));
+        let complete = unanswered.next().is_none();
         let new = step.configuration.formation == Formation::New && !self.founding.claims_lost;
-        let asked = step.now.since(formed_at) >= self.settings.timing.resend;
+        let queried_long_enough = step.now.since(formed_at) >= self.settings.timing.resend;
         let patience_over = step.now.since(formed_at) >= self.settings.timing.founding_timeout;
-        let known = new || (asked && complete) || patience_over;
+        let known = new || (queried_long_enough && complete) || patience_over;
         if !known {
             return None;
         }
-        // A site that did not say what it has may have any slot; a loss of claims keeps keyed calls from running twice.
+        // A site that has not answered may own any slot. Founding with claims lost prevents keyed calls from running
+        // twice.
         let claims_lost = self.founding.claims_lost || (!complete && !new);
         let seen = self.founding.tables.values().map(|table| table.epoch).max().unwrap_or_default();
         let epoch = self.founding.epoch.max(seen).max(service.minimum_epoch).next();
@@ -119,14 +121,14 @@
         };
         match state {
             SlotState::Elsewhere { site } => SlotHome { site, floor: epoch },
-            // Offers under this very seal are still to come, and are welcome.
+            // The site will offer the slot with this seal, so the floor must be below its epoch.
             SlotState::Sealed { .. } => SlotHome { site, floor: Epoch(epoch.0.saturating_sub(1)) },
             SlotState::Owned { .. } | SlotState::Vacant => SlotHome { site, floor: epoch },
         }
     }
 }
 
-/// The site that the configured shares give a slot to.
+/// The site that a slot belongs to according to the configured shares.
 fn configured_home(service: &ServiceConfiguration, slot: SlotId, fallback: &SiteName) -> SiteName {
     let position = u64::from(slot.0) * 100 / u64::from(service.slot_count.max(1));
     let mut upper = 0;
--- a/crates/control/src/host/gates.rs
+++ b/crates/control/src/host/gates.rs
@@ -1,4 +1,4 @@
-//! The leader's watch over the gates: joins, drains, leases and failures.
+//! The leader's tracking of gates: joins, drains, leases and failures.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,40 +11,41 @@
 use crate::settings::ControlTiming;
 use crate::state::{Command, ServiceState};
 
-/// What the leader knows of a gate beyond the agreed state.
+/// The leader's volatile state about a gate, beyond the replicated state.
 #[derive(Clone, Debug)]
-pub(crate) struct GateSeen {
-    pub last_heard: Timestamp,
+pub(crate) struct GateObservation {
+    pub last_heartbeat: Timestamp,
     pub leased_until: Timestamp,
     pub heartbeat: Option<Heartbeat>,
     reported_failed: bool,
     protected_refusals: Option<(Timestamp, u32)>,
 }
 
-/// All gates that the leader has heard of.
+/// The leader's volatile state about all gates.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct GateWatch {
-    seen: BTreeMap<NodeId, GateSeen>,
+pub(crate) struct GateMonitor {
+    observed: BTreeMap<NodeId, GateObservation>,
     replaced: BTreeMap<NodeId, Timestamp>,
     machines: Arc<BTreeMap<NodeAddress, MachineStatus>>,
 }
 
-/// Runs that were replaced are remembered for this many nodes, so that their late heartbeats change nothing.
-const MAXIMUM_REPLACED: usize = 256;
+/// The maximum number of replaced incarnations retained, so that their delayed heartbeats are ignored.
+const MAX_REPLACED: usize = 256;
 
-impl GateWatch {
-    /// A new leader starts from nothing.
+impl GateMonitor {
+    /// Resets the observations when this node becomes the leader.
     pub fn begin(&mut self, now: Timestamp, timing: &ControlTiming, state: &ServiceState) {
-        self.seen.clear();
+        self.observed.clear();
         self.replaced.clear();
-        self.adopt(now, timing, state);
+        self.observe_new_gates(now, timing, state);
     }
 
-    /// Watches gates of the agreed state not heard of yet; an earlier leader may have granted them leases up to now.
-    pub fn adopt(&mut self, now: Timestamp, timing: &ControlTiming, state: &ServiceState) {
+    /// Adds the gates of the replicated state that aren't observed yet. A previous leader may have granted them leases
+    /// until now.
+    pub fn observe_new_gates(&mut self, now: Timestamp, timing: &ControlTiming, state: &ServiceState) {
         for gate in state.gates.values() {
-            self.seen.entry(gate.node).or_insert_with(|| GateSeen {
-                last_heard: now - timing.gate_lease_extension,
+            self.observed.entry(gate.node).or_insert_with(|| GateObservation {
+                last_heartbeat: now - timing.gate_lease_extension,
                 leased_until: now + timing.gate_lease_extension,
                 heartbeat: None,
                 reported_failed: false,
@@ -54,30 +55,30 @@
     }
 
     pub fn load(&self, node: NodeId) -> Option<LoadReport> {
-        self.seen.get(&node)?.heartbeat.as_ref().map(|heartbeat| heartbeat.load)
+        self.observed.get(&node)?.heartbeat.as_ref().map(|heartbeat| heartbeat.load)
     }
 
     pub fn is_idle(&self, node: NodeId) -> bool {
-        let heartbeat = self.seen.get(&node).and_then(|seen| seen.heartbeat.as_ref());
+        let heartbeat = self.observed.get(&node).and_then(|observed| observed.heartbeat.as_ref());
         heartbeat.is_some_and(|heartbeat| heartbeat.idle)
     }
 
-    /// Protected calls refused at all gates within the last `span`.
+    /// The number of protected calls that all gates reported as refused within the last `span`.
     pub fn protected_refusals(&self, now: Timestamp, span: std::time::Duration) -> u32 {
-        let recent = |seen: &GateSeen| match seen.protected_refusals {
+        let recent = |observed: &GateObservation| match observed.protected_refusals {
             Some((at, count)) if now.since(at) <= span => count,
             _ => 0,
         };
-        self.seen.values().map(recent).sum()
+        self.observed.values().map(recent).sum()
     }
 
     pub fn is_fresh(&self, now: Timestamp, node: NodeId, timing: &ControlTiming) -> bool {
-        self.seen.get(&node).is_some_and(|seen| now.since(seen.last_heard) < timing.gate_timeout)
+        self.observed.get(&node).is_some_and(|observed| now.since(observed.last_heartbeat) < timing.gate_timeout)
     }
 
     pub fn report(&mut self, node: NodeId, status: MemberStatus) {
-        if let Some(seen) = self.seen.get_mut(&node) {
-            seen.reported_failed = matches!(status, MemberStatus::Failed | MemberStatus::Left);
+        if let Some(observed) = self.observed.get_mut(&node) {
+            observed.reported_failed = matches!(status, MemberStatus::Failed | MemberStatus::Left);
         }
     }
 
@@ -90,32 +91,32 @@
         self.machines.keys().copied()
     }
 
-    fn note(&mut self, now: Timestamp, from: NodeId, heartbeat: Heartbeat) -> bool {
+    fn record_heartbeat(&mut self, now: Timestamp, from: NodeId, heartbeat: Heartbeat) -> bool {
         if self.replaced.contains_key(&from) {
             return false;
         }
         let older: Vec<NodeId> =
-            self.seen.keys().filter(|known| known.address == from.address && **known != from).copied().collect();
+            self.observed.keys().filter(|known| known.address == from.address && **known != from).copied().collect();
         for run in older {
-            self.seen.remove(&run);
-            if self.replaced.len() < MAXIMUM_REPLACED {
+            self.observed.remove(&run);
+            if self.replaced.len() < MAX_REPLACED {
                 self.replaced.insert(run, now);
             }
         }
         let refusals = heartbeat.load.protected_refusals;
-        let seen = self.seen.entry(from).or_insert_with(|| GateSeen {
-            last_heard: now,
+        let observed = self.observed.entry(from).or_insert_with(|| GateObservation {
+            last_heartbeat: now,
             leased_until: now,
             heartbeat: None,
             reported_failed: false,
             protected_refusals: None,
         });
         if refusals > 0 {
-            seen.protected_refusals = Some((now, refusals));
+            observed.protected_refusals = Some((now, refusals));
         }
-        seen.last_heard = now;
-        seen.reported_failed = false;
-        seen.heartbeat = Some(heartbeat);
+        observed.last_heartbeat = now;
+        observed.reported_failed = false;
+        observed.heartbeat = Some(heartbeat);
         true
     }
 }
@@ -127,7 +128,7 @@
             return;
         }
         let sequence = heartbeat.sequence;
-        if !self.gates.note(step.now, from, heartbeat) {
+        if !self.gates.record_heartbeat(step.now, from, heartbeat) {
             return;
         }
         let lease = self.grant_lease(step.now, from);
@@ -137,34 +138,39 @@
         self.lead(step);
     }
 
-    /// A gate's lease outlasts the leader's own by no more than a new leader waits.
+    /// Extends a gate's lease beyond the leader's own by no more than the time that a new leader waits.
     fn grant_lease(&mut self, now: Timestamp, gate: NodeId) -> std::time::Duration {
         let in_table = self.state.gate(gate).is_some();
         let Some(until) = self.group.lease_until().filter(|_| in_table) else {
             return std::time::Duration::ZERO;
         };
         let end = until + self.settings.timing.gate_lease_extension;
-        if let Some(seen) = self.gates.seen.get_mut(&gate) {
-            seen.leased_until = seen.leased_until.max(end);
+        if let Some(observed) = self.gates.observed.get_mut(&gate) {
+            observed.leased_until = observed.leased_until.max(end);
         }
         now.until(end)
     }
 
-    /// The next change of gates that the agreed state lacks.
+    /// The next change of a gate that is missing from the replicated state.
     pub(crate) fn gate_command(&mut self, step: &HostStep<'_>) -> Option<Command> {
-        self.changed_gate(step).or_else(|| self.departed_gate()).or_else(|| self.failed_gate(step.now))
+        self.changed_gate(step).or_else(|| self.drained_gate()).or_else(|| self.failed_gate(step.now))
     }
 
     fn changed_gate(&self, step: &HostStep<'_>) -> Option<Command> {
         let timing = &self.settings.timing;
-        let fresh = self.gates.seen.iter().filter(|(_, seen)| step.now.since(seen.last_heard) < timing.gate_timeout);
-        let entries = fresh.filter_map(|(node, seen)| self.wanted_entry(step, *node, seen.heartbeat.as_ref()?));
+        let fresh = self
+            .gates
+            .observed
+            .iter()
+            .filter(|(_, observed)| step.now.since(observed.last_heartbeat) < timing.gate_timeout);
+        let entries =
+            fresh.filter_map(|(node, observed)| self.desired_entry(step, *node, observed.heartbeat.as_ref()?));
         let mut changed = entries.filter(|entry| self.state.gates.get(&entry.node.address) != Some(entry));
         changed.next().map(Command::SetGate)
     }
 
-    /// The entry that a gate should have; none if it should not come in.
-    fn wanted_entry(&self, step: &HostStep<'_>, node: NodeId, heartbeat: &Heartbeat) -> Option<GateEntry> {
+    /// The table entry that a gate should have, or `None` if it should not be added.
+    fn desired_entry(&self, step: &HostStep<'_>, node: NodeId, heartbeat: &Heartbeat) -> Option<GateEntry> {
         let known = self.state.gate(node).is_some();
         let retired = self.state.retired.contains(&node.address);
         let machine_leaving = self.gates.machines.get(&node.address) == Some(&MachineStatus::Leaving);
@@ -178,8 +184,8 @@
         Some(GateEntry { node, zone: heartbeat.zone.clone(), status, connections: heartbeat.connections })
     }
 
-    /// A drained gate that is idle is removed; one that a plan retires is removed by the plan's own step.
-    fn departed_gate(&self) -> Option<Command> {
+    /// Removes an idle gate that has drained, unless the active plan retires it: a step of the plan then removes it.
+    fn drained_gate(&self) -> Option<Command> {
         let draining = self.state.gates.values().filter(|gate| gate.status == GateStatus::Draining);
         let idle = draining.filter(|gate| self.gates.is_idle(gate.node) && !self.state.owns_slots(gate.node));
         let by_plan = |gate: &&GateEntry| self.is_retired_by_active_plan(gate.node.address);
@@ -187,17 +193,18 @@
     }
 
     fn failed_gate(&self, now: Timestamp) -> Option<Command> {
-        let failed = |gate: &&GateEntry| match self.gates.seen.get(&gate.node) {
-            Some(seen) => self.has_failed(now, seen),
+        let failed = |gate: &&GateEntry| match self.gates.observed.get(&gate.node) {
+            Some(observed) => self.has_failed(now, observed),
             None => false,
         };
         self.state.gates.values().find(failed).map(|gate| Command::RemoveGate(gate.node))
     }
 
-    /// An owner that may still hold a lease must not lose its slots to another, however long it has been silent.
-    fn has_failed(&self, now: Timestamp, seen: &GateSeen) -> bool {
-        let lease_over = now > seen.leased_until || !self.settings.mechanisms.takeover_waits_for_lease;
-        let silent = now.since(seen.last_heard) >= self.settings.timing.gate_timeout;
-        lease_over && (silent || seen.reported_failed)
+    /// Whether a gate has failed. An owner that may still hold a lease must keep its slots, however long it has not
+    /// answered.
+    fn has_failed(&self, now: Timestamp, observed: &GateObservation) -> bool {
+        let lease_over = now > observed.leased_until || !self.settings.mechanisms.takeover_waits_for_lease;
+        let timed_out = now.since(observed.last_heartbeat) >= self.settings.timing.gate_timeout;
+        lease_over && (timed_out || observed.reported_failed)
     }
 }
--- a/crates/control/src/host/imports.rs
+++ b/crates/control/src/host/imports.rs
@@ -1,4 +1,4 @@
-//! The new site's side of a move: offered claims are gathered, recorded by a gate, and then the slot is opened.
+//! The new site's side of a move: collects the offered claims, has a gate record them and then opens the slot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,8 +8,8 @@
 use crate::message::{GroupBody, OfferOutcome, SlotClaims};
 use crate::state::{Command, SlotImport, SlotTransfer};
 
-/// Slots that are gathered at once; offers beyond that are left unanswered and come again.
-const MAXIMUM_IMPORTS: usize = 64;
+/// The maximum number of slots whose claims are collected at once. The old site retries offers beyond that.
+const MAX_IMPORTS: usize = 64;
 
 #[derive(Clone, Debug, Default)]
 struct Import {
@@ -27,7 +27,7 @@
     }
 }
 
-/// What the leader gathers; lost with its leadership, since the old site offers again.
+/// The claims that the leader collects; discarded when it loses the leadership, because the old site offers them again.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Imports {
     slots: BTreeMap<SlotId, Import>,
@@ -42,20 +42,20 @@
             return;
         }
         let (slot, seal_epoch) = (claims.slot, claims.epoch);
-        if let Some(outcome) = self.settled_outcome(slot, seal_epoch) {
+        if let Some(outcome) = self.committed_outcome(slot, seal_epoch) {
             self.answer(step, from, GroupBody::OfferAnswer { slot, seal_epoch, outcome });
             return;
         }
-        self.gather(site, claims);
+        self.add_page(site, claims);
         self.lead(step);
         let held = self.imports.slots.get(&slot).filter(|import| import.seal_epoch == seal_epoch);
         let pages = held.map_or(0, |import| import.pages.len() as u32);
-        let outcome = self.settled_outcome(slot, seal_epoch).unwrap_or(OfferOutcome::Held { pages });
+        let outcome = self.committed_outcome(slot, seal_epoch).unwrap_or(OfferOutcome::Held { pages });
         self.answer(step, from, GroupBody::OfferAnswer { slot, seal_epoch, outcome });
     }
 
-    /// What this group has agreed on an offer; such an answer stays true for ever.
-    fn settled_outcome(&self, slot: SlotId, seal_epoch: Epoch) -> Option<OfferOutcome> {
+    /// The committed outcome of an offer, if there is one. It never changes.
+    fn committed_outcome(&self, slot: SlotId, seal_epoch: Epoch) -> Option<OfferOutcome> {
         let record = self.state.slot(slot)?;
         let opened = |import: &&SlotImport| import.opened && import.seal_epoch == seal_epoch;
         if record.import.as_ref().filter(opened).is_some() {
@@ -64,9 +64,9 @@
         (record.refused_seal >= seal_epoch).then_some(OfferOutcome::Refused)
     }
 
-    fn gather(&mut self, site: &SiteName, claims: SlotClaims) {
-        let room = self.imports.slots.len() < MAXIMUM_IMPORTS || self.imports.slots.contains_key(&claims.slot);
-        if !room {
+    fn add_page(&mut self, site: &SiteName, claims: SlotClaims) {
+        let has_capacity = self.imports.slots.len() < MAX_IMPORTS || self.imports.slots.contains_key(&claims.slot);
+        if !has_capacity {
             return;
         }
         let import = self.imports.slots.entry(claims.slot).or_default();
@@ -90,11 +90,11 @@
         let outcome = if agreed.is_some_and(|import| import.seal_epoch == seal_epoch) {
             Some(OfferOutcome::Held { pages: self.imports.slots.get(&slot).map_or(0, |held| held.pages.len() as u32) })
         } else {
-            self.settled_outcome(slot, seal_epoch)
+            self.committed_outcome(slot, seal_epoch)
         };
         match outcome {
             Some(outcome) => self.answer(step, from, GroupBody::OfferAnswer { slot, seal_epoch, outcome }),
-            // The proof is an agreed refusal; the old site asks again and then gets it.
+            // A committed refusal is the proof that the old site needs; it receives the refusal when it retries.
             None => {
                 self.imports.refusals_wanted.insert((slot, seal_epoch));
                 self.lead(step);
@@ -107,7 +107,7 @@
         self.lead(step);
     }
 
-    /// Hands gathered claims to the gates that shall record them.
+    /// Sends collected claims to the gates that record them.
     pub(crate) fn send_imports(&mut self, step: &mut HostStep<'_>) {
         let mut due = Vec::new();
         for (slot, record) in self.state.numbered_slots() {
@@ -145,7 +145,7 @@
         self.imports.slots.retain(|slot, import| !finished(slot, import));
     }
 
-    /// The next command of a take-over, if one is due.
+    /// The next command of an import, if one is due.
     pub(crate) fn import_command(&mut self, step: &HostStep<'_>) -> Option<Command> {
         self.open_command().or_else(|| self.refuse_command()).or_else(|| self.accept_command(step))
     }
@@ -168,7 +168,7 @@
         while let Some((slot, seal_epoch)) = self.imports.refusals_wanted.pop_first() {
             let transfer = SlotTransfer { slot, seal_epoch };
             let taken = self.state.slot(slot).and_then(|record| record.import.as_ref());
-            let already = self.settled_outcome(slot, seal_epoch).is_some();
+            let already = self.committed_outcome(slot, seal_epoch).is_some();
             if !already && taken.is_none_or(|import| import.seal_epoch < seal_epoch) {
                 self.imports.slots.remove(&slot);
                 return Some(Command::Refuse(transfer));
@@ -181,9 +181,9 @@
         self.imports.slots.iter().filter(|(_, import)| import.is_complete()).find_map(|(slot, import)| {
             let record = self.state.slot(*slot)?;
             let elsewhere = matches!(record.state, quillhatch_types::SlotState::Elsewhere { .. });
-            let welcome = elsewhere && import.seal_epoch > record.epoch && import.seal_epoch > record.refused_seal;
+            let acceptable = elsewhere && import.seal_epoch > record.epoch && import.seal_epoch > record.refused_seal;
             let orphaned = record.pending_import().is_some_and(|pending| !self.can_import(step, pending.owner));
-            if !welcome && !orphaned {
+            if !acceptable && !orphaned {
                 return None;
             }
             let transfer = SlotTransfer { slot: *slot, seal_epoch: import.seal_epoch };
--- a/crates/control/src/host/membership.rs
+++ b/crates/control/src/host/membership.rs
@@ -1,4 +1,4 @@
-//! What the host is told from outside the group: members, machines, and what a forming must respect.
+//! Inputs from outside the group: membership changes, machines and the requirements for forming a group.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 use crate::io::{MachineStatus, MemberStatus};
 
 impl ServiceHost {
-    /// Whether the configuration last respected wants `address` in the group.
-    pub fn wants(&self, address: NodeAddress) -> bool {
+    /// Whether the electorate of the last applied configuration contains `address`.
+    pub fn is_in_electorate(&self, address: NodeAddress) -> bool {
         self.electorate.contains(&address)
     }
 
-    /// Whether the group counts this node as a voter.
+    /// Whether this node is a voter of the group.
     pub fn is_voter(&self) -> bool {
-        !self.is_outsider() && self.group.voters().voters.contains(&self.me())
+        !self.is_outsider() && self.group.voters().voters.contains(&self.own_node())
     }
 
-    /// Other nodes than this one are wanted now.
+    /// Sets an electorate that no longer contains this node.
     pub fn set_electorate(&mut self, electorate: Vec<NodeAddress>) {
         self.electorate = electorate;
     }
@@ -33,7 +33,8 @@
         self.gates.set_machines(machines);
     }
 
-    /// From which nodes the group may be formed, above everything that this node remembers of an earlier one.
+    /// The nodes that may form the group, and the generation and epoch that it must exceed because an earlier group
+    /// used them.
     pub fn requirements(
         &mut self,
         configuration: &Configuration,
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -1,8 +1,8 @@
-//! One member's part in a service's group: it hosts the agreement, applies what is agreed, and leads if elected.
+//! One member of a service's group: it runs the consensus protocol, applies committed commands and leads if elected.
 //!
-//! The leader's duties are in the submodules. Each looks at the agreed state and the time and asks for at most one
-//! command; one command is on its way at a time, so every decision rests on the outcome of the one before. Nothing that
-//! matters is kept outside the agreed state, so a new leader simply goes on.
+//! The submodules implement the leader's tasks. Each derives at most one command from the replicated state and the
+//! time. Only one command is pending at a time, so every decision takes the outcome of the previous one into account.
+//! All essential state is replicated, so a new leader can continue where the previous one stopped.
 
 mod agreement;
 mod exports;
@@ -34,54 +34,55 @@
 use agreement::Pending;
 use exports::Exports;
 use founding::Founding;
-use gates::GateWatch;
+use gates::GateMonitor;
 use imports::Imports;
 use moves::RemoteSites;
-use requests::Desk;
-use voters::VoterDuty;
+use requests::RequestQueue;
+use voters::VoterChanges;
 
-/// The most commands that a leader proposes in one step; further ones wait for the next.
-const MAXIMUM_COMMANDS_PER_STEP: usize = 256;
+/// The maximum number of commands that a leader proposes in one step; further ones wait for the next step.
+const MAX_COMMANDS_PER_STEP: usize = 256;
 
-/// Who waits for the reply to an operator's request, and under which number.
+/// The node that awaits the reply to an operator's request, and its number for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     pub node: NodeId,
     pub number: u64,
 }
 
-/// What a step of the host works with.
+/// The context of one step of a host.
 pub(crate) struct HostStep<'a> {
     pub now: Timestamp,
     pub configuration: &'a Arc<Configuration>,
     pub outputs: &'a mut Vec<ControlOutput>,
 }
 
-/// One member's part in a service's group; see the module.
+/// One member of a service's group.
 pub(crate) struct ServiceHost {
     settings: ControlSettings,
     service: ServiceName,
     electorate: Vec<NodeAddress>,
     group: Group,
     state: ServiceState,
-    tickets: u64,
+    last_ticket: u64,
     pending: Option<Pending>,
     rejected: Option<(Command, Timestamp)>,
-    /// How often the group itself refused a proposal.
+    /// The number of proposals that the group refused.
     proposals_refused: u64,
-    /// The service's configuration at the revision that the group agreed on last, if this node had it in force then.
+    /// The service's configuration at the revision that the group committed last, if this node had that revision in
+    /// force.
     agreed_service: Option<ServiceConfiguration>,
     leading_since: Option<Timestamp>,
     lost_since: Option<Timestamp>,
     applied_at: BTreeMap<u64, Timestamp>,
     committed_index: u64,
-    gates: GateWatch,
-    voters: VoterDuty,
+    gates: GateMonitor,
+    voters: VoterChanges,
     founding: Founding,
     remote: RemoteSites,
     exports: Exports,
     imports: Imports,
-    desk: Desk,
+    requests: RequestQueue,
 }
 
 impl ServiceHost {
@@ -94,7 +95,7 @@
             electorate: Vec::new(),
             group,
             state,
-            tickets: 0,
+            last_ticket: 0,
             pending: None,
             rejected: None,
             proposals_refused: 0,
@@ -103,13 +104,13 @@
             lost_since: None,
             applied_at: BTreeMap::new(),
             committed_index: 0,
-            gates: GateWatch::default(),
-            voters: VoterDuty::default(),
+            gates: GateMonitor::default(),
+            voters: VoterChanges::default(),
             founding: Founding::default(),
             remote: RemoteSites::default(),
             exports: Exports::default(),
             imports: Imports::default(),
-            desk: Desk::default(),
+            requests: RequestQueue::default(),
         }
     }
 
@@ -125,7 +126,7 @@
         self.group.next_wake()
     }
 
-    /// Whether this node leads and has heard from a majority lately enough to answer for the group.
+    /// Whether this node leads and has been in contact with a majority recently enough to answer for the group.
     pub fn leads(&self, now: Timestamp) -> bool {
         self.leading_since.is_some() && self.group.readable_index(now).is_some()
     }
@@ -134,11 +135,11 @@
         &self.settings.site
     }
 
-    fn me(&self) -> NodeId {
+    fn own_node(&self) -> NodeId {
         self.settings.node
     }
 
-    /// A limit that a plan has set here, for every class that has one.
+    /// The retry limits that plans have set at this site, one for each class that has them.
     pub fn retries(&self) -> Vec<RetryLimits> {
         self.state.retries.values().cloned().collect()
     }
@@ -168,11 +169,11 @@
             GroupOutput::Proposed { ticket, result } => self.on_proposed(step, ticket, result),
             GroupOutput::RoleChanged { role, .. } => self.on_role(step, role),
             GroupOutput::InstallSnapshot { index, bytes } => self.on_snapshot(step, index, &bytes),
-            GroupOutput::NeedSnapshot { .. } => self.hand_in_snapshot(step),
+            GroupOutput::NeedSnapshot { .. } => self.provide_snapshot(step),
             GroupOutput::Formed { claims_lost, epoch, .. } => self.on_formed(step, claims_lost, epoch),
             GroupOutput::VotersChanged { voters } => self.voters.on_changed(voters),
             GroupOutput::JoinRequested { node } => self.voters.on_join_requested(step.now, node),
-            GroupOutput::Removed => self.forget(step),
+            GroupOutput::Removed => self.reset(step),
             GroupOutput::LeaseGranted { .. } => {}
         }
     }
@@ -192,7 +193,7 @@
         step.outputs.push(ControlOutput::Send { to, payload: ControlPayload::Control(Box::new(message)) });
     }
 
-    /// Answers a node in the name of this group.
+    /// Sends a message about this group to a node.
     fn answer(&self, step: &mut HostStep<'_>, to: NodeId, body: GroupBody) {
         let site = self.site().clone();
         self.send(step, Recipient::Run(to), &site, body);
@@ -216,13 +217,13 @@
         self.remote = RemoteSites::default();
         self.exports = Exports::default();
         self.imports = Imports::default();
-        self.desk.clear();
+        self.requests.clear();
         let event =
             ControlEvent::Leadership { service: self.service.clone(), site: self.site().clone(), leading: leads };
         self.event(step, event);
     }
 
-    fn forget(&mut self, step: &mut HostStep<'_>) {
+    fn reset(&mut self, step: &mut HostStep<'_>) {
         self.abandon_pending(step);
         self.state = ServiceState::new(self.service.clone(), self.site().clone(), self.settings.mechanisms);
         self.agreed_service = None;
@@ -231,37 +232,38 @@
         self.applied_at.clear();
     }
 
-    /// Hands the table to this node, and as the leader to every gate.
+    /// Sends the table to this node and, if it leads, to every gate.
     fn publish_table(&mut self, step: &mut HostStep<'_>) {
         if !self.state.is_founded() {
             return;
         }
         let table = Arc::new(self.state.table());
         let body = GroupBody::Table { table, retries: self.retries() };
-        self.answer(step, self.me(), body.clone());
+        self.answer(step, self.own_node(), body.clone());
         if self.leading_since.is_none() {
             return;
         }
         let gates: Vec<NodeId> = self.state.gates.values().map(|gate| gate.node).collect();
-        for gate in gates.into_iter().filter(|gate| *gate != self.me()) {
+        for gate in gates.into_iter().filter(|gate| *gate != self.own_node()) {
             self.answer(step, gate, body.clone());
         }
     }
 
-    fn reply(&self, step: &mut HostStep<'_>, asker: Asker, reply: OperatorReply) {
-        let body = GroupBody::Reply { number: asker.number, reply: Box::new(reply) };
-        self.answer(step, asker.node, body);
+    fn reply(&self, step: &mut HostStep<'_>, requester: Requester, reply: OperatorReply) {
+        let body = GroupBody::Reply { number: requester.number, reply: Box::new(reply) };
+        self.answer(step, requester.node, body);
     }
 
-    /// Does what a leader has to do next, as far as it can be done at once.
+    /// Sends the messages that are due and proposes the next commands, if this node leads.
     pub fn lead(&mut self, step: &mut HostStep<'_>) {
         if !self.leads(step.now) {
             return;
         }
-        self.gates.adopt(step.now, &self.settings.timing, &self.state);
+        self.gates.observe_new_gates(step.now, &self.settings.timing, &self.state);
         self.send_due_messages(step);
-        // A group of one agrees at once, so a duty that is never content must not keep the node in this loop.
-        for _ in 0..MAXIMUM_COMMANDS_PER_STEP {
+        // A group of one commits at once, so a task that always has a further command must not keep the node in this
+        // loop.
+        for _ in 0..MAX_COMMANDS_PER_STEP {
             if !self.propose_next(step) {
                 break;
             }
@@ -269,7 +271,7 @@
         self.change_voters_if_due(step);
     }
 
-    /// Proposes the next command; says whether another one may be proposed in the same step.
+    /// Proposes the next command. Returns whether another one may be proposed in the same step.
     fn propose_next(&mut self, step: &mut HostStep<'_>) -> bool {
         if self.pending.is_some() || !self.leads(step.now) {
             return false;
@@ -279,19 +281,19 @@
         };
         let refusals = self.proposals_refused;
         self.propose(step, command, Vec::new());
-        // A group that hands its leadership on refuses proposals; asking again in the same step would never end.
+        // A group refuses proposals during a leadership transfer, so retries in the same step would never end.
         self.proposals_refused == refusals
     }
 
     fn send_due_messages(&mut self, step: &mut HostStep<'_>) {
-        self.ask_other_sites_if_unfounded(step);
+        self.query_other_sites_if_unfounded(step);
         self.send_exports(step);
         self.send_imports(step);
         self.send_for_plan(step);
         self.expire_requests(step);
     }
 
-    /// The first command that a duty asks for, the most urgent duty first.
+    /// The next command, from the most urgent task that has one.
     fn next_command(&mut self, step: &HostStep<'_>) -> Option<Command> {
         if !self.state.is_founded() {
             return self.found_command(step);
@@ -306,19 +308,20 @@
 
     fn housekeeping_command(&self, step: &HostStep<'_>) -> Option<Command> {
         let service = step.configuration.services.get(&self.service)?;
-        // Most revisions change other services. To agree on each of them would keep every group of a large fleet busy and
-        // make every plan out of date.
+        // Most revisions change other services. Committing each of them would keep every group of a large fleet busy
+        // and invalidate the basis of every plan.
         if step.configuration.revision > self.state.revision && self.agreed_service.as_ref() != Some(service) {
             return Some(Command::SetRevision(step.configuration.revision));
         }
         let retention = service.claim_retention;
         let lost_since = self.lost_since?;
-        // Claims that were lost would have expired by now, so no key of theirs is protected any more.
+        // The lost claims would have expired by now, so their keys would no longer be protected anyway.
         (self.state.claims_lost && step.now.since(lost_since) >= retention).then_some(Command::AcceptLoss)
     }
 }
 
-/// The addresses of the group of `service` at `site`, to be tried in turn.
+/// The address of the member of `service`'s group at `site` to try at `attempt`; successive attempts cycle through the
+/// members.
 pub(crate) fn nth_member(
     configuration: &Configuration,
     service: &ServiceName,
--- a/crates/control/src/host/moves.rs
+++ b/crates/control/src/host/moves.rs
@@ -1,18 +1,18 @@
-//! Talk with the groups of the same service at other sites: who leads there, and whether it can take slots.
+//! Communicates with the groups of the same service at other sites: tracks their leaders and their readiness for slots.
 
 use std::collections::BTreeMap;
 
 use quillhatch_types::{Epoch, NodeId, SiteName, SlotId, SlotState, Timestamp};
 
-use crate::host::planning::LARGEST_STEP;
+use crate::host::planning::MAX_SLOTS_PER_STEP;
 use crate::host::{nth_member, HostStep, ServiceHost};
 use crate::io::Recipient;
 use crate::message::{GroupBody, Readiness};
 use crate::operator::PlanState;
 use crate::state::{Command, SlotRecord};
 
-/// Unanswered messages after which another member of the site's group is tried.
-const TRIES_PER_MEMBER: u32 = 2;
+/// The number of unanswered messages after which another member of the site's group is tried.
+const ATTEMPTS_PER_MEMBER: u32 = 2;
 
 #[derive(Clone, Debug, Default)]
 struct RemoteSite {
@@ -23,45 +23,45 @@
     readiness: Option<Readiness>,
 }
 
-/// What the leader knows of the other sites.
+/// The leader's volatile state about the other sites.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RemoteSites {
     sites: BTreeMap<SiteName, RemoteSite>,
 }
 
 impl RemoteSites {
-    /// A member of the site's group answered as its leader.
+    /// Handles an answer from the leader of the site's group.
     pub fn on_answer(&mut self, site: &SiteName, from: NodeId) {
         let remote = self.sites.entry(site.clone()).or_default();
         remote.leader = Some(from);
         remote.unanswered = 0;
     }
 
-    /// A member of the site's group named the leader.
+    /// Handles an answer from a member that does not lead but may name the leader.
     pub fn on_not_leader(&mut self, site: &SiteName, leader: Option<NodeId>) {
         let remote = self.sites.entry(site.clone()).or_default();
         remote.leader = leader;
         remote.attempt += usize::from(leader.is_none());
-        // The named leader is asked at once.
+        // The named leader is probed at once.
         remote.probed_at = None;
     }
 
     pub fn on_readiness(&mut self, site: &SiteName, readiness: Readiness) {
         let remote = self.sites.entry(site.clone()).or_default();
-        // Answers may overtake each other; a later question's answer knows more.
+        // Answers may arrive out of order; the answer to the latest probe is the most recent.
         if remote.readiness.as_ref().is_none_or(|known| known.asked < readiness.asked) {
             remote.readiness = Some(readiness);
         }
     }
 
-    /// What the site said last.
+    /// The latest readiness report of the site.
     pub fn readiness(&self, site: &SiteName) -> Option<&Readiness> {
         self.sites.get(site)?.readiness.as_ref()
     }
 
     fn recipient(&mut self, site: &SiteName, member: impl Fn(usize) -> Option<Recipient>) -> Option<Recipient> {
         let remote = self.sites.entry(site.clone()).or_default();
-        if remote.unanswered >= TRIES_PER_MEMBER {
+        if remote.unanswered >= ATTEMPTS_PER_MEMBER {
             remote.leader = None;
             remote.attempt += 1;
             remote.unanswered = 0;
@@ -72,7 +72,7 @@
 }
 
 impl ServiceHost {
-    /// Sends to the leader of the service's group at another site, as far as it is known.
+    /// Sends to the leader of the service's group at another site, or to one of its members if the leader is unknown.
     pub(crate) fn send_to_site(&mut self, step: &mut HostStep<'_>, site: &SiteName, body: GroupBody) {
         let (configuration, service) = (step.configuration, &self.service);
         let member = |attempt| nth_member(configuration, service, site, attempt).map(Recipient::Address);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Asks a site about its readiness, unless it was asked just now.
+    /// Probes the readiness of a site, unless it was probed within the resend interval.
     pub(crate) fn probe(&mut self, step: &mut HostStep<'_>, site: &SiteName) {
         let remote = self.remote.sites.entry(site.clone()).or_default();
         let interval = self.settings.timing.resend;
@@ -93,7 +93,7 @@
         self.send_to_site(step, site, GroupBody::Probe { from, asked: step.now });
     }
 
-    /// A readiness that is young enough to rest a decision on.
+    /// The readiness report of a site, if it is recent enough for a decision.
     pub(crate) fn fresh_readiness(&self, now: Timestamp, site: &SiteName) -> Option<&Readiness> {
         let readiness = self.remote.readiness(site)?;
         let age = now.since(readiness.asked);
@@ -119,7 +119,8 @@
             serving: u32::try_from(fresh.len()).unwrap_or(u32::MAX),
             protected_refusals: self.gates.protected_refusals(step.now, timing.readiness_age * 2),
             plan: active.map(|record| record.plan.id.clone()),
-            // A plan that gives way is undone in a moment: the other one waits for that instead of giving way too.
+            // A plan that is being undone is not reported as started: otherwise the other site's plan would abort as
+            // well instead of waiting for the end of the undo.
             started: active.is_some_and(|record| record.begun && record.state == PlanState::Running),
             loads: fresh.iter().filter_map(|node| Some((node.address, self.gates.load(*node)?))).collect(),
         };
@@ -127,11 +128,11 @@
     }
 
     pub(crate) fn answer_not_leader(&self, step: &mut HostStep<'_>, to: NodeId) {
-        let leader = self.leader_hint().filter(|leader| *leader != self.me());
+        let leader = self.leader_hint().filter(|leader| *leader != self.own_node());
         self.answer(step, to, GroupBody::NotLeader { leader });
     }
 
-    /// Another site wants back what it gave: seal a few of those slots at a time.
+    /// Handles another site's request to return slots that it moved here, by sealing a limited batch at a time.
     pub(crate) fn on_return_slots(
         &mut self,
         step: &mut HostStep<'_>,
@@ -148,13 +149,13 @@
         if busy || self.pending.is_some() {
             return;
         }
-        // The epoch of the seal tells a late copy of this request from one about the present stay of the slot here.
+        // The seal epoch distinguishes a delayed duplicate from a request about the slot's latest import.
         let returnable = |(slot, seal_epoch): &(SlotId, Epoch)| {
             let import = self.state.slot(*slot).and_then(|record| record.import.as_ref());
             import.is_some_and(|import| import.opened && import.from == *to && import.seal_epoch == *seal_epoch)
         };
         let wanted = slots.iter().filter(|pair| returnable(pair)).map(|(slot, _)| *slot);
-        let batch: Vec<SlotId> = wanted.take(LARGEST_STEP).collect();
+        let batch: Vec<SlotId> = wanted.take(MAX_SLOTS_PER_STEP).collect();
         if !batch.is_empty() {
             let command = Command::Seal { plan: None, slots: batch, destination: to.clone() };
             self.propose(step, command, Vec::new());
--- a/crates/control/src/host/planning.rs
+++ b/crates/control/src/host/planning.rs
@@ -1,4 +1,4 @@
-//! From an intent to a plan: what would be done, what load it is expected to bring, what could go wrong.
+//! Makes a plan from an operator's intent: its steps, the expected load and the risks.
 
 use std::collections::BTreeMap;
 
@@ -10,15 +10,15 @@
 use crate::io::LoadReport;
 use crate::operator::{finding, ExpectedLoad, Intent, Plan, PlanDraft, PlanStep, StepAction};
 
-/// The most slots that one step moves.
-pub(crate) const LARGEST_STEP: usize = 8;
+/// The maximum number of slots that one step moves.
+pub(crate) const MAX_SLOTS_PER_STEP: usize = 8;
 
-/// Into how many steps a move is cut, unless that would make them larger than [`LARGEST_STEP`].
-const STEPS_OF_A_MOVE: usize = 8;
+/// The number of steps that a move is split into, unless the steps would exceed [`MAX_SLOTS_PER_STEP`] slots.
+const STEPS_PER_MOVE: usize = 8;
 
 /// Why no plan was made.
 pub(crate) enum PlanningProblem {
-    /// The other site has not yet said how ready it is.
+    /// The other site has not yet reported its readiness.
     AwaitsReadiness(SiteName),
     /// The intent is refused.
     Refused(Findings),
@@ -28,9 +28,9 @@
     PlanningProblem::Refused(Findings(vec![finding(path, problem, advice)]))
 }
 
-type Planned<T> = Result<T, PlanningProblem>;
+type PlanningResult<T> = Result<T, PlanningProblem>;
 
-struct Parts {
+struct PlanParts {
     actions: Vec<StepAction>,
     loads: Vec<ExpectedLoad>,
     risks: Vec<String>,
@@ -38,7 +38,7 @@
 }
 
 impl ServiceHost {
-    pub(crate) fn make_plan(&self, step: &HostStep<'_>, intent: &Intent) -> Planned<Plan> {
+    pub(crate) fn make_plan(&self, step: &HostStep<'_>, intent: &Intent) -> PlanningResult<Plan> {
         if let Some(active) = self.state.active_plan() {
             let cancels = matches!(intent, Intent::CancelPlan { id } if *id == active.plan.id);
             if !cancels {
@@ -60,7 +60,7 @@
         Ok(self.draft(intent, parts).seal())
     }
 
-    fn draft(&self, intent: &Intent, parts: Parts) -> PlanDraft {
+    fn draft(&self, intent: &Intent, parts: PlanParts) -> PlanDraft {
         let numbered = parts.actions.into_iter().zip(1..).map(|(action, number)| PlanStep { number, action });
         PlanDraft {
             intent: intent.clone(),
@@ -80,7 +80,7 @@
         service: &ServiceConfiguration,
         to: &SiteName,
         percent: u32,
-    ) -> Planned<Parts> {
+    ) -> PlanningResult<PlanParts> {
         let slot_count = service.slot_count as usize;
         let wanted = (slot_count * percent as usize + 50) / 100;
         let owned = self.slots_by_owner();
@@ -100,13 +100,13 @@
             return Err(refused("intent.to", problem, "start targets there first"));
         }
         let slots = choose_slots(owned, wanted);
-        let size = wanted.div_ceil(STEPS_OF_A_MOVE).clamp(1, LARGEST_STEP);
+        let size = wanted.div_ceil(STEPS_PER_MOVE).clamp(1, MAX_SLOTS_PER_STEP);
         let batch = |slots: &[SlotId]| StepAction::MoveSlots { slots: slots.to_vec(), to: to.clone() };
         let share = wanted as f64 / held as f64;
         let mut loads = self.loads_with(|running| f64::from(running) * (1.0 - share));
         let moved: f64 = loads.iter().filter_map(|load| load.running).map(|running| f64::from(running) * share).sum();
         loads.extend(arriving_loads(to, &readiness.loads, moved));
-        Ok(Parts {
+        Ok(PlanParts {
             actions: slots.chunks(size).map(batch).collect(),
             loads,
             risks: vec![
@@ -143,7 +143,7 @@
             .collect()
     }
 
-    fn retire_parts(&self, target: NodeAddress) -> Planned<Parts> {
+    fn retire_parts(&self, target: NodeAddress) -> PlanningResult<PlanParts> {
         let serving: Vec<NodeAddress> = self.state.serving_gates().map(|gate| gate.node.address).collect();
         if !serving.contains(&target) {
             let problem = format!("{target} takes no calls of {} at {}", self.service, self.site());
@@ -160,7 +160,7 @@
         for load in loads.iter_mut().filter(|load| load.target == target) {
             load.expected = load.running.map(|_| 0);
         }
-        Ok(Parts {
+        Ok(PlanParts {
             actions: vec![
                 StepAction::CloseGate { target },
                 StepAction::HandSlotsOn { target },
@@ -178,7 +178,7 @@
         class: &quillhatch_types::ClassName,
         budget: u16,
         ratio: u8,
-    ) -> Planned<Parts> {
+    ) -> PlanningResult<PlanParts> {
         let Some(configured) = service.class(class) else {
             let problem = format!("the service has no class {class}");
             return Err(refused("intent.class", problem, "check the class with the configuration"));
@@ -195,7 +195,7 @@
             previous_budget,
             previous_ratio,
         };
-        Ok(Parts {
+        Ok(PlanParts {
             actions: sites.into_iter().map(set).collect(),
             loads: self.loads_with(f64::from),
             risks: vec!["a larger budget lets more retries reach targets that are overloaded already".into()],
@@ -203,14 +203,14 @@
         })
     }
 
-    fn cancel_parts(&self, id: &quillhatch_types::PlanId) -> Planned<Parts> {
+    fn cancel_parts(&self, id: &quillhatch_types::PlanId) -> PlanningResult<PlanParts> {
         let Some(record) = self.state.plan(id) else {
             return Err(refused("intent.id", format!("no confirmed plan {id} is known"), "list them with `plans`"));
         };
         if !matches!(record.state, crate::operator::PlanState::Running | crate::operator::PlanState::Done) {
             return Err(refused("intent.id", format!("plan {id} is {}", record.state), "nothing is left to cancel"));
         }
-        Ok(Parts {
+        Ok(PlanParts {
             actions: vec![StepAction::UndoPlan { plan: id.clone() }],
             loads: self.loads_with(f64::from),
             risks: record.plan.draft.risks.clone(),
@@ -219,7 +219,7 @@
     }
 }
 
-/// Takes slots from the fullest owner in turn, so that those that stay are balanced as before.
+/// Selects each slot from the owner with the most remaining slots, so that the remaining slots stay balanced.
 fn choose_slots(mut owned: BTreeMap<NodeId, Vec<SlotId>>, count: usize) -> Vec<SlotId> {
     let mut chosen = Vec::with_capacity(count);
     while chosen.len() < count {
--- a/crates/control/src/host/progress.rs
+++ b/crates/control/src/host/progress.rs
@@ -1,4 +1,4 @@
-//! Steps of the confirmed plan, each repeated until the agreed state shows that it is done.
+//! Executes the steps of the confirmed plan. Each is retried until the replicated state shows that it is done.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,11 @@
 use crate::operator::{Intent, PlanState, StepAction};
 use crate::state::{Command, PlanNote, PlanRecord, RetryLimits};
 
-/// What the leader remembers while it works on a plan; a new leader finds it out again.
+/// The leader's volatile state about the active plan; a new leader rebuilds it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PlanWork {
+pub(crate) struct PlanProgress {
     pub waiting_for: Option<String>,
-    /// The plan at work and since when this leader has worked on it.
+    /// The active plan and when this leader began to execute it.
     plan: Option<(PlanId, Timestamp)>,
     pub step_done_at: Option<Timestamp>,
     refused_since: Option<Timestamp>,
@@ -22,10 +22,10 @@
 }
 
 /// Whether the next slots of a move may be sealed.
-enum Gateway {
+enum SealDecision {
     Open,
     Wait(String),
-    GiveUp(String),
+    Abort(String),
 }
 
 impl ServiceHost {
@@ -43,14 +43,14 @@
         plan: PlanId,
         limits: RetryLimits,
     ) {
-        self.desk.work.acknowledged.insert((plan, site.clone(), limits));
+        self.requests.plan_progress.acknowledged.insert((plan, site.clone(), limits));
         self.lead(step);
     }
 
     /// The next command of the active plan, if one is due.
     pub(crate) fn plan_command(&mut self, step: &HostStep<'_>) -> Option<Command> {
         let record = self.state.active_plan()?.clone();
-        self.desk.work.waiting_for = None;
+        self.requests.plan_progress.waiting_for = None;
         match &record.state {
             PlanState::Running => self.running_command(step, &record),
             PlanState::Undoing { reason } => self.undo_command(&record, reason),
@@ -64,7 +64,7 @@
             return Some(note(id, Some(PlanState::Done), record.steps_done, "every step is done"));
         };
         if self.is_done(id, &next.action) {
-            self.desk.work.step_done_at = Some(step.now);
+            self.requests.plan_progress.step_done_at = Some(step.now);
             let what = format!("step {} is done: {}", next.number, next.action);
             return Some(note(id, None, next.number, &what));
         }
@@ -102,7 +102,7 @@
         if site == self.site() {
             return self.state.retries.get(&wanted.class) == Some(wanted);
         }
-        self.desk.work.acknowledged.contains(&(plan.clone(), site.clone(), wanted.clone()))
+        self.requests.plan_progress.acknowledged.contains(&(plan.clone(), site.clone(), wanted.clone()))
     }
 
     fn step_command(&mut self, step: &HostStep<'_>, record: &PlanRecord, action: &StepAction) -> Option<Command> {
@@ -130,7 +130,7 @@
     }
 
     fn wait(&mut self, reason: String) -> Option<Command> {
-        self.desk.work.waiting_for = Some(reason);
+        self.requests.plan_progress.waiting_for = Some(reason);
         None
     }
 
@@ -147,53 +147,55 @@
             return self.wait(format!("sealed slots are on their way to {to}"));
         }
         let id = &record.plan.id;
-        match self.gateway(step, record, to) {
-            Gateway::Open if !record.begun => Some(note(id, None, 0, "begun")),
-            Gateway::Open => {
+        match self.seal_decision(step, record, to) {
+            SealDecision::Open if !record.begun => Some(note(id, None, 0, "begun")),
+            SealDecision::Open => {
                 let slots = slots.iter().copied().filter(|slot| !self.is_elsewhere(*slot, to)).collect();
                 Some(Command::Seal { plan: Some(id.clone()), slots, destination: to.clone() })
             }
-            Gateway::Wait(reason) => self.wait(reason),
-            Gateway::GiveUp(reason) => {
+            SealDecision::Wait(reason) => self.wait(reason),
+            SealDecision::Abort(reason) => {
                 let state = PlanState::Undoing { reason: reason.clone() };
                 Some(note(id, Some(state), record.steps_done, &reason))
             }
         }
     }
 
-    /// A step that seals slots begins only while the new site answers, is well, and has no plan of its own before us.
-    fn gateway(&mut self, step: &HostStep<'_>, record: &PlanRecord, to: &SiteName) -> Gateway {
-        // The question must come after the confirmation: of two sites that confirm at the same moment, at least one then
-        // hears of the other's plan.
-        let since = self.desk.work.plan.as_ref().map_or(step.now, |(_, since)| *since);
+    /// Decides whether a step may seal slots: only while the new site answers, is healthy and has no active plan of its
+    /// own.
+    fn seal_decision(&mut self, step: &HostStep<'_>, record: &PlanRecord, to: &SiteName) -> SealDecision {
+        // The probe must be sent after the confirmation: if two sites confirm plans at the same time, at least one of
+        // them then learns of the other's plan.
+        let since = self.requests.plan_progress.plan.as_ref().map_or(step.now, |(_, since)| *since);
         let fresh = self.fresh_readiness(step.now, to).filter(|readiness| readiness.asked > since);
         let Some(readiness) = fresh.cloned() else {
-            return Gateway::Wait(format!("{to} does not answer"));
+            return SealDecision::Wait(format!("{to} does not answer"));
         };
         if let Some(other) = &readiness.plan {
-            // Of two plans that were confirmed at the same moment only one goes on: the one that began, else the lower.
+            // Of two plans confirmed at the same time only one continues: the one that has begun, else the one with the
+            // lower id.
             if !record.begun && (readiness.started || *other < record.plan.id) {
-                return Gateway::GiveUp(format!("plan {other} of the same service is at work at {to}"));
+                return SealDecision::Abort(format!("plan {other} of the same service is at work at {to}"));
             }
-            return Gateway::Wait(format!("plan {other} of the same service is at work at {to}"));
+            return SealDecision::Wait(format!("plan {other} of the same service is at work at {to}"));
         }
         if readiness.serving == 0 {
-            return Gateway::Wait(format!("no target takes calls at {to}"));
+            return SealDecision::Wait(format!("no target takes calls at {to}"));
         }
         let settle = self.settings.timing.settle;
-        if self.desk.work.step_done_at.is_some_and(|at| step.now.since(at) < settle) {
-            return Gateway::Wait("watching protected calls after the last step".into());
+        if self.requests.plan_progress.step_done_at.is_some_and(|at| step.now.since(at) < settle) {
+            return SealDecision::Wait("watching protected calls after the last step".into());
         }
         if readiness.protected_refusals == 0 || !self.settings.mechanisms.hold_on_refusals {
-            self.desk.work.refused_since = None;
-            return Gateway::Open;
+            self.requests.plan_progress.refused_since = None;
+            return SealDecision::Open;
         }
-        let since = *self.desk.work.refused_since.get_or_insert(step.now);
+        let since = *self.requests.plan_progress.refused_since.get_or_insert(step.now);
         let reason = format!("protected calls are refused at {to}");
         if step.now.since(since) >= self.settings.timing.hold {
-            return Gateway::GiveUp(reason);
+            return SealDecision::Abort(reason);
         }
-        Gateway::Wait(reason)
+        SealDecision::Wait(reason)
     }
 
     fn undo_command(&mut self, record: &PlanRecord, reason: &str) -> Option<Command> {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Slots of the plan that are not this site's to open.
+    /// The plan's slots that are sealed, at another site or not yet reopened here, each with its epoch.
     fn moved_slots(&self, record: &PlanRecord) -> Vec<(SlotId, quillhatch_types::Epoch)> {
         let moved = |slot: &SlotId| {
             let record = self.state.slot(*slot)?;
@@ -228,7 +230,8 @@
         slots.filter_map(moved).collect()
     }
 
-    /// `None` if all is as before; else the next command, or none while another site has to agree.
+    /// `None` if all previous limits are restored; otherwise the next command, or `Some(None)` while another site must
+    /// commit.
     fn undo_retries(&mut self, record: &PlanRecord) -> Option<Option<Command>> {
         let plan = record.plan.id.clone();
         let (site, wanted) =
@@ -239,27 +242,29 @@
         Some(self.wait(format!("{site} has not agreed yet")))
     }
 
-    /// What the active plan has to say to other sites.
+    /// Sends the messages of the active plan to other sites.
     pub(crate) fn send_for_plan(&mut self, step: &mut HostStep<'_>) {
         let Some(record) = self.state.active_plan().cloned() else {
-            self.desk.work = PlanWork::default();
-            self.exports.withdraw_none();
+            self.requests.plan_progress = PlanProgress::default();
+            self.exports.clear_withdrawals();
             return;
         };
         let id = &record.plan.id;
-        if self.desk.work.plan.as_ref().is_none_or(|(known, _)| known != id) {
-            self.desk.work = PlanWork { plan: Some((id.clone(), step.now)), ..PlanWork::default() };
+        if self.requests.plan_progress.plan.as_ref().is_none_or(|(known, _)| known != id) {
+            self.requests.plan_progress =
+                PlanProgress { plan: Some((id.clone(), step.now)), ..PlanProgress::default() };
         }
         if let Intent::MoveShare { to, .. } = &record.plan.draft.intent {
             self.probe(step, to);
         }
-        let due = self.desk.work.sent_at.is_none_or(|at| step.now.since(at) >= self.settings.timing.resend);
+        let due =
+            self.requests.plan_progress.sent_at.is_none_or(|at| step.now.since(at) >= self.settings.timing.resend);
         if !due {
             return;
         }
-        self.desk.work.sent_at = Some(step.now);
+        self.requests.plan_progress.sent_at = Some(step.now);
         match (&record.state, &record.plan.draft.intent) {
-            (PlanState::Undoing { .. }, Intent::MoveShare { to, .. }) => self.ask_slots_back(step, &record, to),
+            (PlanState::Undoing { .. }, Intent::MoveShare { to, .. }) => self.request_slot_return(step, &record, to),
             (state, Intent::ChangeRetries { .. }) => {
                 let undoing = matches!(state, PlanState::Undoing { .. });
                 self.send_retries(step, &record, undoing);
@@ -268,7 +273,7 @@
         }
     }
 
-    fn ask_slots_back(&mut self, step: &mut HostStep<'_>, record: &PlanRecord, to: &SiteName) {
+    fn request_slot_return(&mut self, step: &mut HostStep<'_>, record: &PlanRecord, to: &SiteName) {
         let moved = self.moved_slots(record);
         let is_away = |slot: &SlotId| self.is_elsewhere(*slot, to);
         let (away, sealed): (Vec<_>, Vec<_>) = moved.into_iter().partition(|(slot, _)| is_away(slot));
--- a/crates/control/src/host/queries.rs
+++ b/crates/control/src/host/queries.rs
@@ -1,16 +1,16 @@
-//! Messages about the group, handed to the duty that they concern.
+//! Dispatches messages about the group to the tasks that they concern.
 
 use std::sync::Arc;
 
 use quillhatch_types::{Epoch, Generation, NodeId, ServiceTable, SiteName, SlotState};
 
-use crate::host::{Asker, HostStep, ServiceHost};
+use crate::host::{HostStep, Requester, ServiceHost};
 use crate::message::GroupBody;
 use crate::operator::{ServiceStatus, SlotCounts};
 use crate::state::Command;
 
 impl ServiceHost {
-    /// A message to this group.
+    /// Handles a message to this group.
     pub(crate) fn on_message(&mut self, step: &mut HostStep<'_>, from: NodeId, body: GroupBody) {
         match body {
             GroupBody::AskTable { generation, epoch } => self.on_ask_table(step, from, generation, epoch),
@@ -24,13 +24,13 @@
             GroupBody::ReturnSlots { to, slots } => self.on_return_slots(step, from, &to, &slots),
             GroupBody::SetRetries { plan, limits } => self.on_set_retries(step, from, plan, limits),
             GroupBody::Request { number, request } => {
-                self.on_request(step, Asker { node: from, number }, *request);
+                self.on_request(step, Requester { node: from, number }, *request);
             }
             _ => {}
         }
     }
 
-    /// An answer of the same service's group at another site.
+    /// Handles an answer from the same service's group at another site.
     pub(crate) fn on_other_site(&mut self, step: &mut HostStep<'_>, from: NodeId, site: &SiteName, body: GroupBody) {
         if let GroupBody::NotLeader { leader } = body {
             self.remote.on_not_leader(site, leader);
@@ -61,8 +61,8 @@
             return;
         }
         let known = self.state.settled.get(&from).copied().unwrap_or_default();
-        let useless = self.state.previous_voters.is_empty() || epoch < self.state.voters_epoch;
-        if known >= epoch || useless {
+        let obsolete = self.state.previous_voters.is_empty() || epoch < self.state.voters_epoch;
+        if known >= epoch || obsolete {
             self.answer(step, from, GroupBody::SettledKnown { epoch });
         } else if self.pending.is_none() {
             self.propose(step, Command::Settled { owner: from, epoch }, Vec::new());
@@ -72,7 +72,7 @@
 
     fn on_ask_table(&mut self, step: &mut HostStep<'_>, from: NodeId, generation: Generation, epoch: Epoch) {
         if !self.state.is_founded() {
-            // Only a leader knows that there is no table; other members may just not have it yet.
+            // Only the leader can tell that there is no table; other members may not have received it yet.
             if self.leads(step.now) {
                 let table = Arc::new(self.state.table());
                 self.answer(step, from, GroupBody::Table { table, retries: Vec::new() });
@@ -86,7 +86,7 @@
     }
 }
 
-/// What an operator is told of a table.
+/// The status of a service for an operator, derived from its table.
 pub(crate) fn status_of(table: &ServiceTable, leader: Option<NodeId>) -> ServiceStatus {
     let with_status = |status| {
         let gates = table.gates.iter().filter(move |gate| gate.status == status);
--- a/crates/control/src/host/requests.rs
+++ b/crates/control/src/host/requests.rs
@@ -1,169 +1,175 @@
-//! Operators' requests at the leader of the group that they concern.
+//! Handles operators' requests at the leader of the group that they concern.
 
 use std::collections::BTreeMap;
 
 use quillhatch_types::{PlanId, SiteName, Timestamp};
 
 use crate::host::planning::PlanningProblem;
-use crate::host::progress::PlanWork;
-use crate::host::{Asker, HostStep, ServiceHost};
+use crate::host::progress::PlanProgress;
+use crate::host::{HostStep, Requester, ServiceHost};
 use crate::message::GroupBody;
 use crate::operator::{HistoryEntry, Intent, OperatorReply, OperatorRequest, Plan, PlanState, PlanSummary};
 use crate::state::{Command, PlanNote, Rejection};
 
-/// Unconfirmed plans that a leader remembers.
-const MAXIMUM_PROPOSED: usize = 64;
+/// The maximum number of unconfirmed plans that a leader retains.
+const MAX_PROPOSED_PLANS: usize = 64;
 
-/// Requests that wait for another site's answer at once.
-const MAXIMUM_WAITING: usize = 64;
+/// The maximum number of requests that await another site's answer.
+const MAX_WAITING_REQUESTS: usize = 64;
 
-/// Unconfirmed plans, waiting requests and the work on the active plan; all lost with the leadership.
+/// Unconfirmed plans, waiting requests and the progress of the active plan; discarded when the leadership is lost.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Desk {
+pub(crate) struct RequestQueue {
     proposed: BTreeMap<PlanId, (Plan, Timestamp)>,
-    waiting: Vec<(Asker, OperatorRequest, SiteName, Timestamp)>,
-    pub work: PlanWork,
+    waiting: Vec<(Requester, OperatorRequest, SiteName, Timestamp)>,
+    pub plan_progress: PlanProgress,
 }
 
-impl Desk {
+impl RequestQueue {
     pub fn clear(&mut self) {
-        *self = Desk::default();
+        *self = RequestQueue::default();
     }
 }
 
 impl ServiceHost {
-    pub(crate) fn on_request(&mut self, step: &mut HostStep<'_>, asker: Asker, request: OperatorRequest) {
+    pub(crate) fn on_request(&mut self, step: &mut HostStep<'_>, requester: Requester, request: OperatorRequest) {
         if !self.leads(step.now) || !self.state.is_founded() {
-            self.answer_not_leader(step, asker.node);
+            self.answer_not_leader(step, requester.node);
             return;
         }
         match &request {
-            OperatorRequest::Plan { intent } => self.on_plan(step, asker, intent),
-            OperatorRequest::Confirm { plan } => self.on_confirm(step, asker, plan),
-            OperatorRequest::Cancel { plan } => self.on_cancel(step, asker, plan),
+            OperatorRequest::Plan { intent } => self.on_plan(step, requester, intent),
+            OperatorRequest::Confirm { plan } => self.on_confirm(step, requester, plan),
+            OperatorRequest::Cancel { plan } => self.on_cancel(step, requester, plan),
             OperatorRequest::Explain { id } => {
                 let reply = self.explain(step.now, id);
-                self.reply(step, asker, reply);
+                self.reply(step, requester, reply);
             }
-            OperatorRequest::AcceptLoss { .. } => self.on_accept_loss(step, asker),
-            // Answered by the node that was asked.
+            OperatorRequest::AcceptLoss { .. } => self.on_accept_loss(step, requester),
+            // Answered by the node that received the request.
             OperatorRequest::Plans | OperatorRequest::Status { .. } => {}
         }
         self.lead(step);
     }
 
-    fn on_plan(&mut self, step: &mut HostStep<'_>, asker: Asker, intent: &Intent) {
+    fn on_plan(&mut self, step: &mut HostStep<'_>, requester: Requester, intent: &Intent) {
         match self.make_plan(step, intent) {
             Ok(plan) => {
-                self.remember(step.now, &plan);
-                self.reply(step, asker, OperatorReply::Planned { plan: Box::new(plan) });
+                self.store_proposed_plan(step.now, &plan);
+                self.reply(step, requester, OperatorReply::Planned { plan: Box::new(plan) });
             }
             Err(PlanningProblem::Refused(findings)) => {
-                self.reply(step, asker, OperatorReply::Refused { findings });
+                self.reply(step, requester, OperatorReply::Refused { findings });
             }
             Err(PlanningProblem::AwaitsReadiness(site)) => {
                 let request = OperatorRequest::Plan { intent: intent.clone() };
-                self.wait_for_site(step, asker, request, site);
+                self.wait_for_site(step, requester, request, site);
             }
         }
     }
 
-    fn remember(&mut self, now: Timestamp, plan: &Plan) {
-        let proposed = &mut self.desk.proposed;
-        if proposed.len() >= MAXIMUM_PROPOSED {
+    fn store_proposed_plan(&mut self, now: Timestamp, plan: &Plan) {
+        let proposed = &mut self.requests.proposed;
+        if proposed.len() >= MAX_PROPOSED_PLANS {
             let oldest = proposed.iter().min_by_key(|(_, (_, at))| *at).map(|(id, _)| id.clone());
             oldest.and_then(|id| proposed.remove(&id));
         }
         proposed.insert(plan.id.clone(), (plan.clone(), now));
     }
 
-    fn wait_for_site(&mut self, step: &mut HostStep<'_>, asker: Asker, request: OperatorRequest, site: SiteName) {
+    fn wait_for_site(
+        &mut self,
+        step: &mut HostStep<'_>,
+        requester: Requester,
+        request: OperatorRequest,
+        site: SiteName,
+    ) {
         self.probe(step, &site);
-        let known = self.desk.waiting.iter().any(|(waiting, ..)| *waiting == asker);
-        if !known && self.desk.waiting.len() < MAXIMUM_WAITING {
-            self.desk.waiting.push((asker, request, site, step.now));
+        let known = self.requests.waiting.iter().any(|(waiting, ..)| *waiting == requester);
+        if !known && self.requests.waiting.len() < MAX_WAITING_REQUESTS {
+            self.requests.waiting.push((requester, request, site, step.now));
         }
     }
 
-    /// The other site has answered: go on with the requests that waited for it.
+    /// Resumes the requests that awaited an answer from `site`.
     pub(crate) fn resume_requests(&mut self, step: &mut HostStep<'_>, site: &SiteName) {
-        let waiting = std::mem::take(&mut self.desk.waiting);
+        let waiting = std::mem::take(&mut self.requests.waiting);
         let (ready, rest) = waiting.into_iter().partition(|(_, _, awaited, _)| awaited == site);
-        self.desk.waiting = rest;
-        for (asker, request, _, _) in ready {
-            self.on_request(step, asker, request);
+        self.requests.waiting = rest;
+        for (requester, request, _, _) in ready {
+            self.on_request(step, requester, request);
         }
     }
 
     pub(crate) fn expire_requests(&mut self, step: &mut HostStep<'_>) {
         let patience = self.settings.timing.request_timeout / 2;
-        let waiting = std::mem::take(&mut self.desk.waiting);
-        for (asker, request, site, since) in waiting {
+        let waiting = std::mem::take(&mut self.requests.waiting);
+        for (requester, request, site, since) in waiting {
             if step.now.since(since) < patience {
                 self.probe(step, &site);
-                self.desk.waiting.push((asker, request, site, since));
+                self.requests.waiting.push((requester, request, site, since));
                 continue;
             }
-            if self.confirm_without(step, asker, &request) {
+            if self.confirm_without_other_site(step, requester, &request) {
                 continue;
             }
             let problem = format!("the group of {} at {site} does not answer", self.service);
             let advice = "check the link and the site; nothing can move there now";
-            self.reply(step, asker, OperatorReply::refused("intent.to", problem, advice));
+            self.reply(step, requester, OperatorReply::refused("intent.to", problem, advice));
         }
     }
 
-    fn on_confirm(&mut self, step: &mut HostStep<'_>, asker: Asker, id: &PlanId) {
-        if self.join_pending_confirmation(asker, id) {
+    fn on_confirm(&mut self, step: &mut HostStep<'_>, requester: Requester, id: &PlanId) {
+        if self.join_pending_confirmation(requester, id) {
             return;
         }
         if self.state.plan(id).is_some() {
-            self.reply(step, asker, OperatorReply::Confirmed { plan: id.clone(), already: true });
+            self.reply(step, requester, OperatorReply::Confirmed { plan: id.clone(), already: true });
             return;
         }
-        let Some((plan, _)) = self.desk.proposed.get(id).cloned() else {
-            self.reply(step, asker, unknown_plan(id));
+        let Some((plan, _)) = self.requests.proposed.get(id).cloned() else {
+            self.reply(step, requester, unknown_plan(id));
             return;
         };
-        if let Some(site) = self.site_to_ask(step) {
-            self.wait_for_site(step, asker, OperatorRequest::Confirm { plan: id.clone() }, site);
+        if let Some(site) = self.site_without_fresh_readiness(step) {
+            self.wait_for_site(step, requester, OperatorRequest::Confirm { plan: id.clone() }, site);
             return;
         }
-        self.confirm_unless_busy_elsewhere(step, asker, plan);
+        self.confirm_unless_busy_elsewhere(step, requester, plan);
     }
 
-    /// A plan of the same service may be at work at another site.
-    fn confirm_unless_busy_elsewhere(&mut self, step: &mut HostStep<'_>, asker: Asker, plan: Plan) {
-        if let Some((site, other)) = self.plan_elsewhere(step) {
+    /// Proposes the confirmation of a plan unless another plan of the service is active, here or at another site.
+    fn confirm_unless_busy_elsewhere(&mut self, step: &mut HostStep<'_>, requester: Requester, plan: Plan) {
+        if let Some((site, other)) = self.active_plan_at_other_site(step) {
             let problem = format!("plan {other} of the same service is at work at {site}");
-            self.reply(step, asker, OperatorReply::refused("plan", problem, "wait until it is done, or cancel it"));
+            self.reply(step, requester, OperatorReply::refused("plan", problem, "wait until it is done, or cancel it"));
             return;
         }
         if let Err(rejection) = self.state.check_confirmation(&plan) {
-            self.reply(step, asker, refusal_of(&rejection));
+            self.reply(step, requester, refusal_of(&rejection));
             return;
         }
-        self.propose_or_refuse(step, asker, Command::Confirm(Box::new(plan)));
+        self.propose_if_idle(step, requester, Command::Confirm(Box::new(plan)));
     }
 
-    fn join_pending_confirmation(&mut self, asker: Asker, id: &PlanId) -> bool {
+    fn join_pending_confirmation(&mut self, requester: Requester, id: &PlanId) -> bool {
         let Some(pending) = &mut self.pending else {
             return false;
         };
         let same = matches!(&pending.command, Command::Confirm(plan) if plan.id == *id);
-        if same && !pending.askers.contains(&asker) {
-            pending.askers.push(asker);
+        if same && !pending.requesters.contains(&requester) {
+            pending.requesters.push(requester);
         }
         same
     }
 
-    fn site_to_ask(&self, step: &HostStep<'_>) -> Option<SiteName> {
+    fn site_without_fresh_readiness(&self, step: &HostStep<'_>) -> Option<SiteName> {
         let service = step.configuration.services.get(&self.service)?;
-        let mut silent = self.other_sites(service).filter(|site| self.fresh_readiness(step.now, site).is_none());
-        silent.next().cloned()
+        let mut unanswered = self.other_sites(service).filter(|site| self.fresh_readiness(step.now, site).is_none());
+        unanswered.next().cloned()
     }
 
-    fn plan_elsewhere(&self, step: &HostStep<'_>) -> Option<(SiteName, PlanId)> {
+    fn active_plan_at_other_site(&self, step: &HostStep<'_>) -> Option<(SiteName, PlanId)> {
         let service = step.configuration.services.get(&self.service)?;
         let mut busy = self.other_sites(service).filter_map(|site| {
             let other = self.fresh_readiness(step.now, site)?.plan.clone()?;
@@ -172,44 +178,49 @@
         busy.next()
     }
 
-    /// Nothing but a move needs the other site: the rest goes on although its link is cut.
-    fn confirm_without(&mut self, step: &mut HostStep<'_>, asker: Asker, request: &OperatorRequest) -> bool {
+    /// Confirms a plan although another site is unreachable. Only a move needs the other site.
+    fn confirm_without_other_site(
+        &mut self,
+        step: &mut HostStep<'_>,
+        requester: Requester,
+        request: &OperatorRequest,
+    ) -> bool {
         let OperatorRequest::Confirm { plan } = request else {
             return false;
         };
-        let Some((plan, _)) = self.desk.proposed.get(plan).cloned() else {
+        let Some((plan, _)) = self.requests.proposed.get(plan).cloned() else {
             return false;
         };
         if matches!(plan.draft.intent, Intent::MoveShare { .. }) {
             return false;
         }
-        self.confirm_unless_busy_elsewhere(step, asker, plan);
+        self.confirm_unless_busy_elsewhere(step, requester, plan);
         true
     }
 
-    fn propose_or_refuse(&mut self, step: &mut HostStep<'_>, asker: Asker, command: Command) {
+    fn propose_if_idle(&mut self, step: &mut HostStep<'_>, requester: Requester, command: Command) {
         if self.pending.is_some() {
-            // The node that was asked sends the request again shortly.
+            // The node that forwarded the request resends it shortly.
             return;
         }
-        self.propose(step, command, vec![asker]);
+        self.propose(step, command, vec![requester]);
     }
 
-    fn on_cancel(&mut self, step: &mut HostStep<'_>, asker: Asker, id: &PlanId) {
-        if self.desk.proposed.remove(id).is_some() && self.state.plan(id).is_none() {
-            self.reply(step, asker, OperatorReply::Cancelled { plan: id.clone(), undoing: false });
+    fn on_cancel(&mut self, step: &mut HostStep<'_>, requester: Requester, id: &PlanId) {
+        if self.requests.proposed.remove(id).is_some() && self.state.plan(id).is_none() {
+            self.reply(step, requester, OperatorReply::Cancelled { plan: id.clone(), undoing: false });
             return;
         }
         let Some(record) = self.state.plan(id) else {
-            self.reply(step, asker, unknown_plan(id));
+            self.reply(step, requester, unknown_plan(id));
             return;
         };
         match &record.state {
             PlanState::Undoing { .. } => {
-                self.reply(step, asker, OperatorReply::Cancelled { plan: id.clone(), undoing: true });
+                self.reply(step, requester, OperatorReply::Cancelled { plan: id.clone(), undoing: true });
             }
             PlanState::Undone { .. } | PlanState::Proposed => {
-                self.reply(step, asker, OperatorReply::Cancelled { plan: id.clone(), undoing: false });
+                self.reply(step, requester, OperatorReply::Cancelled { plan: id.clone(), undoing: false });
             }
             PlanState::Running | PlanState::Done => {
                 let reason = "cancelled by an operator".to_owned();
@@ -220,20 +231,20 @@
                     begun: record.begun,
                     note: reason,
                 };
-                self.propose_or_refuse(step, asker, Command::Progress(note));
+                self.propose_if_idle(step, requester, Command::Progress(note));
             }
         }
     }
 
-    fn on_accept_loss(&mut self, step: &mut HostStep<'_>, asker: Asker) {
+    fn on_accept_loss(&mut self, step: &mut HostStep<'_>, requester: Requester) {
         if !self.state.claims_lost {
-            self.reply(step, asker, OperatorReply::LossAccepted { service: self.service.clone() });
+            self.reply(step, requester, OperatorReply::LossAccepted { service: self.service.clone() });
             return;
         }
-        self.propose_or_refuse(step, asker, Command::AcceptLoss);
+        self.propose_if_idle(step, requester, Command::AcceptLoss);
     }
 
-    /// The reply to an operator whose command is agreed, or was rejected by the state.
+    /// The reply to an operator whose command was committed and then applied or rejected.
     pub(crate) fn reply_to_command(&self, command: &Command, rejection: Option<&Rejection>) -> OperatorReply {
         let service = self.service.clone();
         match (command, rejection) {
@@ -248,10 +259,10 @@
         }
     }
 
-    /// The plans that this member knows of.
+    /// The confirmed and proposed plans known to this member.
     pub(crate) fn plan_summaries(&self) -> Vec<PlanSummary> {
         let confirmed = self.state.plans.values().map(|record| self.summary(record));
-        let unconfirmed = self.desk.proposed.values().filter(|(plan, _)| self.state.plan(&plan.id).is_none());
+        let unconfirmed = self.requests.proposed.values().filter(|(plan, _)| self.state.plan(&plan.id).is_none());
         let proposed = unconfirmed.map(|(plan, _)| PlanSummary {
             id: plan.id.clone(),
             service: plan.draft.service.clone(),
@@ -266,7 +277,7 @@
     }
 
     fn summary(&self, record: &crate::state::PlanRecord) -> PlanSummary {
-        let waiting_for = self.desk.work.waiting_for.clone().filter(|_| record.state.is_active());
+        let waiting_for = self.requests.plan_progress.waiting_for.clone().filter(|_| record.state.is_active());
         PlanSummary { waiting_for, ..record.summary() }
     }
 
@@ -275,8 +286,8 @@
         let Some(record) = record else {
             return OperatorReply::refused("id", format!("no confirmed plan {id} is known"), "list them with `plans`");
         };
-        let mine = self.state.history.iter().filter(|entry| entry.plan.as_ref() == Some(&record.plan.id));
-        let history = mine.map(|entry| HistoryEntry {
+        let own = self.state.history.iter().filter(|entry| entry.plan.as_ref() == Some(&record.plan.id));
+        let history = own.map(|entry| HistoryEntry {
             sequence: entry.sequence,
             plan: entry.plan.clone(),
             what: entry.what.clone(),
--- a/crates/control/src/host/voters.rs
+++ b/crates/control/src/host/voters.rs
@@ -1,4 +1,4 @@
-//! The leader's care for the group's voters: one change at a time, towards the configured electorate.
+//! The leader's management of the group's voters: changes them one at a time towards the configured electorate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,24 +9,24 @@
 use crate::host::{HostStep, ServiceHost};
 use crate::state::Command;
 
-/// How long a request to join is remembered.
-const JOIN_AGE: Duration = Duration::from_secs(2);
+/// How long a request to join is retained.
+const JOIN_REQUEST_EXPIRY: Duration = Duration::from_secs(2);
 
-/// How long the next change of voters waits for the owners to settle on the last one.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(5);
+/// The maximum time that the next change of voters waits for the owners to settle on the previous one.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The least time between two tries to change the voters.
+/// The minimum time between two attempts to change the voters.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct VoterDuty {
+pub(crate) struct VoterChanges {
     agreed: Option<VoterSet>,
     joining: BTreeMap<NodeAddress, (NodeId, Timestamp)>,
     change: Option<u64>,
     last_change: Timestamp,
 }
 
-impl VoterDuty {
+impl VoterChanges {
     pub fn on_changed(&mut self, voters: VoterSet) {
         self.agreed = Some(voters);
     }
@@ -43,7 +43,7 @@
 }
 
 impl ServiceHost {
-    /// Tells the agreed state of the voters that the group has agreed on.
+    /// The command that updates the replicated state to the group's current voters, if they differ.
     pub(crate) fn voter_command(&self) -> Option<Command> {
         let agreed: &BTreeSet<NodeId> = &self.voters.agreed.as_ref()?.voters;
         (*agreed != self.state.voters).then(|| Command::SetVoters(agreed.iter().copied().collect()))
@@ -51,23 +51,23 @@
 
     pub(crate) fn change_voters_if_due(&mut self, step: &mut HostStep<'_>) {
         let (now, last) = (step.now, self.voters.last_change);
-        self.voters.joining.retain(|_, (_, at)| now.since(*at) < JOIN_AGE);
-        // While owners still settle on the last change, a takeover needs the voters before it.
-        let settled = self.state.previous_voters.is_empty() || now.since(last) > SETTLE_PATIENCE;
+        self.voters.joining.retain(|_, (_, at)| now.since(*at) < JOIN_REQUEST_EXPIRY);
+        // Until the owners have settled on the last change, a takeover needs the voters before it.
+        let settled = self.state.previous_voters.is_empty() || now.since(last) > SETTLE_TIMEOUT;
         let agreed = self.voter_command().is_none();
         if !self.state.is_founded() || !settled || !agreed || now.since(last) < CHANGE_INTERVAL {
             return;
         }
-        let Some((add, remove)) = self.wanted_change() else {
+        let Some((add, remove)) = self.next_voter_change() else {
             return;
         };
-        self.tickets += 1;
-        self.voters.change = Some(self.tickets);
+        self.last_ticket += 1;
+        self.voters.change = Some(self.last_ticket);
         self.voters.last_change = now;
-        self.step_group(step, GroupInput::ChangeVoters { ticket: self.tickets, add, remove });
+        self.step_group(step, GroupInput::ChangeVoters { ticket: self.last_ticket, add, remove });
     }
 
-    fn wanted_change(&self) -> Option<(Option<NodeId>, Option<NodeId>)> {
+    fn next_voter_change(&self) -> Option<(Option<NodeId>, Option<NodeId>)> {
         let wanted = &self.electorate;
         let present = self.group.voters();
         let newcomers = wanted.iter().filter_map(|address| self.voters.joining.get(address));
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -185,7 +185,7 @@
         }
         let own_address = self.settings.node.address;
         // A node that is no longer in the electorate hosts the group until the group has removed it.
-        self.hosts.retain(|_, host| !host.is_outsider() || host.wants(own_address));
+        self.hosts.retain(|_, host| !host.is_outsider() || host.is_in_electorate(own_address));
     }
 
     /// Hosts the group of every service whose electorate contains this node.
@@ -262,7 +262,7 @@
             return;
         }
         if let GroupBody::Table { table, .. } = &body {
-            self.with_host(now, &service, outputs, |host, _| host.on_earlier_table(table));
+            self.with_host(now, &service, outputs, |host, _| host.on_earlier_local_table(table));
         }
         match body {
             GroupBody::HeartbeatAnswer { sequence, lease, generation, epoch } => {
