--- a/crates/control/src/host/founding.rs
+++ b/crates/control/src/host/founding.rs
@@ -97,8 +97,8 @@
         let complete = unanswered.next().is_none();
         let new = step.configuration.formation == Formation::New && !self.founding.claims_lost;
         let queried_long_enough = step.now.since(formed_at) >= self.settings.timing.resend;
-        let patience_over = step.now.since(formed_at) >= self.settings.timing.founding_timeout;
-        let known = new || (queried_long_enough && complete) || patience_over;
+        let timeout_over = step.now.since(formed_at) >= self.settings.timing.founding_timeout;
+        let known = new || (queried_long_enough && complete) || timeout_over;
         if !known {
             return None;
         }
--- a/crates/control/src/host/requests.rs
+++ b/crates/control/src/host/requests.rs
@@ -102,10 +102,10 @@
     }
 
     pub(crate) fn expire_requests(&mut self, step: &mut HostStep<'_>) {
-        let patience = self.settings.timing.request_timeout / 2;
+        let timeout = self.settings.timing.request_timeout / 2;
         let waiting = std::mem::take(&mut self.requests.waiting);
         for (requester, request, site, since) in waiting {
-            if step.now.since(since) < patience {
+            if step.now.since(since) < timeout {
                 self.probe(step, &site);
                 self.requests.waiting.push((requester, request, site, since));
                 continue;
