--- a/crates/control/src/host/imports.rs
+++ b/crates/control/src/host/imports.rs
@@ -86,8 +86,8 @@
             self.answer_not_leader(step, from);
             return;
         }
-        let agreed = self.state.slot(slot).and_then(|record| record.pending_import());
-        let outcome = if agreed.is_some_and(|import| import.seal_epoch == seal_epoch) {
+        let pending_import = self.state.slot(slot).and_then(|record| record.pending_import());
+        let outcome = if pending_import.is_some_and(|import| import.seal_epoch == seal_epoch) {
             Some(OfferOutcome::Held { pages: self.imports.slots.get(&slot).map_or(0, |held| held.pages.len() as u32) })
         } else {
             self.committed_outcome(slot, seal_epoch)
@@ -130,10 +130,10 @@
                 self.answer(step, owner, GroupBody::Import(SlotClaims { epoch, ..page }));
             }
         }
-        self.forget_finished_imports();
+        self.drop_finished_imports();
     }
 
-    fn forget_finished_imports(&mut self) {
+    fn drop_finished_imports(&mut self) {
         let state = &self.state;
         let finished = |slot: &SlotId, import: &Import| {
             let record = state.slot(*slot);
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -4,16 +4,16 @@
 //! time. Only one command is pending at a time, so every decision takes the outcome of the previous one into account.
 //! All essential state is replicated, so a new leader can continue where the previous one stopped.
 
-mod agreement;
+mod dispatch;
 mod exports;
 mod founding;
 mod gates;
 mod imports;
 mod membership;
-mod moves;
 mod planning;
 mod progress;
-mod queries;
+mod proposals;
+mod remote_sites;
 mod requests;
 mod voters;
 
@@ -29,14 +29,14 @@
 use crate::settings::ControlSettings;
 use crate::state::{Command, RetryLimits, ServiceState};
 
-pub(crate) use queries::status_of;
+pub(crate) use dispatch::status_of;
 
-use agreement::Pending;
 use exports::Exports;
 use founding::Founding;
 use gates::GateMonitor;
 use imports::Imports;
-use moves::RemoteSites;
+use proposals::Pending;
+use remote_sites::RemoteSites;
 use requests::RequestQueue;
 use voters::VoterChanges;
 
@@ -71,7 +71,7 @@
     proposals_refused: u64,
     /// The service's configuration at the revision that the group committed last, if this node had that revision in
     /// force.
-    agreed_service: Option<ServiceConfiguration>,
+    committed_service: Option<ServiceConfiguration>,
     leading_since: Option<Timestamp>,
     lost_since: Option<Timestamp>,
     applied_at: BTreeMap<u64, Timestamp>,
@@ -99,7 +99,7 @@
             pending: None,
             rejected: None,
             proposals_refused: 0,
-            agreed_service: None,
+            committed_service: None,
             leading_since: None,
             lost_since: None,
             applied_at: BTreeMap::new(),
@@ -226,7 +226,7 @@
     fn reset(&mut self, step: &mut HostStep<'_>) {
         self.abandon_pending(step);
         self.state = ServiceState::new(self.service.clone(), self.site().clone(), self.settings.mechanisms);
-        self.agreed_service = None;
+        self.committed_service = None;
         self.committed_index = 0;
         self.lost_since = None;
         self.applied_at.clear();
@@ -310,7 +310,7 @@
         let service = step.configuration.services.get(&self.service)?;
         // Most revisions change other services. Committing each of them would keep every group of a large fleet busy
         // and invalidate the basis of every plan.
-        if step.configuration.revision > self.state.revision && self.agreed_service.as_ref() != Some(service) {
+        if step.configuration.revision > self.state.revision && self.committed_service.as_ref() != Some(service) {
             return Some(Command::SetRevision(step.configuration.revision));
         }
         let retention = service.claim_retention;
--- a/crates/control/src/host/agreement.rs
+++ b/crates/control/src/host/proposals.rs
@@ -85,7 +85,7 @@
             }
             Command::SetRevision(revision) => {
                 let same = step.configuration.revision == *revision;
-                self.agreed_service = step.configuration.services.get(&self.service).filter(|_| same).cloned();
+                self.committed_service = step.configuration.services.get(&self.service).filter(|_| same).cloned();
             }
             Command::Confirm(plan) => self.plan_event(step, &plan.id, "confirmed".to_owned()),
             Command::Progress(note) => self.plan_event(step, &note.plan, note.note.clone()),
--- a/crates/control/src/host/voters.rs
+++ b/crates/control/src/host/voters.rs
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct VoterChanges {
-    agreed: Option<VoterSet>,
+    committed: Option<VoterSet>,
     joining: BTreeMap<NodeAddress, (NodeId, Timestamp)>,
     change: Option<u64>,
     last_change: Timestamp,
@@ -28,7 +28,7 @@
 
 impl VoterChanges {
     pub fn on_changed(&mut self, voters: VoterSet) {
-        self.agreed = Some(voters);
+        self.committed = Some(voters);
     }
 
     pub fn on_join_requested(&mut self, now: Timestamp, node: NodeId) {
@@ -45,8 +45,8 @@
 impl ServiceHost {
     /// The command that updates the replicated state to the group's current voters, if they differ.
     pub(crate) fn voter_command(&self) -> Option<Command> {
-        let agreed: &BTreeSet<NodeId> = &self.voters.agreed.as_ref()?.voters;
-        (*agreed != self.state.voters).then(|| Command::SetVoters(agreed.iter().copied().collect()))
+        let committed: &BTreeSet<NodeId> = &self.voters.committed.as_ref()?.voters;
+        (*committed != self.state.voters).then(|| Command::SetVoters(committed.iter().copied().collect()))
     }
 
     pub(crate) fn change_voters_if_due(&mut self, step: &mut HostStep<'_>) {
@@ -54,8 +54,8 @@
         self.voters.joining.retain(|_, (_, at)| now.since(*at) < JOIN_REQUEST_EXPIRY);
         // Until the owners have settled on the last change, a takeover needs the voters before it.
         let settled = self.state.previous_voters.is_empty() || now.since(last) > SETTLE_TIMEOUT;
-        let agreed = self.voter_command().is_none();
-        if !self.state.is_founded() || !settled || !agreed || now.since(last) < CHANGE_INTERVAL {
+        let is_up_to_date = self.voter_command().is_none();
+        if !self.state.is_founded() || !settled || !is_up_to_date || now.since(last) < CHANGE_INTERVAL {
             return;
         }
         let Some((add, remove)) = self.next_voter_change() else {
