--- a/crates/claims/src/codec.rs
+++ b/crates/claims/src/codec.rs
@@ -11,13 +11,13 @@
 
 use crate::claim::{recorded_size, ClaimEntry, ClaimOrigin, ClaimStatus};
 use crate::error::ClaimMessageError;
-use crate::message::{ClaimBody, ClaimMessage, RecordId, RecordKind, Verdict, MAXIMUM_ANSWER_BYTES, PAGE_CLAIMS};
+use crate::message::{ClaimBody, ClaimMessage, RecordId, RecordKind, Verdict, MAX_ANSWER_BYTES, MAX_PAGE_CLAIMS};
 
-/// The largest encoded message that is looked at, in bytes.
-const MAXIMUM_MESSAGE_BYTES: usize = 64 * 1024;
+/// The maximum size of an encoded message that is decoded, in bytes.
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 impl ClaimMessage {
-    /// The message as the payload of a frame.
+    /// Encodes the message as the payload of a frame.
     pub fn encode(&self) -> Vec<u8> {
         quillhatch_messages::encode(&wire::ClaimMessage {
             service: self.service.as_str().to_owned(),
@@ -27,13 +27,13 @@
         })
     }
 
-    /// Reads and checks a message.
+    /// Decodes and validates a message.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with `bytes`.
+    /// Returns an error if `bytes` are malformed, exceed a limit or have an invalid field.
     pub fn decode(bytes: &[u8]) -> Result<Self, ClaimMessageError> {
-        if bytes.len() > MAXIMUM_MESSAGE_BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(ClaimMessageError::Oversized);
         }
         let message: wire::ClaimMessage = quillhatch_messages::decode(bytes)?;
@@ -47,18 +47,18 @@
     }
 }
 
-/// Encodes one page of claims that go from site to site; see [`pages_of`](crate::pages_of).
+/// Encodes one page of claims for a transfer between sites; see [`pages_of`](crate::pages_of).
 pub fn encode_claims(claims: &[ClaimEntry]) -> Vec<u8> {
     quillhatch_messages::encode(&wire::ClaimPage { claims: claims.iter().map(encode_entry).collect() })
 }
 
-/// Reads and checks one page of claims.
+/// Decodes and validates one page of claims.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with `bytes`.
+/// Returns an error if `bytes` are malformed, exceed a limit or have an invalid field.
 pub fn decode_claims(bytes: &[u8]) -> Result<Vec<ClaimEntry>, ClaimMessageError> {
-    if bytes.len() > MAXIMUM_MESSAGE_BYTES {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(ClaimMessageError::Oversized);
     }
     let page: wire::ClaimPage = quillhatch_messages::decode(bytes)?;
@@ -152,7 +152,7 @@
     }
 }
 
-/// No key is empty, so the empty text stands for none.
+/// Encodes `None` as an empty string, because no valid key is empty.
 fn encode_key(key: &Option<RequestKey>) -> String {
     key.as_ref().map_or_else(String::new, |key| key.as_str().to_owned())
 }
@@ -185,12 +185,12 @@
         root: entry.root.0.to_be_bytes().to_vec(),
         status,
         answer,
-        kept_for_us: u64::try_from(entry.kept_for.as_micros()).unwrap_or(u64::MAX),
+        kept_for_us: u64::try_from(entry.remaining_retention.as_micros()).unwrap_or(u64::MAX),
     }
 }
 
 fn decode_entries(entries: Vec<wire::Claim>) -> Result<Vec<ClaimEntry>, ClaimMessageError> {
-    if entries.len() > PAGE_CLAIMS {
+    if entries.len() > MAX_PAGE_CLAIMS {
         return Err(ClaimMessageError::Oversized);
     }
     entries.into_iter().map(decode_entry).collect()
@@ -212,7 +212,7 @@
         digest,
         root: RootId(decode_u128(&claim.root, "root")?),
         status,
-        kept_for: Duration::from_micros(claim.kept_for_us),
+        remaining_retention: Duration::from_micros(claim.kept_for_us),
     })
 }
 
@@ -234,7 +234,7 @@
     let status = u16::try_from(answer.status).map_err(|_| ClaimMessageError::OutOfRange { field: "answer status" })?;
     let headers = answer.headers.into_iter().map(|field| HeaderField { name: field.name, value: field.value });
     let answer = RecordedAnswer { status, headers: headers.collect(), body: answer.body };
-    if recorded_size(&answer) > MAXIMUM_ANSWER_BYTES {
+    if recorded_size(&answer) > MAX_ANSWER_BYTES {
         return Err(ClaimMessageError::Oversized);
     }
     Ok(answer)
--- a/crates/group/src/change.rs
+++ b/crates/group/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of voters: one at a time, agreed by the old voters and by the new.
+//! Changes of voters: one at a time, committed by quorums of the old and of the new voters.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 use crate::group::Group;
 use crate::io::{GroupOutput, ProposalRefusal, ProposalResult};
 use crate::log::Payload;
-use crate::member::Member;
-use crate::settings::MAXIMUM_VOTERS;
+use crate::member::GroupMember;
+use crate::settings::MAX_VOTERS;
 use crate::voters::VoterSet;
 
-/// A node may be taken in for so many inquiry intervals after it last proved to be alive.
+/// A joiner may be added for this many inquiry intervals after it last answered an inquiry.
 const JOINER_FRESHNESS_INTERVALS: u32 = 8;
 
 impl Group {
@@ -31,7 +31,8 @@
     }
 
     fn append_voters(&mut self, now: Timestamp, voters: VoterSet, outputs: &mut Vec<GroupOutput>) -> ProposalResult {
-        // Later answers are of a round that began after the change, so that they say something about the new voters.
+        // Starts a new round, so that the answers counted from now on were given after the change and hold for the new
+        // voters.
         self.survey.start_round(now + self.settings.formation_retry);
         self.append_and_replicate(now, Payload::Voters(voters), outputs)
     }
@@ -42,7 +43,7 @@
         add: Option<NodeId>,
         remove: Option<NodeId>,
     ) -> Result<VoterSet, ProposalRefusal> {
-        let member = self.check_leading()?;
+        let member = self.require_leader()?;
         if member.change_pending() && self.settings.mechanisms.one_at_a_time {
             return Err(ProposalRefusal::ChangePending);
         }
@@ -53,21 +54,22 @@
         }
         if let Some(node) = add {
             self.check_joiner(now, member, node)?;
-            // The run that asks to be taken in proves that earlier runs at its address are dead.
+            // The run that asks to join proves that earlier runs at its address have ended.
             next.voters.retain(|voter| voter.address != node.address);
             next.voters.insert(node);
         }
         if next == current {
             return Err(ProposalRefusal::NothingToChange);
         }
-        if next.voters.is_empty() || next.voters.len() > MAXIMUM_VOTERS || !next.can_decide() {
-            return Err(ProposalRefusal::CannotDecide);
+        if next.voters.is_empty() || next.voters.len() > MAX_VOTERS || !next.can_form_quorum() {
+            return Err(ProposalRefusal::InvalidVoters);
         }
         Ok(next)
     }
 
-    /// A node that does not run must not be taken in: a group of one would then wait for it for ever.
-    fn check_joiner(&self, now: Timestamp, member: &Member, node: NodeId) -> Result<(), ProposalRefusal> {
+    /// Accepts only a node that recently answered. If a group of one added a node that is not running, it would wait
+    /// for that node's vote forever.
+    fn check_joiner(&self, now: Timestamp, member: &GroupMember, node: NodeId) -> Result<(), ProposalRefusal> {
         if member.is_voter(&node) {
             return Ok(());
         }
@@ -75,23 +77,23 @@
         let seen = member.leadership().and_then(|leadership| leadership.joiners.get(&node));
         match seen {
             Some(seen) if now.since(*seen) <= freshness => Ok(()),
-            _ => Err(ProposalRefusal::NotAsking),
+            _ => Err(ProposalRefusal::NotJoining),
         }
     }
 
-    /// Brings the electorate one address closer to the configured one, so that majorities of both always meet.
-    pub(crate) fn walk_electorate(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    /// Changes the electorate by one address toward the configured one, so that majorities before and after intersect.
+    pub(crate) fn step_electorate(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(requirements) = &self.requirements else {
             return;
         };
         let wanted: BTreeSet<NodeAddress> = requirements.electorate.iter().copied().collect();
-        let Ok(member) = self.check_leading() else {
+        let Ok(member) = self.require_leader() else {
             return;
         };
         if member.change_pending() {
             return;
         }
-        if let Some(next) = member.latest_voters().toward_electorate(&wanted) {
+        if let Some(next) = member.latest_voters().step_toward_electorate(&wanted) {
             self.append_voters(now, next, outputs);
         }
     }
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -1,11 +1,11 @@
-//! The follower's side of replication, and handing agreed entries to the host.
+//! The follower's side of replication, passing committed entries to the host, and leaving a group.
 
 use quillhatch_types::{NodeId, Timestamp};
 
 use crate::group::Group;
 use crate::io::GroupOutput;
 use crate::log::Payload;
-use crate::member::{Member, Position};
+use crate::member::{GroupMember, MemberRole};
 use crate::message::{Append, AppendReply, GroupMessage};
 
 impl Group {
@@ -15,23 +15,23 @@
             return;
         };
         let taken = match accepted {
-            true => take_entries(member, &append),
-            // The answer's higher term tells the sender that it leads no more; in the same term there is no other leader.
-            false if append.term < member.term => Taken::Misfit { retry_at: 0 },
-            false => Taken::Contradiction,
+            true => append_entries(member, &append),
+            // The higher term in the reply makes the sender step down; the same term has no other leader.
+            false if append.term < member.term => AppendOutcome::Mismatch { retry_at: 0 },
+            false => AppendOutcome::Conflict,
         };
         let (success, index) = match taken {
-            Taken::Fitted { up_to } => (true, up_to),
-            Taken::Misfit { retry_at } => (false, retry_at),
-            // The sender would only send the same again.
-            Taken::Contradiction => return,
+            AppendOutcome::Matched { up_to } => (true, up_to),
+            AppendOutcome::Mismatch { retry_at } => (false, retry_at),
+            // A reply would only make the sender send the same entries again.
+            AppendOutcome::Conflict => return,
         };
         let reply =
             AppendReply { identity: member.record.identity, term: member.term, sent: append.sent, success, index };
         self.send(from, GroupMessage::AppendReply(reply), outputs);
     }
 
-    /// Follows `from` as the leader of `term`, unless the term is over.
+    /// Follows `from` as the leader of `term`. Returns false if the term is over or this node leads it.
     pub(crate) fn accept_leader(
         &mut self,
         now: Timestamp,
@@ -48,31 +48,31 @@
         if term > member.term {
             self.follow_term(now, term);
         }
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
         let lease = self.settings.lease;
         let Some(member) = &mut self.member else {
             return false;
         };
-        member.position = Position::Follower;
+        member.role = MemberRole::Follower;
         member.leader = Some(from);
-        // A node that was told of the leader never votes for another in the same term, also if it never voted.
+        // A node that knows the leader of a term must not vote for another candidate in it, even if it has not voted.
         member.vote = Some(from);
         member.contact = now;
         outputs.push(GroupOutput::LeaseGranted { until: now + lease });
         true
     }
 
-    /// Hands out what is agreed and not handed out yet, and leaves if the agreed voters exclude this node.
-    pub(crate) fn hand_out(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    /// Passes newly committed entries to the host, and leaves the group if the committed voters exclude this node.
+    pub(crate) fn apply_committed(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(member) = &mut self.member else {
             return;
         };
-        while member.handed_out < member.commit {
-            let index = member.handed_out + 1;
+        while member.last_applied < member.commit {
+            let index = member.last_applied + 1;
             let Some(entry) = member.log.get(index) else {
                 break;
             };
-            member.handed_out = index;
+            member.last_applied = index;
             match &entry.payload {
                 Payload::Opening => {}
                 Payload::Voters(set) => outputs.push(GroupOutput::VotersChanged { voters: set.clone() }),
@@ -82,11 +82,12 @@
                 }
             }
         }
-        self.ask_for_snapshot(outputs);
+        self.request_snapshot(outputs);
         self.leave_if_removed(now, outputs);
     }
 
-    /// Leaves when the agreed voters no longer name this node; a newcomer whose log does not name it yet stays.
+    /// Leaves the group when the committed voters no longer include this node. A new node whose log does not include it
+    /// yet stays.
     fn leave_if_removed(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let node = self.node;
         let Some(member) = &mut self.member else {
@@ -107,20 +108,22 @@
         self.retire(now, outputs);
     }
 
-    /// Leaves but remembers: this run may be taken in again, and must then know what it voted for and answered.
+    /// Leaves the group but retains the state: if this run is added again, it must know its votes and the entries that
+    /// it acknowledged.
     pub(crate) fn retire(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         let Some(mut member) = self.member.take() else {
             return;
         };
-        member.position = Position::Follower;
+        member.role = MemberRole::Follower;
         member.leader = None;
         member.was_voter = false;
         self.retired = Some(member);
         self.after_leaving(now, outputs);
     }
 
-    /// Forgets the group's state for good, and with it the right to ever answer that group again.
-    pub(crate) fn leave_for_good(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
+    /// Discards the group's state. Without it this run must never answer that group again, so the group is recorded as
+    /// abandoned.
+    pub(crate) fn abandon_membership(&mut self, now: Timestamp, outputs: &mut Vec<GroupOutput>) {
         if let Some(retired) = self.retired.take() {
             self.abandon_group(retired.record.identity);
         }
@@ -137,11 +140,11 @@
         outputs.push(GroupOutput::Removed);
     }
 
-    /// Takes the memory of an earlier membership up again; the host gets all of its state anew.
-    pub(crate) fn resume(&mut self, now: Timestamp, mut member: Member, outputs: &mut Vec<GroupOutput>) {
+    /// Rejoins a group with the retained state of an earlier membership; the host receives the whole state again.
+    pub(crate) fn resume(&mut self, now: Timestamp, mut member: GroupMember, outputs: &mut Vec<GroupOutput>) {
         let record = member.record;
         let index = member.log.base_index();
-        member.handed_out = index;
+        member.last_applied = index;
         member.contact = now;
         outputs.push(GroupOutput::Formed {
             generation: record.identity.generation,
@@ -152,31 +155,31 @@
             outputs.push(GroupOutput::InstallSnapshot { index, bytes: member.log.snapshot().to_vec() });
         }
         self.member = Some(member);
-        self.rearm_election(now);
+        self.reset_election_deadline(now);
     }
 }
 
-/// What became of the entries of an append.
-enum Taken {
-    /// Both logs agree up to there.
-    Fitted { up_to: u64 },
-    /// The entry before the first one is another; the leader should try after this index.
-    Misfit { retry_at: u64 },
-    /// An agreed entry would have to be replaced, which no leader can rightly ask.
-    Contradiction,
+/// Result of comparing an append with the follower's log.
+enum AppendOutcome {
+    /// Both logs match up to this index.
+    Matched { up_to: u64 },
+    /// The entry before the first one differs; the leader should retry after this index.
+    Mismatch { retry_at: u64 },
+    /// A committed entry would have to be replaced, which no correct leader requests.
+    Conflict,
 }
 
-/// Takes the entries if they fit.
-fn take_entries(member: &mut Member, append: &Append) -> Taken {
+/// Appends the entries if the logs match before the first one.
+fn append_entries(member: &mut GroupMember, append: &Append) -> AppendOutcome {
     let base = member.log.base_index();
     let last = member.log.last_index();
     let known = append.previous_index < base || member.log.term_at(append.previous_index) == Some(append.previous_term);
     if !known && append.previous_index <= member.commit {
-        return Taken::Contradiction;
+        return AppendOutcome::Conflict;
     }
     if !known {
         let earlier = append.previous_index.saturating_sub(1);
-        return Taken::Misfit { retry_at: earlier.min(last) };
+        return AppendOutcome::Mismatch { retry_at: earlier.min(last) };
     }
     let mut index = append.previous_index;
     for entry in &append.entries {
@@ -185,11 +188,11 @@
             continue;
         }
         if index <= member.commit {
-            return Taken::Contradiction;
+            return AppendOutcome::Conflict;
         }
         member.log.truncate_from(index);
         member.log.append(entry.clone());
     }
     member.commit = member.commit.max(append.commit_index.min(index)).min(member.log.last_index());
-    Taken::Fitted { up_to: index }
+    AppendOutcome::Matched { up_to: index }
 }
--- a/crates/group/src/snapshot.rs
+++ b/crates/group/src/snapshot.rs
@@ -1,37 +1,37 @@
-//! Compaction of the log and snapshots for nodes that are too far behind.
+//! Log compaction, and snapshots for followers whose missing entries are already compacted.
 
 use quillhatch_types::{NodeId, Timestamp};
 
 use crate::group::Group;
 use crate::io::GroupOutput;
-use crate::log::Log;
-use crate::member::{IncomingSnapshot, Member, OutgoingSnapshot};
+use crate::log::ReplicatedLog;
+use crate::member::{GroupMember, IncomingSnapshot, OutgoingSnapshot};
 use crate::message::{GroupMessage, SnapshotChunk, SnapshotReply};
-use crate::settings::MAXIMUM_BATCH_BYTES;
+use crate::settings::MAX_BATCH_BYTES;
 
 impl Group {
-    /// Asks the host once per bound's worth of agreed entries.
-    pub(crate) fn ask_for_snapshot(&mut self, outputs: &mut Vec<GroupOutput>) {
+    /// Requests a snapshot from the host when the log has reached its limit and no earlier request is open.
+    pub(crate) fn request_snapshot(&mut self, outputs: &mut Vec<GroupOutput>) {
         let (entries, bytes) = (self.settings.log_entries, self.settings.log_bytes);
         let Some(member) = &mut self.member else {
             return;
         };
         let over = member.log.len() >= entries || member.log.bytes() >= bytes;
-        let index = member.handed_out;
-        let asked = member.snapshot_wanted.is_some_and(|wanted| wanted > member.log.base_index());
+        let index = member.last_applied;
+        let asked = member.snapshot_requested.is_some_and(|wanted| wanted > member.log.base_index());
         if over && !asked && index > member.log.base_index() {
-            member.snapshot_wanted = Some(index);
+            member.snapshot_requested = Some(index);
             outputs.push(GroupOutput::NeedSnapshot { index });
         }
     }
 
-    /// Takes the host's state; an index that is not agreed or already compacted is ignored.
+    /// Compacts the log with the host's snapshot; ignores an index that is already compacted or not yet applied.
     pub(crate) fn on_host_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
         let limit = self.settings.snapshot_bytes;
         let Some(member) = &mut self.member else {
             return;
         };
-        let usable = index <= member.handed_out && index > member.log.base_index();
+        let usable = index <= member.last_applied && index > member.log.base_index();
         if usable && bytes.len() <= limit {
             member.log.compact(index, bytes);
         }
@@ -47,7 +47,7 @@
         let current = progress.and_then(|progress| progress.snapshot).filter(|outgoing| outgoing.index == index);
         let outgoing = current.unwrap_or(OutgoingSnapshot { index, offset: 0 });
         let start = (outgoing.offset as usize).min(snapshot.len());
-        let end = (start + MAXIMUM_BATCH_BYTES).min(snapshot.len());
+        let end = (start + MAX_BATCH_BYTES).min(snapshot.len());
         let chunk = SnapshotChunk {
             record: member.record,
             term: member.term,
@@ -77,13 +77,13 @@
         let Some(member) = &mut self.member else {
             return;
         };
-        // In a term there is no second leader to answer to; an older term's leader learns of the newer one.
+        // A term has only one leader, so another sender gets no reply. A leader of an older term gets the newer term.
         if !accepted && chunk.term >= member.term {
             return;
         }
         let mut received = 0;
         if accepted && chunk.total <= limit {
-            received = take_chunk(member, &chunk, outputs);
+            received = append_chunk(member, &chunk, outputs);
         }
         let reply = SnapshotReply {
             identity: member.record.identity,
@@ -122,19 +122,19 @@
         } else if reply.received > outgoing.offset || reply.received == 0 {
             progress.snapshot = Some(OutgoingSnapshot { index: reply.index, offset: reply.received });
         } else {
-            // An answer to a piece that was sent twice; the next heartbeat sends on.
+            // A reply to a duplicate chunk; the next heartbeat continues the transfer.
             return;
         }
         self.replicate_to(now, from, outputs);
     }
 }
 
-/// Adds a piece in order and installs the snapshot when it is whole; returns the bytes held.
-fn take_chunk(member: &mut Member, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
+/// Appends the next chunk and installs the snapshot once it is complete; returns the number of bytes received.
+fn append_chunk(member: &mut GroupMember, chunk: &SnapshotChunk, outputs: &mut Vec<GroupOutput>) -> u64 {
     if chunk.index <= member.commit {
         return chunk.total;
     }
-    // Two leaders may encode the same state differently, so pieces of both must never be put together.
+    // Two leaders may encode the same state differently, so chunks of both must never be combined.
     let same = member.incoming.as_ref().is_some_and(|incoming| {
         incoming.index == chunk.index && incoming.leader_term == chunk.term && incoming.total == chunk.total
     });
@@ -162,15 +162,15 @@
     chunk.total
 }
 
-fn install(member: &mut Member, chunk: &SnapshotChunk, bytes: Vec<u8>, outputs: &mut Vec<GroupOutput>) {
+fn install(member: &mut GroupMember, chunk: &SnapshotChunk, bytes: Vec<u8>, outputs: &mut Vec<GroupOutput>) {
     let fits = member.log.term_at(chunk.index) == Some(chunk.index_term);
     if fits {
         member.log.compact(chunk.index, bytes.clone());
     } else {
-        member.log = Log::from_snapshot(chunk.index, chunk.index_term, chunk.voters.clone(), bytes.clone());
+        member.log = ReplicatedLog::from_snapshot(chunk.index, chunk.index_term, chunk.voters.clone(), bytes.clone());
     }
     member.commit = chunk.index;
-    member.handed_out = chunk.index;
+    member.last_applied = chunk.index;
     outputs.push(GroupOutput::InstallSnapshot { index: chunk.index, bytes });
     outputs.push(GroupOutput::VotersChanged { voters: chunk.voters.clone() });
 }
