--- a/crates/model/src/slot_move/leader.rs
+++ b/crates/model/src/slot_move/leader.rs
@@ -22,8 +22,8 @@
     }
 
     /// Removes exports and imports that the agreed state has completed; mirrors `send_exports` and
-    /// `forget_finished_imports`.
-    pub fn forget_finished(&mut self) {
+    /// `drop_finished_imports`.
+    pub fn drop_finished(&mut self) {
         match self.seal() {
             Some(seal) if self.site.export.seal != seal => self.site.export = Export { seal, ..Export::default() },
             Some(_) => {}
--- a/crates/model/src/slot_move/world.rs
+++ b/crates/model/src/slot_move/world.rs
@@ -106,7 +106,7 @@
             if let SlotCommand::Unseal(seal) = command {
                 site.unsealed.insert(seal);
             }
-            self.with_leader(site, |leader| leader.forget_finished());
+            self.with_leader(site, |leader| leader.drop_finished());
         }
         after.is_some()
     }
@@ -151,7 +151,7 @@
             Action::Seal => next.remaining.seals -= u8::from(self.agree(site, SlotCommand::Seal)),
             Action::ChangeLeader => {
                 site.change_leader();
-                self.with_leader(site, |leader| leader.forget_finished());
+                self.with_leader(site, |leader| leader.drop_finished());
                 next.remaining.leader_changes -= 1;
             }
             Action::Reassign(command) => next.remaining.reassignments -= u8::from(self.agree(site, command)),
